--- a/leadslip/checks.py
+++ b/leadslip/checks.py
@@ -1,4 +1,4 @@
-"""What must hold: asserted in debug builds, counted in release builds (python -O)."""
+"""Named counters of the process, and invariant checks: asserted in debug builds, counted under python -O."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, by: int = 1) -> None:
-        """Count something that may happen in service."""
+        """Increments a counter of events that may occur in normal operation."""
         self.counts[name] += by
 
     def must(self, holds: bool, name: str) -> bool:
-        """Assert what must hold, or count its breach; tells whether it holds, so that callers can recover."""
+        """Asserts an invariant, or counts its violation; returns whether it holds, so that callers can recover."""
         if __debug__:
             assert holds, name
         elif not holds:
--- a/leadslip/choice.py
+++ b/leadslip/choice.py
@@ -1,8 +1,8 @@
-"""Every decision of leadslip; its types, events and actions are in leadslip/interface.py.
+"""Call admission and server selection; settings, events and actions are defined in leadslip/interface.py.
 
-Each gateway runs one Controller as a percent throttle after R-SOCA: every interval it smooths each server's
-load figure, maps it by a straight line to a chance of refusal, smooths that too, and refuses new set-ups by
-that chance before sending. What the design leaves open is kept around it; docs/design.md gives the reasons.
+Each gateway runs one Controller, a percentage throttle after R-SOCA: once per interval it smooths the load
+value of each server, maps it linearly to a refusal probability, smooths that as well, and refuses new set-ups
+with this probability before sending. Limits around it cover what R-SOCA leaves open; see docs/design.md.
 """
 
 from __future__ import annotations
@@ -13,495 +13,521 @@
 
 READY = face.ServerState.READY
 
-# Constants. 'Design' marks figures of the design page, 'ours' what we chose.
-INTERVAL_MS = 500.0  # ms between two reckonings; design (its own choice)
-SIGMA = 0.6  # weight of the newest figure and chance; design
-FLOOR = 0.05  # chance up to which a server counts as calm; design
-MINOR_MS = 200.0  # delay above the least at which refusal begins; design (its own choice)
-MAJOR_MS = 800.0  # delay above the least at which all is refused; design (its own choice)
-STALE_INTERVALS = 2  # intervals after which an unrenewed figure counts as nought; design
-LEAST_SPAN_MS = 10_000.0  # ms of one slot of the least delay ...; ours, keeps the minute in few numbers
-LEAST_SLOTS = 6  # ... and slots kept: a minute in all; design
-BURST = 1.7  # multiple of the calm rate that is sent while pressed; design
-BURST_DEPTH_MS = 1000.0  # ms of that rate that may come at once; ours, chance alone bunches few calls so
-CALM_MEMORY_MS = 10_000.0  # ms over which the calm rate is learned; ours, some tens of calls at small sites
-PRESSED_WEIGHT = 0.2  # part by which pressed intervals count for it; ours, outlasts bursts, follows change
-BUSY_MS = 2000.0  # ms between trial calls to a number whose lines are all taken; ours, part of a usual call
-COLD_SHARE = 0.5  # part of the multiple that would push a cold server over; ours, leaves room for chance
-WORTH_CALLS = 200.0  # calls over which worths and tenants' parts are learned; ours, some tens of seconds
-UNNAMED = 0.33  # part of the fair rate that a server has though few calls name it; ours, a third
-RATE_KNOWN_MS = 2000.0  # ms after which the rate counts as known; ours, a few intervals
-RATE_KNOWN_CALLS = 10  # calls after which it limits what is sent; ours, few calls tell no rate
-UTILISED = (0.85, 1.0)  # minor and major for reported utilisation; ours, where queues begin and end
-QUEUED = (8.0, 32.0)  # minor and major for reported queues, in set-ups; ours, same ratio as the delays
-KEPT_MS = (
-    20.0  # ms of all gateways' calm rate, in lines, kept for the calls worth most; ours, age of a report
-)
-WINDOW_MS = 400.0  # ms of the calm rate that may be unanswered; ours, midway on the curve
-URGENT = 3.0  # a class worth this many times the least is urgent; ours, well above mere preference
-TRIAL_PART = 0.2  # part of the calls that may be a trial at a busy number; ours, few
-MEMORY_GAPS = 3.0  # mean gaps between set-ups for which a figure counts at the least; ours, to outlast a jam
-MEMORY_MS = 30_000.0  # ms for which it counts at the most; ours, half of what the least delay is kept for
-LOST = 0.7  # set-ups lately lost from which on more are expected; ours, one within a few seconds
-LOG_LINES = 60  # lines logged at most; ours, the log's readers are few
+INTERVAL_MS = 500.0  # between two updates of the refusal probabilities
+SMOOTHING_FACTOR = 0.6  # weight of the newest load value and of the newest refusal probability
+CALM_PROBABILITY = 0.05  # refusal probability up to which a server counts as calm
+MINOR_MS = 200.0  # delay above the baseline at which refusal begins
+MAJOR_MS = 800.0  # delay above the baseline at which every set-up is refused
+STALE_INTERVALS = 2  # intervals after which a load value that was not renewed counts as 0
+BASELINE_SLOT_MS = 10_000.0  # time slot of the baseline delay; long, so that a minute takes few values
+BASELINE_SLOTS = 6  # slots kept: one minute in all
+BURST_FACTOR = 1.7  # multiple of the calm rate that is sent to an overloaded server
+BURST_DEPTH_MS = 1000.0  # of the limited rate that may be sent at once: few calls bunch by mere chance
+CALM_RATE_WINDOW_MS = 10_000.0  # over which the calm rate is learned: some tens of calls at small sites
+OVERLOADED_WEIGHT = 0.2  # of overloaded intervals in the calm rate: it outlasts bursts but follows a change
+BUSY_RETRY_MS = 2000.0  # between trial calls to a number whose lines are all busy: a part of a usual call
+COLD_MARGIN = 0.5  # part of the multiple that would overload a cold server; leaves room for chance
+MIX_WINDOW_CALLS = 200.0  # over which worths and tenants' fractions are learned: some tens of seconds
+FAIR_FRACTION = 0.33  # of the mean calm rate that a server gets although few calls name it
+RATE_KNOWN_MS = 2000.0  # after which the calm rate counts as known: a few intervals
+RATE_KNOWN_CALLS = 10  # after which the calm rate limits what is sent: fewer calls show no rate
+UTILISATION_THRESHOLDS = (0.85, 1.0)  # minor and major of reported utilisation: where queues begin and end
+QUEUE_THRESHOLDS = (8.0, 32.0)  # minor and major of reported queues, in set-ups; same ratio as the delays
+RESERVATION_MS = 20.0  # of all gateways' calm rate, reserved as lines for worthier calls: age of a report
+UNANSWERED_WINDOW_MS = 400.0  # of the calm rate that may be unanswered; in the middle of the curve
+URGENT_WORTH_RATIO = 3.0  # a class worth this many times the least is urgent: well above mere preference
+BUSY_TRIAL_FRACTION = 0.2  # of the calls to a busy number that may be sent as a trial
+MEMORY_GAPS = 3.0  # mean gaps between set-ups for which a load value counts; outlasts an overload
+MEMORY_MS = 30_000.0  # upper bound of that time; half of what the baseline delay is kept for
+LOSS_THRESHOLD = 0.7  # recent lost set-ups from which more are expected: one within a few seconds
+MAX_LOG_LINES = 60  # of one controller; few people read the log
 
 
 class _Server:
-    """What this gateway knows of one server."""
+    """State of one setup server as this gateway sees it."""
 
-    def __init__(self, entry: face.ListEntry, born_ms: float, now_ms: float) -> None:
+    def __init__(self, entry: face.ListEntry, started_ms: float, now_ms: float) -> None:
         self.entry = entry
-        self.born_ms = born_ms  # when it started cold; 0: long past
-        self.stood = 0  # set-ups that stood in this interval
-        self.credit, self.credit_at_ms = 0.0, now_ms  # set-ups it may get while limited, and when reckoned
-        self.figure, self.figure_at_ms = 0.0, 0.0  # newest load figure, ms above the least or its like
-        self.answered, self.missed = 0.0, False  # newest figure of an answer; whether one never came since
-        self.worst = 0.0  # largest figure since the last reckoning
-        self.load, self.chance = 0.0, 0.0  # smoothed figure, C, and smoothed chance of refusal
-        self.least: dict[float, float] = {}  # slot of time -> least delay in it
+        self.started_ms = started_ms  # when it started cold; 0: long ago
+        self.established = 0  # calls established in this interval
+        self.tokens, self.refilled_ms = 0.0, now_ms  # set-ups it may get while limited; time of last refill
+        self.sample, self.sampled_ms = 0.0, 0.0  # newest load value, as delay above the baseline; its time
+        self.answer_sample, self.timed_out = 0.0, False  # newest value of an answer; time-out since then
+        self.peak = 0.0  # largest load value in this interval
+        self.load, self.refusal_probability = 0.0, 0.0  # both smoothed
+        self.baselines: dict[float, float] = {}  # time slot -> least delay in it
         self.unanswered: dict[str, float] = {}  # call -> when sent, oldest first
-        self.overtaken_ms = 0.0  # when the latest set-up that stood was sent; refusals may jump the line
-        self.jammed = False  # as last logged
-        self.free_lines: float | None = None  # as last told, less what was sent since
+        self.answered_sent_ms = 0.0  # send time of the newest established set-up; refusals may overtake
+        self.overloaded = False  # as last logged
+        self.free_lines: float | None = None  # as last reported, less what was sent since
 
 
 class _Call:
-    """One call that this gateway owes an answer."""
+    """One call that has not been answered finally."""
 
-    def __init__(self, offered: face.CallOffered, kind: face.CallClass, most: int) -> None:
-        self.offered, self.kind = offered, kind
-        self.attempts, self.most = 0, most  # its bound of attempts stays when settings change
-        self.at: _Server | None = None  # where its attempt is out
-        self.stands = self.may_have_run = False
-        self.been: list[str] = []  # servers that failed it
-        self.wake_ms = 0.0  # not to be sent before
-        self.luck = 1.0  # drawn at each look: parts of a set-up below one are given by chance
+    def __init__(self, offered: face.CallOffered, call_class: face.CallClass, max_attempts: int) -> None:
+        self.offered, self.call_class = offered, call_class
+        self.attempts, self.max_attempts = 0, max_attempts  # the bound stays when settings change
+        self.server: _Server | None = None  # where an attempt is in progress
+        self.established = self.may_have_run = False
+        self.failed_servers: list[str] = []
+        self.retry_at_ms = 0.0  # not to be sent before
+        self.uniform = 1.0  # drawn anew at each decision; tokens below 1 are granted with that probability
 
 
 class Controller:
-    """The call control of one gateway; gateways share nothing."""
+    """Decides on the calls of one gateway; gateways share no state."""
 
     def __init__(self, settings: face.Settings, seed: int) -> None:
-        self.quotas: dict[str, float] = {}
-        self.worths: dict[str, float] = {}  # of each class
+        self.quotas: dict[str, float] = {}  # tenant -> fraction of all quotas
+        self.worths: dict[str, float] = {}  # class -> worth
         self.adopt(settings)
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.servers: dict[str, _Server] = {}
         self.calls: dict[str, _Call] = {}
-        self.gone: dict[str, float] = {}  # server -> when it was told to be gone, oldest first
-        self.listed = False  # a list has been seen
-        self.ticking = False
-        self.busy: dict[str, float] = {}  # number called -> not to be tried before
-        self.rates: dict[int, float] = {}  # server number -> calm set-ups a millisecond
-        self.offered: dict[int, int] = {}  # first-choice number -> calls offered in this interval
-        self.known_ms, self.known_calls = 0.0, 0  # how long, and by how many calls rates have been learned
-        self.logged = 0
-        self.lost = 0.0  # set-ups lately shown to be lost
+        self.gone: dict[str, float] = {}  # server -> when it was reported gone, oldest first
+        self.list_received = False
+        self.timer_started = False
+        self.busy_numbers: dict[str, float] = {}  # number called -> not to be tried before
+        self.calm_rates: dict[int, float] = {}  # server number -> set-ups per millisecond
+        self.offered_counts: dict[int, int] = {}  # first-choice number -> calls offered in this interval
+        self.learned_ms, self.learned_calls = 0.0, 0  # time and calls over which rates have been learned
+        self.logged_lines = 0
+        self.recent_losses = 0.0  # set-ups recently found lost, decaying
         self.actions: list[face.Action] = []
 
     def adopt(self, settings: face.Settings) -> None:
-        """Take settings, at the start and when they change; what was learned of servers and rates stays."""
-        _check(settings)
+        """Applies settings, initially and when they change; learned server states and rates are kept."""
+        _validate(settings)
         self.settings = settings
-        self.classes = {kind.name: kind for kind in settings.classes}
-        self.least_worth = min((kind.worth for kind in settings.classes if kind.worth > 0), default=1.0)
-        self.most_worth = max((kind.worth for kind in settings.classes), default=1.0)
-        worths = {kind.name: kind.worth for kind in settings.classes}
-        if worths != self.worths:  # else worths that are no more would go on weighing those that are
-            self.worths, self.mean_worth = worths, self.least_worth
+        self.classes = {call_class.name: call_class for call_class in settings.classes}
+        self.min_worth = min((item.worth for item in settings.classes if item.worth > 0), default=1.0)
+        self.max_worth = max((item.worth for item in settings.classes), default=1.0)
+        worths = {call_class.name: call_class.worth for call_class in settings.classes}
+        if worths != self.worths:  # otherwise worths of removed classes would still weigh on the others
+            self.worths, self.mean_worth = worths, self.min_worth
         total = sum(tenant.quota_per_s for tenant in settings.tenants) or 1.0
         quotas = {tenant.name: tenant.quota_per_s / total for tenant in settings.tenants}
         if quotas != self.quotas or not quotas:
-            self.quotas, self.asked = quotas, dict(quotas)  # asked: each tenant's part of the calls here
+            self.quotas, self.tenant_mix = quotas, dict(quotas)  # the latter: of the calls offered here
 
     def learned(self) -> tuple[float, int, dict[int, float]]:
-        """How long and by how many calls rates have been learned, and the rates by a server's number."""
-        return self.known_ms, self.known_calls, dict(self.rates)
+        """Returns the time and calls over which rates were learned, and the calm rates by server number."""
+        return self.learned_ms, self.learned_calls, dict(self.calm_rates)
 
-    def recall(self, known_ms: float, known_calls: int, rates: dict[int, float]) -> None:
-        """Take what a former process here had learned; nothing where this one knows more."""
-        if known_ms > self.known_ms:
-            self.known_ms, self.known_calls, self.rates = known_ms, known_calls, dict(rates)
+    def recall(self, learned_ms: float, learned_calls: int, calm_rates: dict[int, float]) -> None:
+        """Restores what a predecessor process learned, unless this one has learned for longer."""
+        if learned_ms > self.learned_ms:
+            self.learned_ms, self.learned_calls, self.calm_rates = learned_ms, learned_calls, dict(calm_rates)
 
     def handle(self, now_ms: float, event: face.Event) -> list[face.Action]:
-        """Take one event; the actions hold from now on."""
+        """Processes one event and returns the actions to take, in order."""
         self.actions = []
-        if not self.ticking:
-            self.ticking = True
-            # Gateways started together must not reckon in step.
-            self.actions.append(face.SetTimer(INTERVAL_MS * self.random.random(), "interval"))
-            self.actions += [face.FollowList()] if self.settings.list_on_request else []
+        if not self.timer_started:
+            self.timer_started = True
+            # Gateways that were started together must not end their intervals together.
+            self.actions.append(face.SetTimer(INTERVAL_MS * self.rng.random(), "interval"))
+            self.actions += [face.SubscribeList()] if self.settings.list_on_request else []
         match event:
             case face.ListNews():
-                self._news(now_ms, event)
+                self._update_servers(now_ms, event)
             case face.CallOffered():
-                self._offered(now_ms, event)
+                self._on_offered(now_ms, event)
             case face.CallStands():
-                self._stands(now_ms, event)
+                self._on_established(now_ms, event)
             case face.AttemptEnded():
-                self._ended(now_ms, event)
+                self._on_attempt_ended(now_ms, event)
             case face.CallerLeft(call):
                 self.calls.pop(call, None)
             case face.TimerDue("interval"):
                 self.actions.append(face.SetTimer(INTERVAL_MS, "interval"))
-                self._reckon(now_ms)
+                self._end_interval(now_ms)
             case face.TimerDue("list"):
-                self.actions.append(face.FollowList())
+                self.actions.append(face.SubscribeList())
             case face.TimerDue(token) if token in self.calls:
                 self._decide(now_ms, self.calls[token])
             case face.ServerLooked(server, _, _, load) if server in self.servers and load:
                 self.servers[server].free_lines = load.free_lines
         return self.actions
 
-    # The list of servers.
+    # Server list.
 
-    def _news(self, now_ms: float, news: face.ListNews) -> None:
-        if news.kind is face.NewsKind.FAILED:
+    def _update_servers(self, now_ms: float, update: face.ListNews) -> None:
+        if update.kind is face.NewsKind.FAILED:
             self.actions.append(face.SetTimer(INTERVAL_MS, "list"))
             return
-        if news.kind is not face.NewsKind.CHANGES:
-            names = [entry.server for entry in news.entries]
+        if update.kind is not face.NewsKind.CHANGES:
+            names = [entry.server for entry in update.entries]
             self.servers = {name: server for name, server in self.servers.items() if name in names}
-        for entry in news.entries:
-            held = self.servers.get(entry.server)
-            if entry.state is face.ServerState.GONE and (held is None or held.entry.state is not entry.state):
+        for entry in update.entries:
+            old = self.servers.get(entry.server)
+            if entry.state is face.ServerState.GONE and (old is None or old.entry.state is not entry.state):
                 self.gone[entry.server] = now_ms
-            if held is not None and entry.online_since_ms <= held.entry.online_since_ms:
-                held.entry = entry
+            if old is not None and entry.online_since_ms <= old.entry.online_since_ms:
+                old.entry = entry
                 continue
-            # A fresh start time or a new id is a new processor: nothing learned of the old one holds. One
-            # without a start time that joins a list already seen counts as started now.
-            born = entry.online_since_ms or (now_ms if self.listed else 0.0)
-            self.servers[entry.server] = _Server(entry, born, now_ms)
-        self.listed = True
-
-    # Load figures and chances.
-
-    def _hear(self, now_ms: float, server: _Server, taken_ms: float, load: face.Load | None) -> None:
-        """An answer came: take its figure, by the report if it tells load, else by its own delay."""
-        slot = now_ms // LEAST_SPAN_MS
-        server.least[slot] = min(server.least.get(slot, taken_ms), taken_ms)
-        figure = self._above_least(now_ms, server, taken_ms)
+            # A newer start time or a new id means a new processor, to which nothing learned applies. A server
+            # without a start time that appears after the first list counts as started now.
+            started_ms = entry.online_since_ms or (now_ms if self.list_received else 0.0)
+            self.servers[entry.server] = _Server(entry, started_ms, now_ms)
+        self.list_received = True
+
+    # Load values and refusal probabilities.
+
+    def _on_answer(self, now_ms: float, server: _Server, delay_ms: float, load: face.Load | None) -> None:
+        """Records the load value of an answer: that of its load report if there is one, else its delay."""
+        slot = now_ms // BASELINE_SLOT_MS
+        server.baselines[slot] = min(server.baselines.get(slot, delay_ms), delay_ms)
+        sample = self._above_baseline(now_ms, server, delay_ms)
         if load is not None:
             server.free_lines = load.free_lines
             if load.wait_ms is not None:
-                figure = load.wait_ms
+                sample = load.wait_ms
             elif load.utilisation is not None:
-                figure = _like_delay(load.utilisation, UTILISED)
+                sample = _to_delay(load.utilisation, UTILISATION_THRESHOLDS)
             elif load.queue is not None:
-                figure = _like_delay(load.queue, QUEUED)
-        self._sample(now_ms, server, figure)
-        self.lost += server.missed and figure <= MINOR_MS
-        server.missed = False
-
-    def _waiting(self, server: _Server, now_ms: float) -> list[float]:
-        """When the set-ups that wait there were sent, oldest first; the first of them may be lost."""
-        # Where quick answers follow on set-ups never answered, answers get lost: one late among quick ones is
-        # no sign then, it takes two. Else all servers look jammed. Could harm where one dies meanwhile.
-        waiting = [sent_ms for sent_ms in server.unanswered.values() if sent_ms > server.overtaken_ms]
-        quick = self.lost >= LOST and server.answered <= MINOR_MS
-        return waiting[1:] if waiting and quick and now_ms - waiting[0] > MINOR_MS else waiting
-
-    def _above_least(self, now_ms: float, server: _Server, delay_ms: float) -> float:
-        oldest = now_ms // LEAST_SPAN_MS - LEAST_SLOTS
-        server.least = {slot: least for slot, least in server.least.items() if slot > oldest}
-        return delay_ms - min(server.least.values(), default=0.0)
-
-    def _sample(self, now_ms: float, server: _Server, figure: float) -> None:
-        server.figure, server.answered, server.figure_at_ms = figure, figure, now_ms
-        server.worst = max(server.worst, figure)
-
-    def _reckon(self, now_ms: float) -> None:
-        """The interval's end: smooth figures and chances, learn the calm rate."""
-        self.busy = {number: due for number, due in self.busy.items() if due + BUSY_MS > now_ms}
-        self.known_ms += INTERVAL_MS
-        # Guards against keeping every server for good, and against a fair rate that sinks with their number,
-        # where they are replaced under new ids.
+                sample = _to_delay(load.queue, QUEUE_THRESHOLDS)
+        self._record_sample(now_ms, server, sample)
+        self.recent_losses += server.timed_out and sample <= MINOR_MS
+        server.timed_out = False
+
+    def _pending_send_times(self, server: _Server, now_ms: float) -> list[float]:
+        """Send times of the set-ups that wait for an answer, oldest first, less one that may be lost."""
+        # Quick answers after set-ups that were never answered show that answers get lost. One late answer
+        # among quick ones is then no sign of load, it takes two; otherwise all servers would look
+        # overloaded. It may harm where a server fails meanwhile.
+        pending = [sent_ms for sent_ms in server.unanswered.values() if sent_ms > server.answered_sent_ms]
+        lossy = self.recent_losses >= LOSS_THRESHOLD and server.answer_sample <= MINOR_MS
+        return pending[1:] if pending and lossy and now_ms - pending[0] > MINOR_MS else pending
+
+    def _above_baseline(self, now_ms: float, server: _Server, delay_ms: float) -> float:
+        oldest = now_ms // BASELINE_SLOT_MS - BASELINE_SLOTS
+        server.baselines = {slot: least for slot, least in server.baselines.items() if slot > oldest}
+        return delay_ms - min(server.baselines.values(), default=0.0)
+
+    def _record_sample(self, now_ms: float, server: _Server, sample: float) -> None:
+        server.sample, server.answer_sample, server.sampled_ms = sample, sample, now_ms
+        server.peak = max(server.peak, sample)
+
+    def _end_interval(self, now_ms: float) -> None:
+        """Updates the smoothed loads, the refusal probabilities and the calm rates."""
+        self.busy_numbers = {
+            number: retry_ms
+            for number, retry_ms in self.busy_numbers.items()
+            if retry_ms + BUSY_RETRY_MS > now_ms
+        }
+        self.learned_ms += INTERVAL_MS
+        # Servers may be replaced under new ids. Deleting those that are gone bounds the table, and keeps the
+        # mean calm rate from falling with their number.
         for name in [name for name, gone_ms in self.gone.items() if gone_ms + MEMORY_MS < now_ms]:
             del self.gone[name]
             if name in self.servers and self.servers[name].entry.state is face.ServerState.GONE:
                 del self.servers[name]
-        self.lost *= 1.0 - INTERVAL_MS / CALM_MEMORY_MS
+        self.recent_losses *= 1.0 - INTERVAL_MS / CALM_RATE_WINDOW_MS
         for server in self.servers.values():
-            # A silent server yields no figure: the age of its oldest unanswered set-up is the least delay
-            # that can be, for crash, hang and slowness alike. One that a later set-up has overtaken is lost.
-            oldest = min(self._waiting(server, now_ms), default=now_ms)
-            age = self._above_least(now_ms, server, now_ms - oldest)
-            if age > MINOR_MS and age > server.figure:
-                server.figure, server.figure_at_ms, server.worst = age, now_ms, max(server.worst, age)
-            # A gateway among hundreds hears a server each few seconds: a figure counts until the next is due.
+            # A silent server yields no sample. The age of its oldest unanswered set-up is a lower bound of
+            # its delay, in a crash, a hang and slowness alike. One overtaken by a later set-up is lost.
+            oldest = min(self._pending_send_times(server, now_ms), default=now_ms)
+            age = self._above_baseline(now_ms, server, now_ms - oldest)
+            if age > MINOR_MS and age > server.sample:
+                server.sample, server.sampled_ms, server.peak = age, now_ms, max(server.peak, age)
+            # One gateway among hundreds gets an answer of a server every few seconds: a sample counts until
+            # the next one is due.
             gap_ms = min(MEMORY_GAPS / max(self._calm_rate(server), 1e-9), MEMORY_MS)
-            fresh = now_ms - server.figure_at_ms < max(STALE_INTERVALS * INTERVAL_MS, gap_ms)
-            server.load += SIGMA * ((server.figure if fresh else 0.0) - server.load)
-            chance = min(1.0, max(0.0, (server.load - MINOR_MS) / (MAJOR_MS - MINOR_MS)))
-            server.chance += SIGMA * (chance - server.chance)
-            if server.worst >= MAJOR_MS:
-                server.chance = 1.0
-            server.worst = 0.0
-            self._log(server)
-            self._learn_rate(now_ms, server)
-        self.offered = {}
-
-    def _learn_rate(self, now_ms: float, server: _Server) -> None:
-        """The calm rate of a number: what is offered in the calm, a part of what stands while pressed."""
-        # Else a sender whose traffic has grown for good stays capped. What is offered while pressed counts
-        # redials; one that drains, is silent or cold keeps its rate, but for a gateway just reborn.
-        stood, server.stood = server.stood, 0
-        settled = server.entry.state is READY and self._cold_part(now_ms, server) >= 1.0
-        if not settled and self.known_ms > RATE_KNOWN_MS:
+            fresh = now_ms - server.sampled_ms < max(STALE_INTERVALS * INTERVAL_MS, gap_ms)
+            server.load += SMOOTHING_FACTOR * ((server.sample if fresh else 0.0) - server.load)
+            probability = min(1.0, max(0.0, (server.load - MINOR_MS) / (MAJOR_MS - MINOR_MS)))
+            server.refusal_probability += SMOOTHING_FACTOR * (probability - server.refusal_probability)
+            if server.peak >= MAJOR_MS:
+                server.refusal_probability = 1.0
+            server.peak = 0.0
+            self._log_overload(server)
+            self._update_calm_rate(now_ms, server)
+        self.offered_counts = {}
+
+    def _update_calm_rate(self, now_ms: float, server: _Server) -> None:
+        """Learns the calm rate of a number: of the calls offered while calm, else of those established."""
+        # Without the latter a gateway whose traffic has grown for good would stay limited; calls offered
+        # under overload include redials. A server that drains, is gone or cold keeps its rate, except at a
+        # gateway that has just started.
+        established, server.established = server.established, 0
+        stable = server.entry.state is READY and self._warm_fraction(now_ms, server) >= 1.0
+        if not stable and self.learned_ms > RATE_KNOWN_MS:
             return
-        calm = server.chance <= FLOOR
-        seen = self.offered.get(server.entry.number, 0) if calm else stood
-        weight = INTERVAL_MS / min(CALM_MEMORY_MS, max(RATE_KNOWN_MS, self.known_ms))
-        rate = self.rates.get(server.entry.number, 0.0)
-        weight *= 1.0 if calm else PRESSED_WEIGHT
-        self.rates[server.entry.number] = rate + weight * (seen / INTERVAL_MS - rate)
-
-    def _log(self, server: _Server) -> None:
-        jammed = server.chance == 1.0 or (server.jammed and server.chance > FLOOR)
-        if server.jammed is not jammed and self.logged < LOG_LINES:
-            self.logged += 1
-            self.actions.append(face.Log(f"{server.entry.server} is {'jammed' if jammed else 'calm again'}"))
-        server.jammed = jammed
+        calm = server.refusal_probability <= CALM_PROBABILITY
+        count = self.offered_counts.get(server.entry.number, 0) if calm else established
+        weight = INTERVAL_MS / min(CALM_RATE_WINDOW_MS, max(RATE_KNOWN_MS, self.learned_ms))
+        rate = self.calm_rates.get(server.entry.number, 0.0)
+        weight *= 1.0 if calm else OVERLOADED_WEIGHT
+        self.calm_rates[server.entry.number] = rate + weight * (count / INTERVAL_MS - rate)
+
+    def _log_overload(self, server: _Server) -> None:
+        overloaded = server.refusal_probability == 1.0 or (
+            server.overloaded and server.refusal_probability > CALM_PROBABILITY
+        )
+        if server.overloaded is not overloaded and self.logged_lines < MAX_LOG_LINES:
+            self.logged_lines += 1
+            self.actions.append(
+                face.Log(f"{server.entry.server} is {'jammed' if overloaded else 'calm again'}")
+            )
+        server.overloaded = overloaded
 
     def _calm_rate(self, server: _Server) -> float:
-        """Set-ups a millisecond that this gateway sends there in the calm; too low while hardly known.
+        """Returns the set-ups per millisecond sent to a calm server; too low until the rate is known.
 
-        It goes by the first choice that calls name, so a processor that takes another's number inherits it.
+        It is kept by the first choice that calls name, so that a new processor inherits it with the number.
         """
-        fair = sum(self.rates.values()) / max(1, len(self.servers))
-        return max(self.rates.get(server.entry.number, 0.0), UNNAMED * fair)
+        mean = sum(self.calm_rates.values()) / max(1, len(self.servers))
+        return max(self.calm_rates.get(server.entry.number, 0.0), FAIR_FRACTION * mean)
 
     # Calls.
 
-    def _offered(self, now_ms: float, offered: face.CallOffered) -> None:
-        kind = self.classes.get(offered.call_class)
-        if kind is None:
+    def _on_offered(self, now_ms: float, offered: face.CallOffered) -> None:
+        call_class = self.classes.get(offered.call_class)
+        if call_class is None:
             self.actions.append(face.Refuse(offered.call))
             return
-        self.known_calls += 1
-        self.mean_worth += (kind.worth - self.mean_worth) / WORTH_CALLS
-        for tenant, asked in self.asked.items():
-            self.asked[tenant] = asked + ((tenant == offered.tenant) - asked) / WORTH_CALLS
-        self.offered[offered.destination] = self.offered.get(offered.destination, 0) + 1
-        call = self.calls[offered.call] = _Call(offered, kind, self.settings.max_attempts)
+        self.learned_calls += 1
+        self.mean_worth += (call_class.worth - self.mean_worth) / MIX_WINDOW_CALLS
+        for tenant, fraction in self.tenant_mix.items():
+            self.tenant_mix[tenant] = fraction + ((tenant == offered.tenant) - fraction) / MIX_WINDOW_CALLS
+        self.offered_counts[offered.destination] = self.offered_counts.get(offered.destination, 0) + 1
+        call = self.calls[offered.call] = _Call(offered, call_class, self.settings.max_attempts)
         self._decide(now_ms, call)
 
     def _decide(self, now_ms: float, call: _Call) -> None:
-        """The one place where a call is sent, held or ended: tries, waits and the caller's time together."""
-        if call.at is not None or call.stands or now_ms < call.wake_ms:
+        """Sends, delays or answers a call; the only place where this is decided."""
+        if call.server is not None or call.established or now_ms < call.retry_at_ms:
             return
-        cut_ms = call.offered.valid_until_ms - 2 * self.settings.tick_ms
-        unsafe = call.may_have_run and call.kind.repeat is not face.Repeat.FREE
-        # All lines of a number taken: calls to it only cost work until one ends. Guards against one number
-        # crowding the servers out; it could harm a number that frees quickly.
-        if now_ms < self.busy.get(call.offered.number_called, 0.0):
-            self._finish(call, failed=unsafe, busy=True)
+        timeout_at_ms = call.offered.valid_until_ms - 2 * self.settings.tick_ms
+        unsafe = call.may_have_run and call.call_class.repeat is not face.Repeat.FREE
+        # While all lines of a number are busy, calls to it only cost work. Refusing them keeps one number
+        # from taking the servers' capacity; it may harm a number that becomes free quickly.
+        if now_ms < self.busy_numbers.get(call.offered.number_called, 0.0):
+            self._answer(call, failed=unsafe, busy=True)
             return
-        call.luck = self.random.random()
-        if call.offered.number_called in self.busy:
-            if call.luck >= TRIAL_PART:
-                self._finish(call, failed=unsafe, busy=True)
+        call.uniform = self.rng.random()
+        if call.offered.number_called in self.busy_numbers:
+            if call.uniform >= BUSY_TRIAL_FRACTION:
+                self._answer(call, failed=unsafe, busy=True)
                 return
-            self.busy[call.offered.number_called] = now_ms + BUSY_MS
+            self.busy_numbers[call.offered.number_called] = now_ms + BUSY_RETRY_MS
         server = None
-        if call.attempts < call.most and now_ms < cut_ms:
-            server = self._route(now_ms, call)
-        if server is None or unsafe or self._refused(now_ms, call, server):
-            self._finish(call, failed=unsafe)
+        if call.attempts < call.max_attempts and now_ms < timeout_at_ms:
+            server = self._choose_server(now_ms, call)
+        if server is None or unsafe or self._refuses(now_ms, call, server):
+            self._answer(call, failed=unsafe)
             return
-        call.at = server
+        call.server = server
         call.attempts += 1
         server.unanswered[call.offered.call] = now_ms
-        server.credit, server.credit_at_ms = self._credit(now_ms, server) - 1.0, now_ms
+        server.tokens, server.refilled_ms = self._tokens(now_ms, server) - 1.0, now_ms
         if server.free_lines is not None:
             server.free_lines -= call.offered.lines
-        self.actions.append(face.SetUp(call.offered.call, server.entry.server, cut_ms))
+        self.actions.append(face.SetUp(call.offered.call, server.entry.server, timeout_at_ms))
 
-    def _usable(self, now_ms: float, call: _Call, server: _Server) -> bool:
-        pools, offered, number = call.kind.allowed_pools, call.offered, server.entry.number
-        if server.entry.state is not READY or server.entry.server in call.been:
+    def _eligible(self, now_ms: float, call: _Call, server: _Server) -> bool:
+        pools, offered, number = call.call_class.allowed_pools, call.offered, server.entry.number
+        if server.entry.state is not READY or server.entry.server in call.failed_servers:
             return False
         if number == self.settings.own_number or (pools is not None and number not in pools):
             return False
         if offered.in_transit and number != offered.destination:
             return False
-        if server.free_lines is not None and server.free_lines < offered.lines + self._kept(call, server):
+        if server.free_lines is not None and server.free_lines < offered.lines + self._reserved(call, server):
             return False
-        spared = self._spared(now_ms, call, server) or self._credit(now_ms, server) > call.luck
-        return spared and self._within_window(now_ms, call, server)
+        within_rate = self._exempt(now_ms, call, server) or self._tokens(now_ms, server) > call.uniform
+        return within_rate and self._within_window(now_ms, call, server)
 
-    def _kept(self, call: _Call, server: _Server) -> float:
-        """Lines kept free for calls worth more than this one: trunk reservation.
+    def _reserved(self, call: _Call, server: _Server) -> float:
+        """Returns the lines reserved for calls worth more than this one (trunk reservation).
 
-        Guards against lines going to whoever asks first where lines, not the processor, run short. They are
-        told as late as a report, so what all gateways send meanwhile is kept. A redial counts as late.
+        Without it, lines would go to whoever asks first where lines run short and not the processor. Free
+        lines are as old as a report, so what all gateways send meanwhile is reserved. Redials count as late.
         """
-        worth = call.kind.worth * (call.kind.late_worth if call.offered.redialled else 1.0)
-        if server.chance > FLOOR:
-            return 0.0  # its processor is pressed, and the window spares those calls already
-        lines = self._calm_rate(server) * self.settings.gateways * KEPT_MS
-        return lines * (1.0 - worth / max(self.most_worth, 1e-9))
+        worth = call.call_class.worth * (call.call_class.late_worth if call.offered.redialled else 1.0)
+        if server.refusal_probability > CALM_PROBABILITY:
+            return 0.0  # its processor is overloaded, where the window already favours those calls
+        lines = self._calm_rate(server) * self.settings.gateways * RESERVATION_MS
+        return lines * (1.0 - worth / max(self.max_worth, 1e-9))
 
     def _urgent(self, call: _Call) -> bool:
-        return call.kind.worth >= URGENT * self.least_worth
+        return call.call_class.worth >= URGENT_WORTH_RATIO * self.min_worth
 
-    def _precedence(self, call: _Call) -> float:
-        """A call's worth beside the mean, between a half and two: it scales the window.
+    def _window_scale(self, call: _Call) -> float:
+        """Returns the worth of a call relative to the mean, from 0.5 to 2.0, by which its window is scaled.
 
-        What a tenant asks beyond its share is worth less, so its calls are shed first when pressed. A gateway
-        can only take its own mix for the fleet's; where that is wrong it harms a tenant by half a window.
+        Calls of a tenant beyond its quota are worth less, so they are refused first under overload. A gateway
+        takes its own mix of calls for the fleet's; where they differ, a tenant may lose half a window.
         """
-        tenant, worth = call.offered.tenant, call.kind.worth / self.mean_worth
+        tenant, worth = call.offered.tenant, call.call_class.worth / self.mean_worth
         if tenant in self.quotas:
-            within = min(1.0, self.quotas[tenant] / max(self.asked[tenant], 1e-9))
+            within = min(1.0, self.quotas[tenant] / max(self.tenant_mix[tenant], 1e-9))
             worth *= within + (1.0 - within) * self.settings.over_share_worth
         return min(2.0, max(0.5, worth))
 
     def _within_window(self, now_ms: float, call: _Call, server: _Server) -> bool:
-        """Whether fewer set-ups are unanswered than a part of a second's calm rate."""
-        # What is unanswered over the rate is the wait to come, known at once where delays tell it too late:
-        # it damps the swing between nothing and all and bounds what a silent server can swallow. Urgent calls
-        # have a window too: spared wholly, they would jam the last small servers. Calls bunch, so in the
-        # calm one more may be out, by chance where less than one a second is sent.
+        """Whether fewer set-ups are unanswered than the calm rate yields in the window."""
+        # Unanswered set-ups over the rate give the wait to come, known at once where delays show it late. The
+        # window damps the swing between sending nothing and everything, and bounds what a silent server can
+        # absorb. It holds for urgent calls too, which would otherwise overload the last small servers. Calls
+        # bunch, so a calm server may have one more unanswered, by chance below a rate of one a second.
         rate = self._calm_rate(server)
         if (
-            self.known_ms < RATE_KNOWN_MS
-            and server.chance <= FLOOR
-            and self._cold_part(now_ms, server) >= 1.0
+            self.learned_ms < RATE_KNOWN_MS
+            and server.refusal_probability <= CALM_PROBABILITY
+            and self._warm_fraction(now_ms, server) >= 1.0
         ):
-            # No rate is known yet. Guards against refusing all but one of the calls that wait at a start; it
-            # could harm where a fleet starts into a jam.
+            # No rate is known yet: a window would refuse all but one of the calls that wait at a start. It
+            # may harm a fleet that starts while its servers are overloaded.
             return True
-        room = max(1.0, rate * WINDOW_MS * self._precedence(call))
-        if server.chance <= FLOOR:
-            room = max(room, 1.0 + min(1.0, rate * BURST_DEPTH_MS))
-        return len(self._waiting(server, now_ms)) + call.luck < room
-
-    def _limit(self, now_ms: float, server: _Server) -> float:
-        """Set-ups a millisecond beside the window: the burst over the calm rate, or a part of what would push
-        a cold one over, with no floor of the rate, as hundreds of floors add up.
+        window = max(1.0, rate * UNANSWERED_WINDOW_MS * self._window_scale(call))
+        if server.refusal_probability <= CALM_PROBABILITY:
+            window = max(window, 1.0 + min(1.0, rate * BURST_DEPTH_MS))
+        return len(self._pending_send_times(server, now_ms)) + call.uniform < window
+
+    def _rate_limit(self, now_ms: float, server: _Server) -> float:
+        """Returns the rate limit, in set-ups per millisecond: a multiple of the calm rate, or for a cold
+        server a part of what would overload it, without a lower bound, as those of many gateways add up.
         """
-        part = self._cold_part(now_ms, server)
+        part = self._warm_fraction(now_ms, server)
         if part < 1.0:
-            return self.rates.get(server.entry.number, 0.0) * part * COLD_SHARE * self.settings.push_multiple
-        return BURST * self._calm_rate(server)
-
-    def _credit(self, now_ms: float, server: _Server) -> float:
-        """Set-ups that a server may get now; below one it is the chance of one, as hundreds add up."""
-        limit = self._limit(now_ms, server)
-        return min(limit * BURST_DEPTH_MS, server.credit + limit * (now_ms - server.credit_at_ms))
-
-    def _spared(self, now_ms: float, call: _Call, server: _Server) -> bool:
-        """A warm calm server is spared the limit for calls that name it, and a warm one for urgent calls."""
-        # Calls of another first choice are not: when a large server drains or falls silent, the small ones
-        # would jam before their delays tell. It could harm where one could take more than this for long.
-        if self._cold_part(now_ms, server) < 1.0:
+            return (
+                self.calm_rates.get(server.entry.number, 0.0)
+                * part
+                * COLD_MARGIN
+                * self.settings.push_multiple
+            )
+        return BURST_FACTOR * self._calm_rate(server)
+
+    def _tokens(self, now_ms: float, server: _Server) -> float:
+        """Returns the set-ups a server may get now; a value below 1 is the probability of one.
+
+        Without that, hundreds of gateways would each send their first set-up at the same time.
+        """
+        limit = self._rate_limit(now_ms, server)
+        return min(limit * BURST_DEPTH_MS, server.tokens + limit * (now_ms - server.refilled_ms))
+
+    def _exempt(self, now_ms: float, call: _Call, server: _Server) -> bool:
+        """Whether a warm server takes urgent calls, or if calm those that name it, beyond the rate limit."""
+        # Calls of another first choice are limited: when a large server drains or falls silent, they would
+        # overload the small ones before their delays show it. It may harm where a server could take more
+        # than this for long.
+        if self._warm_fraction(now_ms, server) < 1.0:
             return False
-        named = server.entry.number == call.offered.destination and server.chance <= FLOOR
-        return named or self._urgent(call) or self.known_calls < RATE_KNOWN_CALLS
-
-    def _cold_part(self, now_ms: float, server: _Server) -> float:
-        """The part of its work that a server can do at least, by its age."""
-        if not server.born_ms or now_ms >= server.born_ms + self.settings.warm_after_ms:
+        named = (
+            server.entry.number == call.offered.destination and server.refusal_probability <= CALM_PROBABILITY
+        )
+        return named or self._urgent(call) or self.learned_calls < RATE_KNOWN_CALLS
+
+    def _warm_fraction(self, now_ms: float, server: _Server) -> float:
+        """Returns the fraction of its full load that a server of this age can take at least."""
+        if not server.started_ms or now_ms >= server.started_ms + self.settings.warm_after_ms:
             return 1.0
-        warm = max(0.0, now_ms - server.born_ms) / self.settings.warm_after_ms
-        return self.settings.cold_fraction + (1.0 - self.settings.cold_fraction) * warm
-
-    def _route(self, now_ms: float, call: _Call) -> _Server | None:
-        usable = [server for server in self.servers.values() if self._usable(now_ms, call, server)]
-        for server in usable:
-            if server.entry.number == call.offered.destination and server.chance <= FLOOR:
+        progress = max(0.0, now_ms - server.started_ms) / self.settings.warm_after_ms
+        return self.settings.cold_fraction + (1.0 - self.settings.cold_fraction) * progress
+
+    def _choose_server(self, now_ms: float, call: _Call) -> _Server | None:
+        eligible = [server for server in self.servers.values() if self._eligible(now_ms, call, server)]
+        for server in eligible:
+            if (
+                server.entry.number == call.offered.destination
+                and server.refusal_probability <= CALM_PROBABILITY
+            ):
                 return server
-        if not usable:
+        if not eligible:
             return None
-        two = self.random.sample(usable, 2) if len(usable) > 2 else usable
-        return min(two, key=lambda server: (server.chance, len(server.unanswered)))
+        candidates = self.rng.sample(eligible, 2) if len(eligible) > 2 else eligible
+        return min(candidates, key=lambda server: (server.refusal_probability, len(server.unanswered)))
 
-    def _refused(self, now_ms: float, call: _Call, server: _Server) -> bool:
-        """Refusal of a new set-up by chance, before it is sent."""
-        if server.chance <= FLOOR or self._urgent(call):
+    def _refuses(self, now_ms: float, call: _Call, server: _Server) -> bool:
+        """Whether a new set-up is refused by chance, before it is sent."""
+        if server.refusal_probability <= CALM_PROBABILITY or self._urgent(call):
             return False
-        return self.random.random() < server.chance
+        return self.rng.random() < server.refusal_probability
 
-    def _stands(self, now_ms: float, event: face.CallStands) -> None:
+    def _on_established(self, now_ms: float, event: face.CallStands) -> None:
         call = self.calls.get(event.call)
-        if call is None or call.at is None or call.at.entry.server != event.server:
+        if call is None or call.server is None or call.server.entry.server != event.server:
             return
-        call.stands = True
-        call.at.stood += 1
-        self.busy.pop(call.offered.number_called, None)
-        call.at.unanswered.pop(event.call, None)
-        call.at.overtaken_ms = max(call.at.overtaken_ms, now_ms - event.taken_ms)
-        self._hear(now_ms, call.at, event.taken_ms, None)
-
-    def _ended(self, now_ms: float, event: face.AttemptEnded) -> None:
+        call.established = True
+        call.server.established += 1
+        self.busy_numbers.pop(call.offered.number_called, None)
+        call.server.unanswered.pop(event.call, None)
+        call.server.answered_sent_ms = max(call.server.answered_sent_ms, now_ms - event.taken_ms)
+        self._on_answer(now_ms, call.server, event.taken_ms, None)
+
+    def _on_attempt_ended(self, now_ms: float, event: face.AttemptEnded) -> None:
         call, server = self.calls.get(event.call), self.servers.get(event.server)
         if server is not None:
-            self._learn(now_ms, server, event)
+            self._record_end(now_ms, server, event)
         if call is None or event.attempt != call.attempts - 1:
             return
-        call.at = None
-        if event.call_over or call.stands:
+        call.server = None
+        if event.call_over or call.established:
             self.calls.pop(event.call, None)
             return
         outcome = event.outcome
-        call.been.append(event.server)
-        proven = (face.Outcome.FULL, face.Outcome.NO_CONNECTION, face.Outcome.NOT_SENT)
-        call.may_have_run = call.may_have_run or outcome not in proven
+        call.failed_servers.append(event.server)
+        never_ran = (face.Outcome.FULL, face.Outcome.NO_CONNECTION, face.Outcome.NOT_SENT)
+        call.may_have_run = call.may_have_run or outcome not in never_ran
         if event.cause is face.Cause.NO_LINE and server is not None:
-            # Free lines are told late; each asking in vain is work there and a detour. Guards against full
-            # servers and broken groups alike; it could harm where they are told seldom and free quickly.
+            # Free lines are reported late, and a set-up refused for want of one costs work and a detour. This
+            # covers full servers and broken groups; it may harm where free lines are reported seldom
+            # and lines become free quickly.
             server.free_lines = 0.0 if server.free_lines is not None else None
         if event.cause is face.Cause.NUMBER_BUSY:
-            self.busy[call.offered.number_called] = now_ms + BUSY_MS
-            self._finish(call, failed=call.kind.repeat is not face.Repeat.FREE, busy=True)
+            self.busy_numbers[call.offered.number_called] = now_ms + BUSY_RETRY_MS
+            self._answer(call, failed=call.call_class.repeat is not face.Repeat.FREE, busy=True)
             return
         if outcome in (face.Outcome.TIMED_OUT, face.Outcome.CUT, face.Outcome.WITHDRAWN):
-            call.wake_ms = now_ms + self.settings.release_wait_ms + self.settings.tick_ms
-            if call.wake_ms >= call.offered.valid_until_ms - 2 * self.settings.tick_ms:
-                self._finish(call, failed=True)
+            call.retry_at_ms = now_ms + self.settings.release_wait_ms + self.settings.tick_ms
+            if call.retry_at_ms >= call.offered.valid_until_ms - 2 * self.settings.tick_ms:
+                self._answer(call, failed=True)
             else:
-                self.actions.append(face.SetTimer(call.wake_ms - now_ms, event.call))
+                self.actions.append(face.SetTimer(call.retry_at_ms - now_ms, event.call))
             return
         self._decide(now_ms, call)
 
-    def _learn(self, now_ms: float, server: _Server, event: face.AttemptEnded) -> None:
-        """What the end of an attempt tells of its server."""
+    def _record_end(self, now_ms: float, server: _Server, event: face.AttemptEnded) -> None:
+        """Records what the end of an attempt shows about its server."""
         server.unanswered.pop(event.call, None)
         outcome, load = event.outcome, event.load
         if load is not None and load.free_lines is not None:
-            # Every report tells the lines as they were when it left. Guards against taking a server for full
-            # until the next unasked news, while lines come free there all the time.
+            # Each report gives the free lines as of its sending. Else a server would be taken for full until
+            # its next unsolicited report, although lines become free there all the time.
             server.free_lines = load.free_lines
-        server.missed = server.missed or outcome is face.Outcome.TIMED_OUT
+        server.timed_out = server.timed_out or outcome is face.Outcome.TIMED_OUT
         if outcome in (face.Outcome.ERROR, face.Outcome.FULL):
-            self._hear(now_ms, server, event.taken_ms, load)
+            self._on_answer(now_ms, server, event.taken_ms, load)
         elif outcome is face.Outcome.SERVED and load is not None and load.wait_ms is not None:
-            self._sample(now_ms, server, load.wait_ms)
+            self._record_sample(now_ms, server, load.wait_ms)
         if outcome is face.Outcome.NO_CONNECTION or event.cause is face.Cause.PROCESSOR_FULL:
-            self._sample(now_ms, server, MAJOR_MS)
-            server.chance = 1.0
+            self._record_sample(now_ms, server, MAJOR_MS)
+            server.refusal_probability = 1.0
 
-    def _finish(self, call: _Call, failed: bool, busy: bool = False) -> None:
+    def _answer(self, call: _Call, failed: bool, busy: bool = False) -> None:
         name, settings = call.offered.call, self.settings
         pause_ms = settings.max_pause_ms if busy and settings.callers_obey_pause else 0.0
         self.actions.append(face.Fail(name) if failed else face.Refuse(name, pause_ms))
         self.calls.pop(name, None)
 
 
-def _like_delay(figure: float, thresholds: tuple[float, float]) -> float:
-    """A figure of another unit, as the delay that lies at the same place between minor and major."""
+def _to_delay(value: float, thresholds: tuple[float, float]) -> float:
+    """Converts a load value of another unit to the delay at the same place between minor and major."""
     minor, major = thresholds
-    return max(0.0, MINOR_MS + (figure - minor) / (major - minor) * (MAJOR_MS - MINOR_MS))
+    return max(0.0, MINOR_MS + (value - minor) / (major - minor) * (MAJOR_MS - MINOR_MS))
 
 
-def _check(settings: face.Settings) -> None:
-    """Settings that make no sense are told by the field's name."""
-    above_0 = ("gateways", "max_attempts", "cold_fraction", "push_multiple", "tick_ms")
-    wrong = [field for field in above_0 if not getattr(settings, field) > 0]
+def _validate(settings: face.Settings) -> None:
+    """Raises SettingsError, which names the field, for values out of range."""
+    positive = ("gateways", "max_attempts", "cold_fraction", "push_multiple", "tick_ms")
+    wrong = [field for field in positive if not getattr(settings, field) > 0]
     wrong += [field for field in ("warm_after_ms", "release_wait_ms") if not getattr(settings, field) >= 0]
     wrong += ["cold_fraction"] if settings.cold_fraction > 1 else []
-    wrong += ["classes"] if not settings.classes or min(kind.worth for kind in settings.classes) < 0 else []
+    wrong += ["classes"] if not settings.classes or min(item.worth for item in settings.classes) < 0 else []
     if wrong:
-        raise face.SettingsError(f"{wrong[0]} makes no sense: {getattr(settings, wrong[0])!r}")
+        raise face.SettingsError(
+            f"{wrong[0]} is out of range: {getattr(settings, wrong[0])!r} (waiting times and worths must be "
+            "at least 0, all else above 0, fractions at most 1; one class at least)"
+        )
--- a/leadslip/counters.py
+++ b/leadslip/counters.py
@@ -1,9 +1,9 @@
-"""The figures that operators fetch, counted where the engine decides. No I/O.
+"""Request counters and gauges of one process, in the text form that operators read. No I/O.
 
-Every process counts from 0. For each class of the settings: `ok` (requests served: the call stands), `shed`
-(refused), `errors` (failed) and `tries` (attempts written whole to setup servers). Besides: `active` (requests
-taken and not yet ended), `pool_size` (setup servers listed), `pool_ejected` (listed servers avoided now),
-`config_applied` and `config_rejected` (files taken and turned down at SIGHUP).
+Counters start from 0 in each process. For each class of the settings: `ok` (requests whose call was established),
+`shed` (refused), `errors` (failed) and `tries` (attempts fully written to setup servers). In addition: `active`
+(requests received and not yet ended), `pool_size` (setup servers listed), `pool_ejected` (listed servers avoided
+now), `config_applied` and `config_rejected` (configuration files accepted and rejected at SIGHUP).
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 
 @dataclass(slots=True)
-class ClassFigures:
-    """The counts of one class."""
+class ClassCounters:
+    """The counters of one class."""
 
     ok: int = 0
     shed: int = 0
@@ -25,52 +25,52 @@
 
 
 class Counters:
-    """The figures of one process.
+    """The counters and gauges of one process.
 
-    `classes` are the names that are counted; a request of another class is counted in none, so that the names
-    stay bounded whatever clients send. `active`, `pool_size` and `pool_ejected` are read when printed, from the
-    callables given by `watch`.
+    Only requests of the given `classes` are counted, which bounds the number of names whatever clients send.
+    `active`, `pool_size` and `pool_ejected` are gauges: they are read when printed, from the callables registered
+    by `watch`.
     """
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
-        self.by_class: dict[str, ClassFigures] = {}
+        self.by_class: dict[str, ClassCounters] = {}
         self.config_applied = self.config_rejected = 0
-        self.read: dict[str, Callable[[], int]] = {}
+        self.gauges: dict[str, Callable[[], int]] = {}
         self.count_classes(classes)
 
     def count_classes(self, classes: Iterable[str]) -> None:
-        """Count these classes too from now on; those counted already keep their figures."""
+        """Also counts these classes from now on; classes counted before keep their counters."""
         for name in classes:
-            self.by_class.setdefault(name, ClassFigures())
+            self.by_class.setdefault(name, ClassCounters())
 
     def watch(self, name: str, read: Callable[[], int]) -> None:
-        """A figure that is read when printed, such as `active`."""
-        self.read[name] = read
+        """Registers a gauge, a value that is read when printed, such as `active`."""
+        self.gauges[name] = read
 
     def answered(self, call_class: str, outcome: str) -> None:
-        """A final answer: outcome is ok, shed or errors."""
-        figures = self.by_class.get(call_class)
-        if figures is not None:
-            setattr(figures, outcome, getattr(figures, outcome) + 1)
+        """Counts a final answer; `outcome` is ok, shed or errors."""
+        counters = self.by_class.get(call_class)
+        if counters is not None:
+            setattr(counters, outcome, getattr(counters, outcome) + 1)
 
     def tried(self, call_class: str) -> None:
-        """An attempt has been written whole to its server."""
-        figures = self.by_class.get(call_class)
-        if figures is not None:
-            figures.tries += 1
+        """Counts an attempt that has been fully written to its server."""
+        counters = self.by_class.get(call_class)
+        if counters is not None:
+            counters.tries += 1
 
     def figures(self) -> dict[str, int]:
-        """All figures by their names, as operators read them."""
-        told = {}
-        for name, figures in sorted(self.by_class.items()):
+        """Returns all values by the names that operators read."""
+        values = {}
+        for name, counters in sorted(self.by_class.items()):
             for outcome in OUTCOMES:
-                told[f"proxy.responses.{name}.{outcome}"] = getattr(figures, outcome)
-        for name, read in sorted(self.read.items()):
-            told[f"proxy.{name}"] = read()
-        told["proxy.config_applied"] = self.config_applied
-        told["proxy.config_rejected"] = self.config_rejected
-        return told
+                values[f"proxy.responses.{name}.{outcome}"] = getattr(counters, outcome)
+        for name, read in sorted(self.gauges.items()):
+            values[f"proxy.{name}"] = read()
+        values["proxy.config_applied"] = self.config_applied
+        values["proxy.config_rejected"] = self.config_rejected
+        return values
 
     def text(self) -> bytes:
-        """The figures as `name=value` lines."""
+        """Returns all values as `name=value` lines."""
         return "".join(f"{name}={value}\n" for name, value in self.figures().items()).encode()
--- a/leadslip/filters.py
+++ b/leadslip/filters.py
@@ -1,8 +1,9 @@
-"""The ordered chain ahead of the Controller: each filter passes a request, changes it, or refuses it.
+"""Ordered chain of request filters ahead of the Controller; each admits, modifies or refuses a request.
 
-A filter decides and does no I/O. It may set a request's destination, bring its end nearer or bound its attempts
-(`destination`, `valid_until_ms`, `attempt_ms`); it can't lengthen what the caller waits for, nor undo what the
-rules ask. What a filter has passed it is told the fate of, also after the chain has been replaced.
+A filter decides and does no I/O. It may set a request's destination, bring its deadline forward or limit the
+duration of its attempts (`destination`, `valid_until_ms`, `attempt_ms`); it can neither extend the caller's
+deadline nor override the proxy's rules. A filter is notified of the fate of each request it has admitted, also
+after the chain has been replaced.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Refused:
-    """A filter's refusal: the caller is told to stay away for so many milliseconds (nought: no time is told)."""
+    """A filter's refusal; the caller is asked to retry after `pause_ms` milliseconds (0: no time is given)."""
 
     __slots__ = ("pause_ms",)
 
@@ -27,78 +28,78 @@
 class Filter(Protocol):
     """One decision ahead of the Controller. Times are Unix milliseconds of the engine's clock."""
 
-    name: str  # of its counters; no two in a chain share one
+    name: str  # used in its counters; unique within a chain
 
     def admit(self, request: Request, now_ms: float) -> Refused | None:
-        """Pass (None), perhaps with changes to the request, or refuse it."""
+        """Admits a request (None), possibly after modifying it, or refuses it."""
 
     def stood(self, request: Request, now_ms: float) -> None:
-        """A request that it passed is answered: the call stands."""
+        """Called when the call of an admitted request is established."""
 
     def ended(self, request: Request, now_ms: float) -> None:
-        """A request that it passed is over: refused, failed, left by its caller, or its call has ended."""
+        """Called when an admitted request ends: refused, failed, abandoned by its caller, or its call ended."""
 
 
 class Chain:
-    """Filters in order, with counters for each; replaced whole while requests are open.
+    """Filters in order, with counters for each; can be replaced while requests are open.
 
-    Each request keeps the filters that passed it (`Request.passed`), so that every `admit` that passed is followed
-    by exactly one `ended`, whatever became of the chain meanwhile.
+    Each request keeps the filters that admitted it (`Request.passed`), so that every successful `admit` is followed
+    by exactly one `ended`, even if the chain has been replaced meanwhile.
     """
 
     def __init__(self, tally: Tally, log: Log, filters: Sequence[Filter] = ()) -> None:
         self.tally, self.log = tally, log
         self.filters: tuple[Filter, ...] = ()
-        self.raised: set[str] = set()
+        self.logged_names: set[str] = set()  # filters whose failure has been logged
         self.replace(filters)
 
     def replace(self, filters: Sequence[Filter]) -> None:
-        """Take these filters for what comes from now on; what is open ends at those that passed it."""
-        names = [held.name for held in filters]
+        """Uses these filters for new requests; open requests end at the filters that admitted them."""
+        names = [filter_.name for filter_ in filters]
         if len(set(names)) < len(names):
-            raise ValueError(f"two filters share a name: {names}")
+            raise ValueError(f"filter names must be unique within a chain: {names}")
         self.filters = tuple(filters)
 
     def admit(self, request: Request, now_ms: float) -> Refused | None:
-        """Ask the filters in order; the first refusal ends it, and those that had passed it are told."""
+        """Asks the filters in order; the first refusal ends the request at those that had admitted it."""
         filters = self.filters
         latest_ms = request.valid_until_ms
-        for at, held in enumerate(filters):
+        for index, filter_ in enumerate(filters):
             try:
-                refused = held.admit(request, now_ms)
-            except Exception as fault:  # guards against one filter's fault costing calls their answers
-                self._raised(held, fault)
+                refused = filter_.admit(request, now_ms)
+            except Exception as error:  # a failing filter must not leave calls without an answer
+                self._log_failure(filter_, error)
                 refused = None
-            # Guards against a filter that makes a caller's patience longer than it is.
+            # A filter may not move the deadline beyond the time that the caller waits.
             request.valid_until_ms = min(request.valid_until_ms, latest_ms)
             if refused is not None:
-                self.tally.add(f"filters.{held.name}.refused")
-                request.passed = filters[:at]
+                self.tally.add(f"filters.{filter_.name}.refused")
+                request.passed = filters[:index]
                 self.ended(request, now_ms)
                 return refused
         request.passed = filters
         return None
 
     def stood(self, request: Request, now_ms: float) -> None:
-        """Tell those that passed a request that its call stands."""
-        for held in request.passed:
+        """Notifies the filters that admitted a request that its call is established."""
+        for filter_ in request.passed:
             try:
-                held.stood(request, now_ms)
-            except Exception as fault:
-                self._raised(held, fault)
+                filter_.stood(request, now_ms)
+            except Exception as error:
+                self._log_failure(filter_, error)
 
     def ended(self, request: Request, now_ms: float) -> None:
-        """Tell those that passed a request that it is over, the last to pass it first; once only."""
+        """Notifies the filters that admitted a request that it has ended, in reverse order and only once."""
         passed, request.passed = request.passed, ()
-        for held in reversed(passed):
+        for filter_ in reversed(passed):
             try:
-                held.ended(request, now_ms)
-            except Exception as fault:
-                self._raised(held, fault)
-
-    def _raised(self, held: Filter, fault: Exception) -> None:
-        self.tally.add(f"filters.{held.name}.raised")
-        if held.name not in self.raised:  # once: a fault in each call must not fill the log
-            self.raised.add(held.name)
-            told = f"{type(fault).__name__}: {fault}"
-            self.log("filter.raised", level="error", filter=held.name, fault=told)
+                filter_.ended(request, now_ms)
+            except Exception as error:
+                self._log_failure(filter_, error)
+
+    def _log_failure(self, filter_: Filter, error: Exception) -> None:
+        self.tally.add(f"filters.{filter_.name}.raised")
+        if filter_.name not in self.logged_names:  # only once: a failure in each call would fill the log
+            self.logged_names.add(filter_.name)
+            text = f"{type(error).__name__}: {error}"
+            self.log("filter.raised", level="error", filter=filter_.name, fault=text)
--- a/leadslip/interface.py
+++ b/leadslip/interface.py
@@ -1,7 +1,7 @@
-"""What the decision module is told and what it may ask for: settings, events, actions.
+"""Settings, events and actions of the Controller in leadslip/choice.py.
 
-All times are milliseconds on the gateway's clock. A server is a core switch (or a pool of agents), a call
-is one request, an attempt is one set-up of a call at one server, numbered from 0.
+All times are in milliseconds on the gateway's clock. A server is a core switch (or a pool of agents), a call is
+one request, and an attempt is one set-up of a call at one server; attempts of a call are numbered from 0.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 
 
 class Repeat(Enum):
-    """How freely a class's set-ups may be sent again."""
+    """Whether set-ups of a class may be sent again."""
 
     FREE = "free"  # any number of times
-    DEDUPED = "deduped"  # the servers of one group discard repeats
-    ONCE = "once"  # only when no earlier attempt can have run
+    DEDUPED = "deduped"  # the servers of one group discard duplicates
+    ONCE = "once"  # only if no earlier attempt can have been processed
 
 
 class NewsKind(Enum):
-    """How a piece of list news relates to the list held."""
+    """How a server list update relates to the current list."""
 
-    CHANGES = "changes"
-    WHOLE = "whole"
-    CACHED = "cached"
-    FAILED = "failed"
+    CHANGES = "changes"  # a delta
+    WHOLE = "whole"  # a snapshot
+    CACHED = "cached"  # a snapshot that may be out of date
+    FAILED = "failed"  # the list could not be obtained
 
 
 class ServerState(Enum):
-    """What the list says of a server."""
+    """State of a server in the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -58,7 +58,7 @@
 
 
 class Cause(Enum):
-    """Why an attempt was turned away."""
+    """Why a server refused an attempt."""
 
     NONE = "none"
     NO_LINE = "no_line"
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """One class of calls."""
+    """One class of calls and its worth, deadlines and repetition rule."""
 
     name: str
     worth: float
@@ -77,12 +77,12 @@
     aim_ms: float
     deadline_ms: float
     repeat: Repeat = Repeat.FREE
-    allowed_pools: tuple[int, ...] | None = None  # None: every server
+    allowed_pools: tuple[int, ...] | None = None  # server numbers; None: every server
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer and the calls a second that lie within its share, over all gateways."""
+    """A customer and its quota, in calls per second over all gateways."""
 
     name: str
     quota_per_s: float
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a controller is told once, at its start."""
+    """Settings of a Controller; adopted at its start and whenever they change."""
 
     gateways: int
     index: int
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A load report; None where the server does not tell."""
+    """A load report; None for each value that the server does not report."""
 
     free_lines: float | None = None
     lines: float | None = None
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListEntry:
-    """One server as the list has it; online_since_ms is 0 for 'long past'."""
+    """One server in the server list; online_since_ms is its start time, 0 for long ago."""
 
     server: str
     number: int
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListNews:
-    """News of the server list."""
+    """The server list has changed, or could not be obtained."""
 
     kind: NewsKind
     entries: tuple[ListEntry, ...] = ()
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOffered:
-    """A call was handed to this gateway, which now owes it one final answer."""
+    """A call was offered to this gateway, which must give it exactly one final answer."""
 
     call: str
     call_class: str
@@ -165,14 +165,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLeft:
-    """The caller is gone; nothing is owed for the call any more."""
+    """The caller has abandoned the call, which needs no answer any more."""
 
     call: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallStands:
-    """The set-up holds; the outcome comes when the call ends."""
+    """The call is established; AttemptEnded follows when it ends."""
 
     call: str
     server: str
@@ -182,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The end of one attempt; call_over says that nothing more is owed."""
+    """One attempt has ended; call_over: the call has ended as well and needs no answer."""
 
     call: str
     server: str
@@ -197,7 +197,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLooked:
-    """The answer to a probe, or unasked news of free lines."""
+    """A load report: the answer to a probe, or an unsolicited report of free lines."""
 
     server: str
     outcome: Outcome
@@ -207,14 +207,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer set by this controller is due."""
+    """A timer that this Controller set has expired."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another gateway."""
+    """A message from another gateway."""
 
     sender: int
     content: bytes
@@ -227,7 +227,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
-    """Send a set-up; the attempt is abandoned at cut_at_ms."""
+    """Send a set-up; the attempt times out at cut_at_ms."""
 
     call: str
     server: str
@@ -236,7 +236,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     call: str
     attempt: int
@@ -244,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: turned away, with advice on how long to hold off (0: none)."""
+    """Final answer: refused, with the time after which the caller may retry (0: none given)."""
 
     call: str
     pause_ms: float = 0.0
@@ -252,14 +252,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: given up."""
+    """Final answer: failed."""
 
     call: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerDue after this long."""
+    """Request a TimerDue with this token after the given time."""
 
     after_ms: float
     token: str
@@ -267,36 +267,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Look at a server, at a cost in its work."""
+    """Probe a server for a load report; this costs the server some work."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeers:
-    """Send a short message to one peer, or to all (None)."""
+class SendToPeers:
+    """Send a short message to one peer, or to all peers (None)."""
 
     content: bytes
     peer: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class FollowList:
-    """Ask to be told of list changes."""
+class SubscribeList:
+    """Subscribe to updates of the server list, or cancel the subscription."""
 
-    wanted: bool = field(default=True)
+    enabled: bool = field(default=True)
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask once for the whole list."""
+    """Request one snapshot of the server list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
 
-Action = SetUp | Withdraw | Refuse | Fail | SetTimer | Probe | TellPeers | FollowList | FetchList | Log
+Action = SetUp | Withdraw | Refuse | Fail | SetTimer | Probe | SendToPeers | SubscribeList | FetchList | Log
--- a/leadslip/simhost.py
+++ b/leadslip/simhost.py
@@ -1,6 +1,6 @@
-"""The adapter: the bench's wire on standard input and output, one controller for each gateway.
+"""Adapter to the simulator: its line protocol on standard input and output, with one Controller per gateway.
 
-Names and units only; every decision is in leadslip/choice.py.
+It only translates names and units; every decision is made in leadslip/choice.py.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     word,
 )
 
-NEWS = {
+UPDATE_KINDS = {
     0: face.NewsKind.FAILED,
     1: face.NewsKind.CACHED,
     2: face.NewsKind.CHANGES,
@@ -47,11 +47,11 @@
     3: face.Cause.PROCESSOR_FULL,
     4: face.Cause.NUMBER_BUSY,
 }
-BUFFERS = 16
+LIST_BUFFERS = 16  # server lists that the simulator numbers and refers to by number
 
 
-def entry_of(fields: Fields) -> face.ListEntry:
-    """One line of the server list."""
+def parse_list_entry(fields: Fields) -> face.ListEntry:
+    """Parses one entry of the server list."""
     return face.ListEntry(
         server=word(fields, "switch"),
         number=whole(fields, "node_no", -1),
@@ -60,50 +60,51 @@
     )
 
 
-def offered_of(f: Fields) -> face.CallOffered:
-    """A call handed to this gateway."""
+def parse_call_offered(fields: Fields) -> face.CallOffered:
+    """Parses a call offered to this gateway."""
     return face.CallOffered(
-        call=word(f, "txn"),
-        call_class=word(f, "tier_class"),
-        valid_until_ms=number(f, "valid_until_ms"),
-        destination=whole(f, "destination", -1),
-        lines=number(f, "circuits", 1.0),
-        number_called=f.get("route_key", ""),
-        tenant=f.get("realm", ""),
-        in_transit=flag(f, "passing"),
-        cut_before=flag(f, "reconnect"),
-        redialled=flag(f, "again_by_client"),
+        call=word(fields, "txn"),
+        call_class=word(fields, "tier_class"),
+        valid_until_ms=number(fields, "valid_until_ms"),
+        destination=whole(fields, "destination", -1),
+        lines=number(fields, "circuits", 1.0),
+        number_called=fields.get("route_key", ""),
+        tenant=fields.get("realm", ""),
+        in_transit=flag(fields, "passing"),
+        cut_before=flag(fields, "reconnect"),
+        redialled=flag(fields, "again_by_client"),
     )
 
 
-def ended_of(f: Fields, names: list[str]) -> face.AttemptEnded:
-    """The end of an attempt."""
-    code = whole(f, "cause", 0)
+def parse_attempt_ended(fields: Fields, report_fields: list[str]) -> face.AttemptEnded:
+    """Parses the end of an attempt."""
+    # The low 4 bits are the cause, the others the waiting time if the processor is full.
+    code = whole(fields, "cause", 0)
     return face.AttemptEnded(
-        call=word(f, "txn"),
-        server=word(f, "switch"),
-        attempt=whole(f, "go"),
-        outcome=known(OUTCOMES, word(f, "reason"), "reason"),
-        taken_ms=number(f, "time_taken_ms"),
-        call_over=flag(f, "done_flag"),
+        call=word(fields, "txn"),
+        server=word(fields, "switch"),
+        attempt=whole(fields, "go"),
+        outcome=known(OUTCOMES, word(fields, "reason"), "reason"),
+        taken_ms=number(fields, "time_taken_ms"),
+        call_over=flag(fields, "done_flag"),
         cause=CAUSES.get(code % 16, face.Cause.NONE),
         wait_ms=float(code // 16) if code % 16 == 3 else 0.0,
-        load=load_of(f.get("stats"), names),
+        load=load_of(fields.get("stats"), report_fields),
     )
 
 
-def message_of(f: Fields) -> face.PeerMessage:
-    """A peer's message."""
-    text = word(f, "msg")
+def parse_peer_message(fields: Fields) -> face.PeerMessage:
+    """Parses a message from another gateway."""
+    text = word(fields, "msg")
     try:
         content = b"" if text == "-" else bytes.fromhex(text)
     except ValueError:
-        raise MalformedError(f"msg is not hex: {text}") from None
-    return face.PeerMessage(whole(f, "src_peer"), content)
+        raise MalformedError(f"msg is not hexadecimal: {text}") from None
+    return face.PeerMessage(whole(fields, "src_peer"), content)
 
 
-def wire_of(action: face.Action) -> str:
-    """One action as its line."""
+def format_action(action: face.Action) -> str:
+    """Formats one action as a line of the protocol."""
     match action:
         case face.SetUp(call, server, cut_at_ms):
             return f"HAND_OFF txn={call} switch={server} cut_at_ms={cut_at_ms:.3f}"
@@ -117,28 +118,28 @@
             return f"WAKE_ME offset_ms={after_ms:.3f} ctx={token}"
         case face.Probe(server):
             return f"HEALTH_CHECK switch={server}"
-        case face.TellPeers(content, peer):
+        case face.SendToPeers(content, peer):
             return f"ANNOUNCE peer={'*' if peer is None else peer} msg={content.hex() or '-'}"
-        case face.FollowList(wanted):
-            return f"WATCH want={int(wanted)}"
+        case face.SubscribeList(enabled):
+            return f"WATCH want={int(enabled)}"
         case face.FetchList():
             return "REFRESH"
         case face.Log(text):
             return f"RECORD what={' '.join(text.split())}"
-    raise TypeError(f"no line for {action!r}")
+    raise TypeError(f"action has no line format: {action!r}")
 
 
 class Instance:
-    """One gateway: its controller and the names of its load report's figures."""
+    """One gateway: its Controller and the names of the fields of its load reports."""
 
     def __init__(self, fields: Fields) -> None:
         names = fields.get("load_report.fields", "")
-        self.report = names.split(",") if names else []
+        self.report_fields = names.split(",") if names else []
         self.controller = Controller(settings_of(fields), whole(fields, "salt"))
 
 
 class SimHost:
-    """Reads batches, answers them; holds nothing that two gateways could share but the numbered lists."""
+    """Answers batches of messages; gateways share nothing here but the numbered server lists."""
 
     def __init__(self, out: TextIO, err: TextIO) -> None:
         self.out = out
@@ -146,132 +147,134 @@
         self.instances: dict[str, Instance] = {}
         self.lists: dict[int, list[face.ListEntry]] = {}
         self.now_ms: float | None = None
-        self.who = ""
-        self.spoke = ""
-        self.filling: list[face.ListEntry] | None = None
-        self.due = 0
+        self.gateway_id = ""  # addressed by the messages that follow
+        self.reply_to = ""  # to which the latest lines of the reply belong
+        self.open_list: list[face.ListEntry] | None = None  # receives the next entries
+        self.missing_entries = 0
         self.reply: list[str] = []
 
-    def say(self, line: str) -> None:
-        """Add one action of the gateway in hand to the reply."""
-        if self.spoke != self.who:
-            self.reply.append(f"INSTANCE gateway_id={self.who}")
-            self.spoke = self.who
+    def add_line(self, line: str) -> None:
+        """Adds one action of the current gateway to the reply."""
+        if self.reply_to != self.gateway_id:
+            self.reply.append(f"INSTANCE gateway_id={self.gateway_id}")
+            self.reply_to = self.gateway_id
         self.reply.append(line)
 
-    def guarded(self, work: Callable[[], list[str]]) -> None:
-        """Run decision code; its failure becomes INTERNAL_ERROR and a traceback."""
+    def run_guarded(self, function: Callable[[], list[str]]) -> None:
+        """Runs decision code; an exception is reported as INTERNAL_ERROR, with a traceback on standard error."""
         try:
-            lines = work()
+            lines = function()
         except MalformedError:
             raise
         except Exception as error:
             traceback.print_exc(file=self.err)
             lines = [f"INTERNAL_ERROR what={' '.join(f'{type(error).__name__}: {error}'.split())}"]
         for line in lines:
-            self.say(line)
+            self.add_line(line)
 
-    def instance(self) -> Instance:
-        """The gateway in hand, which must have been started."""
-        if self.who not in self.instances:
-            raise MalformedError(f"gateway not started: {self.who or 'none named'}")
-        return self.instances[self.who]
+    def current_instance(self) -> Instance:
+        """Returns the current gateway; raises MalformedError if it has not been started."""
+        if self.gateway_id not in self.instances:
+            raise MalformedError(f"gateway not started: {self.gateway_id or 'no gateway_id given'}")
+        return self.instances[self.gateway_id]
 
     def start(self, fields: Fields) -> None:
-        """Begin a gateway with nothing but its settings and seed."""
-        if not self.who:
-            raise MalformedError("no gateway named")
+        """Starts a gateway from its settings and seed alone, without earlier state."""
+        if not self.gateway_id:
+            raise MalformedError("BOOT needs a gateway_id, set by SWITCH_TO")
 
-        def begin() -> list[str]:
-            self.instances.pop(self.who, None)
-            self.instances[self.who] = Instance(fields)
+        def create() -> list[str]:
+            self.instances.pop(self.gateway_id, None)
+            self.instances[self.gateway_id] = Instance(fields)
             return []
 
-        self.guarded(begin)
+        self.run_guarded(create)
 
-    def line(self, text: str) -> None:
-        """Take one line of the wire."""
+    def on_line(self, text: str) -> None:
+        """Processes one line of the protocol."""
         kind, _, rest = text.partition(" ")
         fields: Fields = {}
-        for part in rest.split(" ") if rest else ():
-            key, mark, value = part.partition("=")
-            if not mark or not key:
-                raise MalformedError(f"not name=value: {part!r}")
+        for item in rest.split(" ") if rest else ():
+            key, separator, value = item.partition("=")
+            if not separator or not key:
+                raise MalformedError(f"not name=value: {item!r}")
             fields[key] = value
-        if self.due and kind != "ENTRY":
-            raise MalformedError(f"list is short of {self.due} entries")
+        if self.missing_entries and kind != "ENTRY":
+            raise MalformedError(f"list is short of {self.missing_entries} entries before {kind}")
         if kind == "ROUND":
             if self.now_ms is not None:
-                raise MalformedError("batch within a batch")
-            self.now_ms, self.who, self.spoke, self.reply = number(fields, "t_ms"), "", "", []
+                raise MalformedError("ROUND within a batch: EOF_BATCH is missing")
+            self.now_ms, self.gateway_id, self.reply_to, self.reply = number(fields, "t_ms"), "", "", []
         elif self.now_ms is None:
-            raise MalformedError(f"{kind} outside a batch")
+            raise MalformedError(f"{kind} outside a batch: ROUND is missing")
         elif kind == "EOF_BATCH":
             self.now_ms = None
             self.out.write("".join(f"{line}\n" for line in [*self.reply, "DONE"]))
             self.out.flush()
         elif kind == "SWITCH_TO":
-            self.who = word(fields, "gateway_id")
+            self.gateway_id = word(fields, "gateway_id")
         elif kind == "LIST":
-            self.filling = self.lists[whole(fields, "buffer") % BUFFERS] = []
-            self.due = whole(fields, "items")
+            self.open_list = self.lists[whole(fields, "buffer") % LIST_BUFFERS] = []
+            self.missing_entries = whole(fields, "items")
         elif kind == "ENTRY":
-            if self.filling is None or not self.due:
-                raise MalformedError("entry outside a list")
-            self.filling.append(entry_of(fields))
-            self.due -= 1
+            if self.open_list is None or not self.missing_entries:
+                raise MalformedError("entry outside a list, or beyond its items")
+            self.open_list.append(parse_list_entry(fields))
+            self.missing_entries -= 1
         elif kind == "BOOT":
             self.start(fields)
         elif kind == "DESTROY":
-            self.instances.pop(self.who, None)
+            self.instances.pop(self.gateway_id, None)
         else:
-            self.event(kind, fields)
-
-    def event(self, kind: str, fields: Fields) -> None:
-        """Hand one event to the gateway in hand."""
-        held = self.instance()
-        event = self.event_of(kind, fields, held.report)
-        now = self.now_ms
-        self.guarded(lambda: [wire_of(action) for action in held.controller.handle(now, event)])
-
-    def event_of(self, kind: str, f: Fields, report: list[str]) -> face.Event:
-        """One event line in the library's words."""
+            self.on_event(kind, fields)
+
+    def on_event(self, kind: str, fields: Fields) -> None:
+        """Passes one event to the current gateway and adds its actions to the reply."""
+        instance = self.current_instance()
+        event = self.parse_event(kind, fields, instance.report_fields)
+        now_ms = self.now_ms
+        self.run_guarded(
+            lambda: [format_action(action) for action in instance.controller.handle(now_ms, event)]
+        )
+
+    def parse_event(self, kind: str, fields: Fields, report_fields: list[str]) -> face.Event:
+        """Parses one event line."""
         if kind == "TARGETS":
-            news = known(NEWS, whole(f, "kind"), "kind")
-            if news is face.NewsKind.FAILED:
-                return face.ListNews(news)
-            return face.ListNews(news, tuple(known(self.lists, whole(f, "buffer"), "buffer")))
+            update_kind = known(UPDATE_KINDS, whole(fields, "kind"), "kind")
+            if update_kind is face.NewsKind.FAILED:
+                return face.ListNews(update_kind)
+            return face.ListNews(update_kind, tuple(known(self.lists, whole(fields, "buffer"), "buffer")))
         if kind == "REQ":
-            return offered_of(f)
+            return parse_call_offered(fields)
         if kind == "VANISHED":
-            return face.CallerLeft(word(f, "txn"))
+            return face.CallerLeft(word(fields, "txn"))
         if kind == "BELL":
-            return face.TimerDue(word(f, "ctx"))
+            return face.TimerDue(word(fields, "ctx"))
         if kind == "ECHO":
-            outcome = known(OUTCOMES, word(f, "reason"), "reason")
-            load = load_of(f.get("stats"), report)
-            return face.ServerLooked(word(f, "switch"), outcome, number(f, "time_taken_ms"), load)
+            outcome = known(OUTCOMES, word(fields, "reason"), "reason")
+            load = load_of(fields.get("stats"), report_fields)
+            return face.ServerLooked(word(fields, "switch"), outcome, number(fields, "time_taken_ms"), load)
         if kind == "NEIGHBOUR_SAYS":
-            return message_of(f)
+            return parse_peer_message(fields)
         if kind == "BEGUN":
-            taken = number(f, "time_taken_ms")
-            return face.CallStands(word(f, "txn"), word(f, "switch"), whole(f, "go"), taken)
+            taken_ms = number(fields, "time_taken_ms")
+            return face.CallStands(word(fields, "txn"), word(fields, "switch"), whole(fields, "go"), taken_ms)
         if kind == "VERDICT":
-            return ended_of(f, report)
+            return parse_attempt_ended(fields, report_fields)
         raise MalformedError(f"unknown message {kind!r}")
 
 
 def run(lines: Iterable[str], out: TextIO, err: TextIO) -> int:
-    """Answer batches until the input ends; 0, or 2 after a line that makes no sense."""
+    """Answers batches until the input ends; returns 0, or 2 after a malformed line or an incomplete batch."""
     host = SimHost(out, err)
-    for count, text in enumerate(lines, start=1):
+    for line_number, text in enumerate(lines, start=1):
         stripped = text.rstrip("\r\n")
         if not stripped:
             continue
         try:
-            host.line(stripped)
-        except MalformedError as fault:
-            err.write(f"leadslip.simhost: line {count}: {fault}: {stripped[:200]}\n")
+            host.on_line(stripped)
+        except MalformedError as error:
+            err.write(f"leadslip.simhost: line {line_number}: {error}: {stripped[:200]}\n")
             return 2
     if host.now_ms is not None:
         err.write("leadslip.simhost: the input ended within a batch\n")
@@ -280,7 +283,7 @@
 
 
 def main() -> int:
-    """Serve the wire."""
+    """Runs the adapter on standard input and output."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")
     return run(sys.stdin, sys.stdout, sys.stderr)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -98,8 +98,8 @@
         """Let one server show this delay for some intervals, on top of a least of 20 ms."""
         held = self.controller.servers[server]
         for _ in range(intervals):
-            self.controller._hear(self.now, held, 20.0, None)
-            self.controller._hear(self.now, held, 20.0 + delay, None)
+            self.controller._on_answer(self.now, held, 20.0, None)
+            self.controller._on_answer(self.now, held, 20.0 + delay, None)
             self.wait(INTERVAL_MS)
 
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -3,7 +3,14 @@
 import pytest
 
 from leadslip import interface as face
-from leadslip.choice import FLOOR, INTERVAL_MS, KEPT_MS, MAJOR_MS, MINOR_MS, SIGMA
+from leadslip.choice import (
+    CALM_PROBABILITY,
+    INTERVAL_MS,
+    MAJOR_MS,
+    MINOR_MS,
+    RESERVATION_MS,
+    SMOOTHING_FACTOR,
+)
 from tests.helpers import URGENT, Gateway, entry, finals, set_ups
 
 
@@ -13,29 +20,32 @@
     load = chance = 0.0
     for _ in range(5):
         gateway.press("s0", 600.0, 1)
-        load = load * (1 - SIGMA) + 600.0 * SIGMA
-        chance = chance * (1 - SIGMA) + max(0.0, (load - MINOR_MS) / (MAJOR_MS - MINOR_MS)) * SIGMA
+        load = load * (1 - SMOOTHING_FACTOR) + 600.0 * SMOOTHING_FACTOR
+        chance = (
+            chance * (1 - SMOOTHING_FACTOR)
+            + max(0.0, (load - MINOR_MS) / (MAJOR_MS - MINOR_MS)) * SMOOTHING_FACTOR
+        )
         assert server.load == pytest.approx(load)
-        assert server.chance == pytest.approx(chance)
+        assert server.refusal_probability == pytest.approx(chance)
 
 
 def test_delay_up_to_minor_never_refuses():
     gateway = Gateway()
     gateway.press("s0", MINOR_MS, 20)
-    assert gateway.controller.servers["s0"].chance == 0.0
+    assert gateway.controller.servers["s0"].refusal_probability == 0.0
 
 
 def test_a_major_sample_sets_the_chance_to_one():
     gateway = Gateway()
     gateway.press("s0", MAJOR_MS, 1)
-    assert gateway.controller.servers["s0"].chance == 1.0
+    assert gateway.controller.servers["s0"].refusal_probability == 1.0
 
 
 def test_processor_full_sets_the_chance_to_one_at_once():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
     gateway.ends(sent, "full", cause=face.Cause.PROCESSOR_FULL)
-    assert gateway.controller.servers["s0"].chance == 1.0
+    assert gateway.controller.servers["s0"].refusal_probability == 1.0
 
 
 def test_an_unrenewed_figure_counts_as_nought_after_two_intervals_or_three_gaps():
@@ -46,7 +56,7 @@
     server = gateway.controller.servers["s0"]
     before = server.load
     gateway.wait(INTERVAL_MS)
-    assert server.load == pytest.approx(before * (1 - SIGMA))
+    assert server.load == pytest.approx(before * (1 - SMOOTHING_FACTOR))
 
 
 def test_first_choice_while_calm_even_when_another_is_emptier():
@@ -61,7 +71,7 @@
 def test_pressed_first_choice_goes_to_the_calmer_server():
     gateway = Gateway()
     gateway.press("s0", 500.0)
-    assert gateway.controller.servers["s0"].chance > FLOOR
+    assert gateway.controller.servers["s0"].refusal_probability > CALM_PROBABILITY
     (sent,) = set_ups(gateway.call(to=0))
     assert sent.server == "s1"
 
@@ -70,8 +80,8 @@
     gateway = Gateway(3)
     gateway.serve(20, per_s=60.0)
     for name in ("s0", "s1", "s2"):
-        gateway.controller.servers[name].chance = 0.0
-    gateway.controller.servers["s0"].chance = 0.5
+        gateway.controller.servers[name].refusal_probability = 0.0
+    gateway.controller.servers["s0"].refusal_probability = 0.5
     gateway.controller.servers["s1"].unanswered = {"x": gateway.now + 1, "y": gateway.now + 1}
     went = {set_ups(gateway.call(to=0))[0].server for _ in range(2)}
     assert went <= {"s2", "s1"} and "s2" in went
@@ -82,8 +92,8 @@
     gateway.serve(20)
     refused = sent = 0
     for _ in range(400):
-        gateway.controller.servers["s0"].chance = 0.5
-        gateway.controller.known_calls = 0  # no limit but the chance
+        gateway.controller.servers["s0"].refusal_probability = 0.5
+        gateway.controller.learned_calls = 0  # no limit but the chance
         actions = gateway.call()
         refused += len(finals(actions))
         for action in set_ups(actions):
@@ -97,7 +107,7 @@
     gateway = Gateway(1)
     gateway.serve(20, per_s=10.0)
     for _ in range(50):
-        gateway.controller.servers["s0"].chance = 0.9
+        gateway.controller.servers["s0"].refusal_probability = 0.9
         (sent,) = set_ups(gateway.call(kind=URGENT))
         gateway.stands(sent, 30.0)
     out = sum(len(set_ups(gateway.call(kind=URGENT))) for _ in range(50))
@@ -119,11 +129,11 @@
     gateway = Gateway(1)
     gateway.serve(30, per_s=4.0)
     server = gateway.controller.servers["s0"]
-    server.load, server.chance = 290.0, 0.1
+    server.load, server.refusal_probability = 290.0, 0.1
     sent = 0
     for _ in range(200):
         gateway.wait(25.0)
-        server.chance = 0.06
+        server.refusal_probability = 0.06
         for action in set_ups(gateway.call()):
             sent += 1
             gateway.stands(action, 290.0)
@@ -139,16 +149,16 @@
     (sent,) = set_ups(gateway.call())
     gateway.ends(sent, "error", load=load)
     gateway.wait(INTERVAL_MS)
-    assert gateway.controller.servers["s0"].chance == 1.0
+    assert gateway.controller.servers["s0"].refusal_probability == 1.0
 
 
 def test_the_least_delay_is_forgotten_after_a_minute():
     gateway = Gateway()
     server = gateway.controller.servers["s0"]
-    gateway.controller._hear(gateway.now, server, 20.0, None)
+    gateway.controller._on_answer(gateway.now, server, 20.0, None)
     gateway.wait(75_000.0)
-    gateway.controller._hear(gateway.now, server, 120.0, None)
-    assert server.figure == 0.0
+    gateway.controller._on_answer(gateway.now, server, 120.0, None)
+    assert server.sample == 0.0
 
 
 def test_same_events_same_actions_and_seeds_matter():
@@ -158,7 +168,7 @@
         for i in range(300):
             gateway.wait(20.0)
             for server in gateway.controller.servers.values():
-                server.chance = 0.5
+                server.refusal_probability = 0.5
             for action in set_ups(gateway.call(to=i % 3)):
                 gateway.stands(action, 40.0 + i % 7)
         return gateway.log
@@ -170,8 +180,8 @@
 def test_gateways_share_nothing():
     one, two = Gateway(), Gateway()
     one.press("s0", 900.0)
-    assert one.controller.servers["s0"].chance == 1.0
-    assert two.controller.servers["s0"].chance == 0.0
+    assert one.controller.servers["s0"].refusal_probability == 1.0
+    assert two.controller.servers["s0"].refusal_probability == 0.0
     two.give(face.ListNews(face.NewsKind.WHOLE, (entry("s9", 9),)))
     assert "s0" in one.controller.servers
 
@@ -185,7 +195,7 @@
         sent = 0
         for _ in range(int(seconds * 20)):
             gateway.wait(50.0)
-            server.chance = 0.06
+            server.refusal_probability = 0.06
             for action in set_ups(gateway.call()):
                 sent += 1
                 gateway.stands(action, 300.0)
@@ -195,7 +205,7 @@
     pressed(40)
     assert pressed(10) > 1.5 * early
     newborn = Gateway(1)
-    newborn.controller.servers["s0"].chance = 0.06
+    newborn.controller.servers["s0"].refusal_probability = 0.06
     assert newborn.serve(5, per_s=10.0) > 40
 
 
@@ -208,7 +218,7 @@
         (sent,) = set_ups(gateway.call())
         gateway.stands(sent, 30.0)
     server = gateway.controller.servers["s0"]
-    assert server.chance == 0.0
+    assert server.refusal_probability == 0.0
 
 
 def test_a_large_server_that_drains_does_not_swamp_the_small_one():
@@ -270,7 +280,7 @@
             if gateway.now == when + 1800.0:  # their callers' time is up
                 gateway.ends(sent, "timed_out")
     server = gateway.controller.servers["s0"]
-    assert server.chance == 1.0
+    assert server.refusal_probability == 1.0
     # A hundred calls name it. The window lets a few in, then some when the last figure is forgotten.
     assert 2 <= len(trials) <= 15
     logged = [action.text for _, action in gateway.log if isinstance(action, face.Log)]
@@ -282,7 +292,7 @@
     assert trial.server == "s0"
     gateway.stands(trial, 40.0)
     gateway.wait(1000.0)
-    assert server.chance <= FLOOR
+    assert server.refusal_probability <= CALM_PROBABILITY
     logged = [action.text for _, action in gateway.log if isinstance(action, face.Log)]
     assert logged[-1] == "s0 is calm again"
 
@@ -291,11 +301,11 @@
     gateway = Gateway(4)
     gateway.serve(40, per_s=1.0)  # each server once in four seconds
     server = gateway.controller.servers["s0"]
-    gateway.controller._hear(gateway.now, server, 2000.0, None)
+    gateway.controller._on_answer(gateway.now, server, 2000.0, None)
     gateway.wait(6000.0)
-    assert server.chance > 0.9
+    assert server.refusal_probability > 0.9
     gateway.wait(25_000.0)
-    assert server.chance <= FLOOR
+    assert server.refusal_probability <= CALM_PROBABILITY
 
 
 def test_a_server_without_a_free_line_gets_nothing_until_its_lines_are_told_again():
@@ -321,19 +331,19 @@
     server = gateway.controller.servers["s0"]
     (lost,) = set_ups(gateway.call(left=2500.0))
     gateway.wait(1500.0)
-    assert server.chance == 1.0  # nothing tells it from a jam yet
+    assert server.refusal_probability == 1.0  # nothing tells it from a jam yet
     gateway.ends(lost, "timed_out", taken_ms=1500.0, call_over=True)
-    gateway.controller._hear(gateway.now, server, 30.0, None)  # a quick answer after it: it was lost
-    assert gateway.controller.lost == 1.0
-    gateway.controller.lost = 5.0  # as after some more of them
+    gateway.controller._on_answer(gateway.now, server, 30.0, None)  # a quick answer after it: it was lost
+    assert gateway.controller.recent_losses == 1.0
+    gateway.controller.recent_losses = 5.0  # as after some more of them
     gateway.wait(2500.0)
-    assert server.chance <= FLOOR
+    assert server.refusal_probability <= CALM_PROBABILITY
     gateway.call()
     gateway.wait(1000.0)
-    assert server.chance <= FLOOR  # one alone is no sign now
+    assert server.refusal_probability <= CALM_PROBABILITY  # one alone is no sign now
     gateway.call()
     gateway.wait(1400.0)
-    assert server.chance > FLOOR  # two are
+    assert server.refusal_probability > CALM_PROBABILITY  # two are
 
 
 def test_the_report_of_an_ended_call_tells_of_lines_that_came_free():
@@ -353,7 +363,7 @@
     gateway = Gateway(servers=1)
     gateway.serve(20.0, per_s=50.0)
     rate = gateway.controller._calm_rate(gateway.controller.servers["s0"])
-    kept = rate * 4 * KEPT_MS * (1.0 - 1.0 / 6.0)
+    kept = rate * 4 * RESERVATION_MS * (1.0 - 1.0 / 6.0)
     free = 1.0 + kept
     gateway.give(face.ServerLooked("s0", face.Outcome.SERVED, 0.0, face.Load(free_lines=free)))
     assert kept > 0.5
@@ -369,6 +379,6 @@
     held = gateway.controller.servers["s0"]
     gateway.call(left=3000.0)
     call = next(iter(gateway.controller.calls.values()))
-    assert gateway.controller._kept(call, held) > 0.0
-    held.chance = 2 * FLOOR
-    assert gateway.controller._kept(call, held) == 0.0
+    assert gateway.controller._reserved(call, held) > 0.0
+    held.refusal_probability = 2 * CALM_PROBABILITY
+    assert gateway.controller._reserved(call, held) == 0.0
--- a/tests/test_filters.py
+++ b/tests/test_filters.py
@@ -108,7 +108,7 @@
     assert [entry for entry in told if entry[2] == "y"] == [
         ("new", s, "y") for s in ("admit", "stood", "ended")
     ]
-    with pytest.raises(ValueError, match="share a name"):
+    with pytest.raises(ValueError, match="must be unique"):
         world.engine.chain.replace([Noted("n", []), Noted("n", [])])
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -164,6 +164,6 @@
     controller = world.engine.controller
     plain = face.CallOffered("x", PLAIN, 0.0, 0)
     only = face.Settings(**{**_fields(world.engine.settings), "classes": (controller.classes[PLAIN],)})
-    assert controller._precedence(_Call(plain, controller.classes[PLAIN], 4)) == 0.5
+    assert controller._window_scale(_Call(plain, controller.classes[PLAIN], 4)) == 0.5
     world.engine.adopt(only, 20_000)
-    assert controller._precedence(_Call(plain, controller.classes[PLAIN], 4)) == 1.0
+    assert controller._window_scale(_Call(plain, controller.classes[PLAIN], 4)) == 1.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -173,9 +173,9 @@
 def test_a_list_to_be_asked_for_is_asked_for_again_after_a_failure():
     controller = Controller(settings(list_on_request=True), 1)
     first = controller.handle(0.0, face.ListNews(face.NewsKind.CACHED, (entry("s0", 0),)))
-    assert face.FollowList() in first
+    assert face.SubscribeList() in first
     controller.handle(10.0, face.ListNews(face.NewsKind.FAILED))
-    assert face.FollowList() in controller.handle(10.0 + INTERVAL_MS, face.TimerDue("list"))
+    assert face.SubscribeList() in controller.handle(10.0 + INTERVAL_MS, face.TimerDue("list"))
     assert "s0" in controller.servers
 
 
@@ -239,7 +239,7 @@
     (late,) = set_ups(gateway.call())
     gateway.ends(late, "full", cause=face.Cause.NO_LINE, taken_ms=20.0)
     gateway.wait(1500.0)
-    assert gateway.controller.servers["s0"].chance == 1.0
+    assert gateway.controller.servers["s0"].refusal_probability == 1.0
 
 
 def fleet(gateways: int, servers: int, per_s: float, seconds: float) -> list[Gateway]:
@@ -295,7 +295,7 @@
     sent = 0
     for gateway in made:
         server = gateway.controller.servers["s0"]
-        gateway.controller._sample(gateway.now, server, 2000.0)
+        gateway.controller._record_sample(gateway.now, server, 2000.0)
         for _ in range(12):  # six seconds in which every call names it: 2400 calls, none answered
             gateway.wait(500.0)
             for action in set_ups(gateway.call(to=0)):
