--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small hand-driven gateway for the tests: no bench, no simulated servers."""
+"""A Controller driven by hand for the tests, without the simulator and its servers."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 def settings(**changes: object) -> face.Settings:
-    """Settings of an imagined site."""
-    told: dict = {
+    """Settings of a small example site, with changes."""
+    values: dict = {
         "gateways": 4,
         "index": 0,
         "classes": (
@@ -27,27 +27,27 @@
         "release_wait_ms": 250.0,
         "tick_ms": 5.0,
     }
-    return face.Settings(**(told | changes))
+    return face.Settings(**(values | changes))
 
 
 def entry(name: str, number: int, state: str = "ready", since: float = 0.0) -> face.ListEntry:
-    """One line of the list."""
+    """One entry of the server list."""
     return face.ListEntry(name, number, face.ServerState(state), since)
 
 
 class Gateway:
-    """A controller, its clock and what it has asked for."""
+    """A Controller with its clock, its pending timers and a log of its actions."""
 
     def __init__(self, servers: int = 2, seed: int = 1, **changes: object) -> None:
         self.controller = Controller(settings(**changes), seed)
         self.now = 1_000.0
         self.timers: list[tuple[float, str]] = []
         self.log: list[tuple[float, face.Action]] = []
-        self.count = 0
+        self.call_count = 0
         self.give(face.ListNews(face.NewsKind.CACHED, tuple(entry(f"s{i}", i) for i in range(servers))))
 
     def give(self, event: face.Event) -> list[face.Action]:
-        """Hand over one event now."""
+        """Passes an event to the Controller now; returns and logs its actions."""
         actions = self.controller.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
@@ -56,36 +56,38 @@
         return actions
 
     def wait(self, ms: float) -> list[face.Action]:
-        """Let time pass, with the timers that fall due."""
-        end, got = self.now + ms, []
+        """Advances the clock, with the timers that expire meanwhile; returns the actions."""
+        end, actions = self.now + ms, []
         while self.timers and min(self.timers)[0] <= end:
-            due = min(self.timers)
-            self.timers.remove(due)
-            self.now = due[0]
-            got += self.give(face.TimerDue(due[1]))
+            timer = min(self.timers)
+            self.timers.remove(timer)
+            self.now = timer[0]
+            actions += self.give(face.TimerDue(timer[1]))
         self.now = end
-        return got
+        return actions
 
     def call(self, to: int = 0, kind: str = PLAIN, left: float = 3000.0, **more: object) -> list[face.Action]:
-        """Offer a call whose caller waits for so long."""
-        self.count += 1
+        """Offers a call whose caller waits for `left` milliseconds."""
+        self.call_count += 1
         return self.give(
-            face.CallOffered(f"c{self.count}", kind, self.now + left, destination=to, **more)  # type: ignore
+            face.CallOffered(f"c{self.call_count}", kind, self.now + left, destination=to, **more)  # type: ignore
         )
 
     def stands(self, sent: face.SetUp, taken: float, attempt: int = 0) -> list[face.Action]:
-        """The set-up holds after so long (the clock is not moved)."""
+        """Reports a call as established after `taken` milliseconds; the clock stays."""
         return self.give(face.CallStands(sent.call, sent.server, attempt, taken))
 
-    def ends(self, sent: face.SetUp, outcome: str, attempt: int = 0, **more: object) -> list[face.Action]:
-        """An attempt ends."""
+    def end_attempt(
+        self, sent: face.SetUp, outcome: str, attempt: int = 0, **more: object
+    ) -> list[face.Action]:
+        """Reports the end of an attempt."""
         taken = more.pop("taken_ms", 30.0)
         return self.give(
             face.AttemptEnded(sent.call, sent.server, attempt, face.Outcome(outcome), taken, **more)  # type: ignore
         )
 
     def serve(self, seconds: float, per_s: float = 8.0, delay: float = 30.0, **more: object) -> int:
-        """Offer calls evenly and answer each at once with the delay given; tells how many were sent."""
+        """Offers calls evenly, each established at once with the given delay; returns how many were sent."""
         sent = 0
         for i in range(int(seconds * per_s)):
             self.wait(1000.0 / per_s)
@@ -94,20 +96,20 @@
                 self.stands(action, delay)
         return sent
 
-    def press(self, server: str, delay: float, intervals: int = 6) -> None:
-        """Let one server show this delay for some intervals, on top of a least of 20 ms."""
-        held = self.controller.servers[server]
+    def answer_slowly(self, server: str, delay: float, intervals: int = 6) -> None:
+        """Answers of one server take `delay` beyond a baseline of 20 ms, for some intervals."""
+        target = self.controller.servers[server]
         for _ in range(intervals):
-            self.controller._on_answer(self.now, held, 20.0, None)
-            self.controller._on_answer(self.now, held, 20.0 + delay, None)
+            self.controller._on_answer(self.now, target, 20.0, None)
+            self.controller._on_answer(self.now, target, 20.0 + delay, None)
             self.wait(INTERVAL_MS)
 
 
 def set_ups(actions: list[face.Action]) -> list[face.SetUp]:
-    """The set-ups among some actions."""
+    """Returns the set-ups among the actions."""
     return [action for action in actions if isinstance(action, face.SetUp)]
 
 
 def finals(actions: list[face.Action]) -> list[face.Action]:
-    """The final answers among some actions."""
+    """Returns the final answers among the actions."""
     return [action for action in actions if isinstance(action, face.Refuse | face.Fail)]
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -1,4 +1,4 @@
-"""The ordinary path: curve, smoothings, floor, jumps, refusal by chance, burst and route."""
+"""Normal operation of the Controller: smoothing, refusal curve, rate limits, windows and server selection."""
 
 import pytest
 
@@ -14,44 +14,44 @@
 from tests.helpers import URGENT, Gateway, entry, finals, set_ups
 
 
-def test_both_smoothings_follow_the_straight_line():
+def test_load_and_refusal_probability_are_smoothed_along_the_linear_curve():
     gateway = Gateway()
     server = gateway.controller.servers["s0"]
-    load = chance = 0.0
+    load = probability = 0.0
     for _ in range(5):
-        gateway.press("s0", 600.0, 1)
+        gateway.answer_slowly("s0", 600.0, 1)
         load = load * (1 - SMOOTHING_FACTOR) + 600.0 * SMOOTHING_FACTOR
-        chance = (
-            chance * (1 - SMOOTHING_FACTOR)
+        probability = (
+            probability * (1 - SMOOTHING_FACTOR)
             + max(0.0, (load - MINOR_MS) / (MAJOR_MS - MINOR_MS)) * SMOOTHING_FACTOR
         )
         assert server.load == pytest.approx(load)
-        assert server.refusal_probability == pytest.approx(chance)
+        assert server.refusal_probability == pytest.approx(probability)
 
 
 def test_delay_up_to_minor_never_refuses():
     gateway = Gateway()
-    gateway.press("s0", MINOR_MS, 20)
+    gateway.answer_slowly("s0", MINOR_MS, 20)
     assert gateway.controller.servers["s0"].refusal_probability == 0.0
 
 
-def test_a_major_sample_sets_the_chance_to_one():
+def test_a_major_sample_sets_the_refusal_probability_to_one():
     gateway = Gateway()
-    gateway.press("s0", MAJOR_MS, 1)
+    gateway.answer_slowly("s0", MAJOR_MS, 1)
     assert gateway.controller.servers["s0"].refusal_probability == 1.0
 
 
-def test_processor_full_sets_the_chance_to_one_at_once():
+def test_processor_full_sets_the_refusal_probability_to_one_at_once():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
-    gateway.ends(sent, "full", cause=face.Cause.PROCESSOR_FULL)
+    gateway.end_attempt(sent, "full", cause=face.Cause.PROCESSOR_FULL)
     assert gateway.controller.servers["s0"].refusal_probability == 1.0
 
 
-def test_an_unrenewed_figure_counts_as_nought_after_two_intervals_or_three_gaps():
+def test_a_sample_not_renewed_counts_as_zero_after_two_intervals_or_three_gaps():
     gateway = Gateway()
     gateway.serve(20, per_s=16.0)
-    gateway.press("s0", 600.0, 6)
+    gateway.answer_slowly("s0", 600.0, 6)
     gateway.wait(INTERVAL_MS)
     server = gateway.controller.servers["s0"]
     before = server.load
@@ -59,7 +59,7 @@
     assert server.load == pytest.approx(before * (1 - SMOOTHING_FACTOR))
 
 
-def test_first_choice_while_calm_even_when_another_is_emptier():
+def test_a_calm_first_choice_is_used_even_if_another_server_is_less_loaded():
     gateway = Gateway(3)
     for _ in range(5):
         gateway.wait(50.0)
@@ -68,9 +68,9 @@
         gateway.stands(sent, 30.0)
 
 
-def test_pressed_first_choice_goes_to_the_calmer_server():
+def test_calls_of_an_overloaded_first_choice_go_to_the_calmer_server():
     gateway = Gateway()
-    gateway.press("s0", 500.0)
+    gateway.answer_slowly("s0", 500.0)
     assert gateway.controller.servers["s0"].refusal_probability > CALM_PROBABILITY
     (sent,) = set_ups(gateway.call(to=0))
     assert sent.server == "s1"
@@ -83,17 +83,17 @@
         gateway.controller.servers[name].refusal_probability = 0.0
     gateway.controller.servers["s0"].refusal_probability = 0.5
     gateway.controller.servers["s1"].unanswered = {"x": gateway.now + 1, "y": gateway.now + 1}
-    went = {set_ups(gateway.call(to=0))[0].server for _ in range(2)}
-    assert went <= {"s2", "s1"} and "s2" in went
+    chosen = {set_ups(gateway.call(to=0))[0].server for _ in range(2)}
+    assert chosen <= {"s2", "s1"} and "s2" in chosen
 
 
-def test_pressed_everywhere_refuses_by_chance_before_sending():
+def test_overload_everywhere_refuses_by_chance_before_sending():
     gateway = Gateway(1)
     gateway.serve(20)
     refused = sent = 0
     for _ in range(400):
         gateway.controller.servers["s0"].refusal_probability = 0.5
-        gateway.controller.learned_calls = 0  # no limit but the chance
+        gateway.controller.learned_calls = 0  # no limit but the refusal probability
         actions = gateway.call()
         refused += len(finals(actions))
         for action in set_ups(actions):
@@ -103,18 +103,18 @@
     assert 140 < refused < 260
 
 
-def test_urgent_calls_are_spared_the_chance_but_not_the_window():
+def test_urgent_calls_are_exempt_from_refusal_by_chance_but_not_from_the_window():
     gateway = Gateway(1)
     gateway.serve(20, per_s=10.0)
     for _ in range(50):
         gateway.controller.servers["s0"].refusal_probability = 0.9
         (sent,) = set_ups(gateway.call(kind=URGENT))
         gateway.stands(sent, 30.0)
-    out = sum(len(set_ups(gateway.call(kind=URGENT))) for _ in range(50))
-    assert 4 <= out <= 8
+    unanswered = sum(len(set_ups(gateway.call(kind=URGENT))) for _ in range(50))
+    assert 4 <= unanswered <= 8
 
 
-def test_what_a_tenant_asks_beyond_its_share_is_shed_first():
+def test_calls_of_a_tenant_beyond_its_quota_are_refused_first():
     tenants = (face.Tenant("modest", 6.0), face.Tenant("greedy", 2.0))
     gateway = Gateway(1, tenants=tenants, over_share_worth=0.2)
     for _ in range(60):
@@ -125,7 +125,7 @@
     assert greedy <= 2 and greedy + modest >= 4
 
 
-def test_while_pressed_no_more_than_the_burst_over_the_calm_rate():
+def test_an_overloaded_server_gets_at_most_the_burst_factor_times_the_calm_rate():
     gateway = Gateway(1)
     gateway.serve(30, per_s=4.0)
     server = gateway.controller.servers["s0"]
@@ -137,22 +137,22 @@
         for action in set_ups(gateway.call()):
             sent += 1
             gateway.stands(action, 290.0)
-    # Five seconds at 4 a second and a burst of 1.7 are 34, with some depth and drift more; 190 come uncapped.
+    # Five seconds at 4 a second and a burst factor of 1.7 give 34, plus some depth and drift; without a limit 190.
     assert 25 <= sent <= 65
 
 
 @pytest.mark.parametrize(
     "load", [face.Load(wait_ms=900.0), face.Load(utilisation=1.0), face.Load(queue=40.0)]
 )
-def test_a_report_is_the_load_figure_where_there_is_one(load):
+def test_a_load_report_takes_precedence_over_the_delay(load):
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
-    gateway.ends(sent, "error", load=load)
+    gateway.end_attempt(sent, "error", load=load)
     gateway.wait(INTERVAL_MS)
     assert gateway.controller.servers["s0"].refusal_probability == 1.0
 
 
-def test_the_least_delay_is_forgotten_after_a_minute():
+def test_the_baseline_delay_expires_after_a_minute():
     gateway = Gateway()
     server = gateway.controller.servers["s0"]
     gateway.controller._on_answer(gateway.now, server, 20.0, None)
@@ -161,7 +161,7 @@
     assert server.sample == 0.0
 
 
-def test_same_events_same_actions_and_seeds_matter():
+def test_actions_are_determined_by_the_events_and_the_seed():
     def run(seed: int) -> list:
         gateway = Gateway(3, seed=seed)
         gateway.serve(10)
@@ -177,21 +177,21 @@
     assert run(5) != run(6)
 
 
-def test_gateways_share_nothing():
-    one, two = Gateway(), Gateway()
-    one.press("s0", 900.0)
-    assert one.controller.servers["s0"].refusal_probability == 1.0
-    assert two.controller.servers["s0"].refusal_probability == 0.0
-    two.give(face.ListNews(face.NewsKind.WHOLE, (entry("s9", 9),)))
-    assert "s0" in one.controller.servers
+def test_gateways_share_no_state():
+    first, second = Gateway(), Gateway()
+    first.answer_slowly("s0", 900.0)
+    assert first.controller.servers["s0"].refusal_probability == 1.0
+    assert second.controller.servers["s0"].refusal_probability == 0.0
+    second.give(face.ListNews(face.NewsKind.WHOLE, (entry("s9", 9),)))
+    assert "s0" in first.controller.servers
 
 
-def test_a_lasting_change_lifts_the_cap_and_a_gateway_born_into_the_press_is_not_stuck():
+def test_a_lasting_rise_lifts_the_rate_limit_and_a_gateway_started_under_overload_is_not_stuck():
     gateway = Gateway(1)
     gateway.serve(30, per_s=3.0)
     server = gateway.controller.servers["s0"]
 
-    def pressed(seconds: float) -> int:
+    def serve_overloaded(seconds: float) -> int:
         sent = 0
         for _ in range(int(seconds * 20)):
             gateway.wait(50.0)
@@ -201,15 +201,15 @@
                 gateway.stands(action, 300.0)
         return sent
 
-    early = pressed(10)
-    pressed(40)
-    assert pressed(10) > 1.5 * early
-    newborn = Gateway(1)
-    newborn.controller.servers["s0"].refusal_probability = 0.06
-    assert newborn.serve(5, per_s=10.0) > 40
+    early = serve_overloaded(10)
+    serve_overloaded(40)
+    assert serve_overloaded(10) > 1.5 * early
+    restarted = Gateway(1)
+    restarted.controller.servers["s0"].refusal_probability = 0.06
+    assert restarted.serve(5, per_s=10.0) > 40
 
 
-def test_a_lost_set_up_that_others_overtook_is_no_sign_of_load():
+def test_a_lost_set_up_overtaken_by_others_does_not_count_as_load():
     gateway = Gateway(1)
     gateway.serve(5)
     gateway.call()  # lost: no answer ever comes
@@ -221,7 +221,7 @@
     assert server.refusal_probability == 0.0
 
 
-def test_a_large_server_that_drains_does_not_swamp_the_small_one():
+def test_a_large_server_that_drains_does_not_overload_the_small_one():
     gateway = Gateway(2)
     for i in range(240):
         gateway.wait(50.0)
@@ -234,12 +234,12 @@
         for action in set_ups(gateway.call(to=0 if i % 8 else 1)):
             sent += 1
             gateway.stands(action, 30.0)
-    # 2.5 a second is what the small one gets in the calm; two seconds at 1.7 times that, the depth, and the
-    # calls that name it.
+    # The small one has a calm rate of 2.5 a second: it gets two seconds at 1.7 times that, the burst depth, and
+    # the calls that name it.
     assert 5 <= sent <= 17
 
 
-def test_a_new_processor_inherits_the_rate_of_its_number():
+def test_a_new_processor_inherits_the_calm_rate_of_its_number():
     gateway = Gateway(2)
     for i in range(240):
         gateway.wait(50.0)
@@ -251,19 +251,19 @@
         for action in set_ups(gateway.wait(50.0)) + set_ups(gateway.call(to=0)):
             sent += action.server == "s9"
             gateway.stands(action, 30.0)
-    # 17.5 a second in the calm, two seconds at 0.4 to 0.5 of that, times 1.2.
+    # The calm rate is 17.5 a second; two seconds at 0.4 to 0.5 of that, times 1.2.
     assert 13 <= sent <= 25
 
 
-def test_unanswered_set_ups_over_the_rate_are_the_wait_to_come():
+def test_unanswered_set_ups_are_limited_to_a_window_of_the_calm_rate():
     gateway = Gateway(1)
     gateway.serve(20, per_s=10.0)
     sent = [action for _ in range(20) for action in set_ups(gateway.call())]
     assert len(sent) == 4  # 10 a second for 400 ms
-    gateway.stands(sent[-1], 30.0)  # the others are overtaken: lost, not waiting
+    gateway.stands(sent[-1], 30.0)  # the others were overtaken: lost, not waiting
     assert set_ups(gateway.call())
-    newborn = Gateway(1)
-    assert set_ups(newborn.call())
+    restarted = Gateway(1)
+    assert set_ups(restarted.call())
 
 
 def test_a_server_that_never_answers_gets_few_set_ups_until_it_does():
@@ -277,16 +277,16 @@
             else:
                 gateway.stands(sent, 30.0)
         for when, sent in trials:
-            if gateway.now == when + 1800.0:  # their callers' time is up
-                gateway.ends(sent, "timed_out")
+            if gateway.now == when + 1800.0:  # the callers' deadline has passed
+                gateway.end_attempt(sent, "timed_out")
     server = gateway.controller.servers["s0"]
     assert server.refusal_probability == 1.0
-    # A hundred calls name it. The window lets a few in, then some when the last figure is forgotten.
+    # A hundred calls name it. The window admits a few, then some more when the last sample has expired.
     assert 2 <= len(trials) <= 15
     logged = [action.text for _, action in gateway.log if isinstance(action, face.Log)]
     assert logged[0] == "s0 is jammed"
     for _, sent in trials:
-        gateway.ends(sent, "timed_out", call_over=True)
+        gateway.end_attempt(sent, "timed_out", call_over=True)
     gateway.wait(5000.0)
     (trial,) = set_ups(gateway.call(to=0))
     assert trial.server == "s0"
@@ -297,9 +297,9 @@
     assert logged[-1] == "s0 is calm again"
 
 
-def test_a_jam_is_remembered_where_a_server_is_heard_each_few_seconds():
+def test_an_overload_is_remembered_where_a_server_answers_only_every_few_seconds():
     gateway = Gateway(4)
-    gateway.serve(40, per_s=1.0)  # each server once in four seconds
+    gateway.serve(40, per_s=1.0)  # each server once every four seconds
     server = gateway.controller.servers["s0"]
     gateway.controller._on_answer(gateway.now, server, 2000.0, None)
     gateway.wait(6000.0)
@@ -308,77 +308,78 @@
     assert server.refusal_probability <= CALM_PROBABILITY
 
 
-def test_a_server_without_a_free_line_gets_nothing_until_its_lines_are_told_again():
+def test_a_server_without_a_free_line_gets_no_set_ups_until_its_next_report():
     gateway = Gateway(2)
-    told = face.Load(free_lines=3.0, lines=100.0)
-    gateway.give(face.ServerLooked("s0", face.Outcome.SERVED, 0.0, told))
+    report = face.Load(free_lines=3.0, lines=100.0)
+    gateway.give(face.ServerLooked("s0", face.Outcome.SERVED, 0.0, report))
     (sent,) = set_ups(gateway.call(to=0))
-    (again,) = set_ups(gateway.ends(sent, "full", cause=face.Cause.NO_LINE))
-    assert (sent.server, again.server) == ("s0", "s1")
-    gateway.stands(again, 30.0, attempt=1)
+    (retry,) = set_ups(gateway.end_attempt(sent, "full", cause=face.Cause.NO_LINE))
+    assert (sent.server, retry.server) == ("s0", "s1")
+    gateway.stands(retry, 30.0, attempt=1)
     assert [action.server for action in set_ups(gateway.call(to=0))] == ["s1"]
-    gateway.give(face.ServerLooked("s0", face.Outcome.SERVED, 0.0, told))
+    gateway.give(face.ServerLooked("s0", face.Outcome.SERVED, 0.0, report))
     assert [action.server for action in set_ups(gateway.call(to=0))] == ["s0"]
-    untold = Gateway(2)  # where no lines are ever told, one answer does not shut it out
-    (sent,) = set_ups(untold.call(to=0))
-    untold.ends(sent, "full", cause=face.Cause.NO_LINE)
-    assert [action.server for action in set_ups(untold.call(to=0))] == ["s0"]
+    unreported = Gateway(2)  # a server that never reports lines stays eligible after one such answer
+    (sent,) = set_ups(unreported.call(to=0))
+    unreported.end_attempt(sent, "full", cause=face.Cause.NO_LINE)
+    assert [action.server for action in set_ups(unreported.call(to=0))] == ["s0"]
 
 
-def test_where_answers_get_lost_a_late_one_among_quick_ones_is_no_jam():
+def test_where_answers_get_lost_one_late_answer_among_quick_ones_is_no_overload():
     gateway = Gateway(1)
     gateway.serve(20, per_s=2.0)
     server = gateway.controller.servers["s0"]
     (lost,) = set_ups(gateway.call(left=2500.0))
     gateway.wait(1500.0)
-    assert server.refusal_probability == 1.0  # nothing tells it from a jam yet
-    gateway.ends(lost, "timed_out", taken_ms=1500.0, call_over=True)
-    gateway.controller._on_answer(gateway.now, server, 30.0, None)  # a quick answer after it: it was lost
+    assert server.refusal_probability == 1.0  # cannot be told from an overload yet
+    gateway.end_attempt(lost, "timed_out", taken_ms=1500.0, call_over=True)
+    gateway.controller._on_answer(gateway.now, server, 30.0, None)  # quick, so the other was lost
     assert gateway.controller.recent_losses == 1.0
-    gateway.controller.recent_losses = 5.0  # as after some more of them
+    gateway.controller.recent_losses = 5.0  # as after several more losses
     gateway.wait(2500.0)
     assert server.refusal_probability <= CALM_PROBABILITY
     gateway.call()
     gateway.wait(1000.0)
-    assert server.refusal_probability <= CALM_PROBABILITY  # one alone is no sign now
+    assert server.refusal_probability <= CALM_PROBABILITY  # one late answer is no sign of overload now
     gateway.call()
     gateway.wait(1400.0)
-    assert server.refusal_probability > CALM_PROBABILITY  # two are
+    assert server.refusal_probability > CALM_PROBABILITY  # two are one
 
 
-def test_the_report_of_an_ended_call_tells_of_lines_that_came_free():
-    # Only refusals and unasked news were heard: a full server then stayed full for half a second.
+def test_the_report_of_an_ended_call_updates_the_free_lines():
+    # Prevents a full server from counting as full until its next unsolicited report, half a second later, because
+    # only reports of refusals and unsolicited ones were read.
     gateway = Gateway(servers=1)
     (sent,) = set_ups(gateway.call())
     gateway.stands(sent, 30.0)
     (late,) = set_ups(gateway.call())
     none_free = face.Load(free_lines=0.0, lines=9.0)
-    gateway.ends(late, "full", cause=face.Cause.NO_LINE, load=none_free)
+    gateway.end_attempt(late, "full", cause=face.Cause.NO_LINE, load=none_free)
     assert not set_ups(gateway.call())
-    gateway.ends(sent, "served", call_over=True, load=face.Load(free_lines=1.0, lines=9.0))
+    gateway.end_attempt(sent, "served", call_over=True, load=face.Load(free_lines=1.0, lines=9.0))
     assert set_ups(gateway.call(kind=URGENT))
 
 
-def test_lines_are_kept_for_the_calls_worth_most_and_own_set_ups_are_counted():
+def test_lines_are_reserved_for_the_calls_worth_most_and_own_set_ups_are_counted():
     gateway = Gateway(servers=1)
     gateway.serve(20.0, per_s=50.0)
     rate = gateway.controller._calm_rate(gateway.controller.servers["s0"])
-    kept = rate * 4 * RESERVATION_MS * (1.0 - 1.0 / 6.0)
-    free = 1.0 + kept
-    gateway.give(face.ServerLooked("s0", face.Outcome.SERVED, 0.0, face.Load(free_lines=free)))
-    assert kept > 0.5
-    assert set_ups(gateway.call()), "one line beyond those kept"
-    assert not set_ups(gateway.call()), "the next would take one that is kept"
-    assert set_ups(gateway.call(kind=URGENT)), "which is there for urgent calls"
+    reserved = rate * 4 * RESERVATION_MS * (1.0 - 1.0 / 6.0)
+    free_lines = 1.0 + reserved
+    gateway.give(face.ServerLooked("s0", face.Outcome.SERVED, 0.0, face.Load(free_lines=free_lines)))
+    assert reserved > 0.5
+    assert set_ups(gateway.call()), "one line is free beyond the reserved ones"
+    assert not set_ups(gateway.call()), "the next would take a reserved line"
+    assert set_ups(gateway.call(kind=URGENT)), "which is reserved for urgent calls"
 
 
-def test_no_lines_are_kept_at_a_server_whose_processor_is_pressed():
-    # There the window spares urgent calls, and kept lines would only stand idle.
+def test_no_lines_are_reserved_at_a_server_whose_processor_is_overloaded():
+    # The window favours urgent calls there, and reserved lines would only stay idle.
     gateway = Gateway(servers=1)
     gateway.serve(20.0, per_s=50.0)
-    held = gateway.controller.servers["s0"]
+    server = gateway.controller.servers["s0"]
     gateway.call(left=3000.0)
     call = next(iter(gateway.controller.calls.values()))
-    assert gateway.controller._reserved(call, held) > 0.0
-    held.refusal_probability = 2 * CALM_PROBABILITY
-    assert gateway.controller._reserved(call, held) == 0.0
+    assert gateway.controller._reserved(call, server) > 0.0
+    server.refusal_probability = 2 * CALM_PROBABILITY
+    assert gateway.controller._reserved(call, server) == 0.0
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""Limits of the module's text, and the README's example."""
+"""Limits on the source of leadslip/choice.py, and the example of the README."""
 
 import ast
 import re
@@ -16,12 +16,12 @@
     assert max(len(line) for line in lines) <= 110
 
 
-def test_the_module_first_names_its_interface():
+def test_the_docstring_names_the_interface_in_its_first_line():
     text = ast.get_docstring(ast.parse(CHOICE.read_text()))
     assert "leadslip/interface.py" in text.splitlines()[0]
 
 
-def test_the_module_reads_no_clock_and_one_generator_only():
+def test_the_module_reads_no_clock_and_has_one_random_generator():
     text = CHOICE.read_text()
     assert re.findall(r"^import (\w+)", text, re.M) == ["random"]
     assert text.count("random.Random(") == 1
@@ -30,6 +30,6 @@
 
 def test_the_readme_example_runs():
     example = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S).group(1)
-    done = subprocess.run([sys.executable, "-c", example], cwd=ROOT, capture_output=True, text=True)
-    assert done.returncode == 0, done.stderr
-    assert "SetUp(call='c1'" in done.stdout
+    result = subprocess.run([sys.executable, "-c", example], cwd=ROOT, capture_output=True, text=True)
+    assert result.returncode == 0, result.stderr
+    assert "SetUp(call='c1'" in result.stdout
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each kept by one gateway alone, and legal oddities around them."""
+"""The five rules of the proxy, each kept by one gateway on its own, and permitted edge cases."""
 
 import pytest
 
@@ -6,58 +6,64 @@
 from leadslip.choice import INTERVAL_MS, Controller
 from tests.helpers import Gateway, entry, finals, set_ups, settings
 
-AWAY = ["timed_out", "cut", "withdrawn"]
+RELEASED_OUTCOMES = ["timed_out", "cut", "withdrawn"]
 
 
 def answers(gateway: Gateway, call: str) -> list:
-    return [a for _, a in gateway.log if isinstance(a, face.Refuse | face.Fail) and a.call == call]
+    return [
+        action
+        for _, action in gateway.log
+        if isinstance(action, face.Refuse | face.Fail) and action.call == call
+    ]
 
 
-def test_rule_1_an_unanswered_call_is_cut_before_the_caller_quits_and_then_failed_once():
+def test_rule_1_an_unanswered_call_times_out_before_its_deadline_and_fails_once():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call(left=2000.0))
     assert sent.cut_at_ms < gateway.now + 2000.0
     gateway.wait(sent.cut_at_ms - gateway.now)
-    gateway.ends(sent, "timed_out")
+    gateway.end_attempt(sent, "timed_out")
     gateway.wait(3000.0)
     assert answers(gateway, "c1") == [face.Fail("c1")]
-    assert [a for _, a in gateway.log if isinstance(a, face.SetUp)] == [sent]
+    assert [action for _, action in gateway.log if isinstance(action, face.SetUp)] == [sent]
 
 
-def test_rule_1_nothing_follows_a_call_that_is_over():
+def test_rule_1_nothing_follows_a_call_that_has_ended():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
     gateway.give(face.CallerLeft("c1"))
-    assert not gateway.ends(sent, "timed_out", call_over=True)
+    assert not gateway.end_attempt(sent, "timed_out", call_over=True)
     gateway.give(face.CallerLeft("c1"))
     gateway.wait(1000.0)
     assert not answers(gateway, "c1")
 
 
-def test_rule_1_a_standing_call_gets_no_answer_of_ours():
+def test_rule_1_an_established_call_gets_no_answer_of_the_gateway():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
     gateway.stands(sent, 30.0)
     gateway.wait(5000.0)
-    gateway.ends(sent, "served", call_over=True)
+    gateway.end_attempt(sent, "served", call_over=True)
     assert not answers(gateway, "c1")
     assert not gateway.controller.calls
 
 
-@pytest.mark.parametrize("outcome", ["full", "no_connection", "not_sent", "error", *AWAY])
-def test_rule_2_one_attempt_at_a_time_and_within_the_tries(outcome):
+@pytest.mark.parametrize("outcome", ["full", "no_connection", "not_sent", "error", *RELEASED_OUTCOMES])
+def test_rule_2_one_attempt_at_a_time_and_at_most_max_attempts(outcome):
     gateway = Gateway(6)
     open_attempts = 0
-    sends = set_ups(gateway.call(left=5000.0))
+    sent_now = set_ups(gateway.call(left=5000.0))
     tries = 0
-    while sends:
-        (sent,) = sends
+    while sent_now:
+        (sent,) = sent_now
         open_attempts += 1
         assert open_attempts == 1
         tries += 1
         assert not set_ups(gateway.wait(10.0))
         open_attempts -= 1
-        sends = set_ups(gateway.ends(sent, outcome, attempt=tries - 1)) or set_ups(gateway.wait(400.0))
+        sent_now = set_ups(gateway.end_attempt(sent, outcome, attempt=tries - 1)) or set_ups(
+            gateway.wait(400.0)
+        )
     assert 1 < tries <= 4
     assert len(answers(gateway, "c1")) == 1
 
@@ -71,14 +77,14 @@
         assert all(sent.server == "s1" for sent in set_ups(gateway.call(to=0)))
 
 
-def test_rule_3_a_server_absent_from_a_whole_list_has_left():
+def test_rule_3_a_server_absent_from_a_snapshot_gets_no_set_ups():
     gateway = Gateway()
     gateway.give(face.ListNews(face.NewsKind.WHOLE, (entry("s1", 1),)))
     assert set_ups(gateway.call(to=0))[0].server == "s1"
 
 
 @pytest.mark.parametrize("as_new_id", [False, True])
-def test_rule_4_a_cold_server_gets_the_warm_part_of_the_calm_rate_evenly(as_new_id):
+def test_rule_4_a_cold_server_gets_a_fraction_of_the_calm_rate_evenly(as_new_id):
     gateway = Gateway()
     gateway.serve(30, per_s=8.0)
     name = "s7" if as_new_id else "s0"
@@ -89,11 +95,11 @@
         for sent in set_ups(gateway.wait(25.0)) + set_ups(gateway.call(to=0)):
             to_cold += sent.server == name
             gateway.stands(sent, 30.0)
-    # Two seconds at 4 a second: a warm one could get 8, a cold one 0.4 to 0.52 of that and a little more.
+    # Two seconds at 4 a second: 8 for a warm server, 0.4 to 0.52 of that and a little more for a cold one.
     assert 2 <= to_cold <= 7
 
 
-def test_rule_4_a_reborn_gateway_starts_careful():
+def test_rule_4_a_restarted_gateway_sends_little_to_a_cold_server():
     gateway = Gateway(servers=0)
     since = gateway.now - 100.0
     gateway.give(face.ListNews(face.NewsKind.CACHED, (entry("s0", 0, since=since),)))
@@ -104,62 +110,62 @@
     assert sent <= 1
 
 
-@pytest.mark.parametrize("outcome", AWAY)
-def test_rule_5_the_release_is_awaited(outcome):
+@pytest.mark.parametrize("outcome", RELEASED_OUTCOMES)
+def test_rule_5_a_retry_waits_for_the_release(outcome):
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
     gateway.wait(100.0)
-    at = gateway.now
-    gateway.ends(sent, outcome)
+    ended_at = gateway.now
+    gateway.end_attempt(sent, outcome)
     assert not set_ups(gateway.wait(249.0))
-    (again,) = set_ups(gateway.wait(50.0))
-    assert again.server == "s1"
-    times = [when for when, action in gateway.log if action == again]
-    assert times[0] - at >= 250.0
+    (retry,) = set_ups(gateway.wait(50.0))
+    assert retry.server == "s1"
+    times = [when for when, action in gateway.log if action == retry]
+    assert times[0] - ended_at >= 250.0
 
 
-def test_rule_5_no_wait_when_no_time_is_left():
+def test_rule_5_a_call_without_time_to_wait_fails_at_once():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call(left=300.0))
     gateway.wait(200.0)
-    assert gateway.ends(sent, "withdrawn")[-1] == face.Fail("c1")
+    assert gateway.end_attempt(sent, "withdrawn")[-1] == face.Fail("c1")
 
 
-def test_a_busy_number_is_not_tried_elsewhere():
+def test_a_busy_number_is_not_retried_at_another_server():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
-    actions = gateway.ends(sent, "error", cause=face.Cause.NUMBER_BUSY)
+    actions = gateway.end_attempt(sent, "error", cause=face.Cause.NUMBER_BUSY)
     assert finals(actions) and not set_ups(actions)
 
 
-def test_a_call_that_may_have_run_is_not_repeated_where_that_is_not_free():
+def test_a_call_that_may_have_run_is_not_repeated_unless_its_class_permits():
     once = face.CallClass("once", 1.0, 0.0, 1000.0, 5000.0, face.Repeat.ONCE)
     gateway = Gateway(classes=(once,))
     (sent,) = set_ups(gateway.call(kind="once"))
-    gateway.ends(sent, "timed_out")
+    gateway.end_attempt(sent, "timed_out")
     gateway.wait(2000.0)
     assert answers(gateway, "c1") == [face.Fail("c1")]
     (sent,) = set_ups(gateway.call(kind="once"))
-    assert set_ups(gateway.ends(sent, "full"))
+    assert set_ups(gateway.end_attempt(sent, "full"))
 
 
-def test_an_empty_list_is_legal_and_its_calls_are_answered_in_time():
+def test_calls_are_answered_in_time_when_the_server_list_is_empty():
     gateway = Gateway(servers=0)
     gateway.call(left=2000.0)
     gateway.wait(1990.0)
     assert len(answers(gateway, "c1")) == 1
 
 
-def test_a_class_that_no_server_may_take_is_answered():
-    lonely = face.CallClass("lonely", 1.0, 0.0, 1000.0, 5000.0, allowed_pools=(9,))
-    gateway = Gateway(classes=(lonely,))
+def test_calls_of_an_unknown_class_or_of_one_without_servers_are_answered():
+    unserved = face.CallClass("lonely", 1.0, 0.0, 1000.0, 5000.0, allowed_pools=(9,))
+    gateway = Gateway(classes=(unserved,))
     gateway.call(kind="lonely", left=2000.0)
     gateway.call(kind="never heard of", left=2000.0)
     gateway.wait(1990.0)
     assert len(answers(gateway, "c1")) == len(answers(gateway, "c2")) == 1
 
 
-def test_events_of_things_not_held_are_passed_over():
+def test_events_of_unknown_calls_and_servers_are_ignored():
     gateway = Gateway()
     gateway.give(face.CallerLeft("ghost"))
     gateway.give(face.CallStands("ghost", "s0", 0, 10.0))
@@ -167,10 +173,10 @@
     gateway.give(face.ServerLooked("nowhere", face.Outcome.SERVED, 0.0, face.Load()))
     gateway.give(face.TimerDue("ghost"))
     gateway.give(face.PeerMessage(2, b"hello"))
-    assert not [a for _, a in gateway.log if not isinstance(a, face.SetTimer)]
+    assert not [action for _, action in gateway.log if not isinstance(action, face.SetTimer)]
 
 
-def test_a_list_to_be_asked_for_is_asked_for_again_after_a_failure():
+def test_the_list_subscription_is_renewed_after_a_failure():
     controller = Controller(settings(list_on_request=True), 1)
     first = controller.handle(0.0, face.ListNews(face.NewsKind.CACHED, (entry("s0", 0),)))
     assert face.SubscribeList() in first
@@ -192,21 +198,21 @@
         ("tick_ms", 0.0),
     ],
 )
-def test_senseless_settings_are_told_by_name(field, value):
+def test_settings_out_of_range_are_reported_by_field_name(field, value):
     with pytest.raises(ValueError, match=field):
         Controller(settings(**{field: value}), 1)
 
 
-def test_a_busy_number_is_left_alone_but_for_spaced_trials():
+def test_a_busy_number_gets_only_spaced_trial_calls():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call(number_called="n"))
-    gateway.ends(sent, "error", cause=face.Cause.NUMBER_BUSY)
+    gateway.end_attempt(sent, "error", cause=face.Cause.NUMBER_BUSY)
     trials = 0
     for _ in range(100):
         gateway.wait(100.0)
         for trial in set_ups(gateway.call(number_called="n")):
             trials += 1
-            gateway.ends(trial, "error", cause=face.Cause.NUMBER_BUSY)
+            gateway.end_attempt(trial, "error", cause=face.Cause.NUMBER_BUSY)
         (other,) = set_ups(gateway.call(number_called="other"))
         gateway.stands(other, 30.0)
     assert 4 <= trials <= 6
@@ -216,7 +222,7 @@
     assert set_ups(gateway.call(number_called="n")) and set_ups(gateway.call(number_called="n"))
 
 
-def test_a_gateway_reborn_among_cold_servers_learns_and_sends_a_little():
+def test_a_gateway_restarted_among_cold_servers_learns_rates_and_sends_a_little():
     gateway = Gateway(servers=0)
     since = gateway.now - 100.0
     gateway.give(
@@ -227,73 +233,73 @@
         for action in set_ups(gateway.wait(100.0)) + set_ups(gateway.call(to=i % 2)):
             sent += 1
             gateway.stands(action, 30.0)
-    # Ten a second are offered for five seconds; of the 50 a part of 0.4 to 0.7 could be taken.
+    # Ten a second are offered for five seconds; the servers could take a fraction of 0.4 to 0.7 of the 50.
     assert 8 <= sent <= 30
 
 
-def test_a_refusal_jumps_the_line_and_shows_no_set_up_to_be_lost():
+def test_a_refusal_may_overtake_and_does_not_show_earlier_set_ups_to_be_lost():
     gateway = Gateway(1)
     gateway.serve(10, per_s=8.0)
     gateway.call()
     gateway.wait(50.0)
     (late,) = set_ups(gateway.call())
-    gateway.ends(late, "full", cause=face.Cause.NO_LINE, taken_ms=20.0)
+    gateway.end_attempt(late, "full", cause=face.Cause.NO_LINE, taken_ms=20.0)
     gateway.wait(1500.0)
     assert gateway.controller.servers["s0"].refusal_probability == 1.0
 
 
 def fleet(gateways: int, servers: int, per_s: float, seconds: float) -> list[Gateway]:
-    """Many gateways with a little traffic each, all calm; a call in turn to each server."""
-    made = [Gateway(servers, seed=seed, gateways=gateways) for seed in range(gateways)]
-    for gateway in made:
+    """Gateways with light traffic each, all calm, whose calls name the servers in turn."""
+    members = [Gateway(servers, seed=seed, gateways=gateways) for seed in range(gateways)]
+    for gateway in members:
         gateway.serve(seconds, per_s=per_s)
-    return made
+    return members
 
 
-def test_rule_4_hundreds_of_gateways_do_not_push_a_cold_server_over_together():
-    made = fleet(200, servers=4, per_s=2.0, seconds=20.0)
-    for gateway in made:
-        news = entry("s0", 0, since=gateway.now)
-        gateway.give(face.ListNews(face.NewsKind.CHANGES, (news,)))
+def test_rule_4_hundreds_of_gateways_together_do_not_overload_a_cold_server():
+    members = fleet(200, servers=4, per_s=2.0, seconds=20.0)
+    for gateway in members:
+        cold = entry("s0", 0, since=gateway.now)
+        gateway.give(face.ListNews(face.NewsKind.CHANGES, (cold,)))
     sent = 0
-    for gateway in made:  # two seconds, every call names the cold server, as after a mass restart
+    for gateway in members:  # two seconds, every call names the cold server, as after a mass restart
         for _ in range(8):
             for action in set_ups(gateway.wait(250.0)) + set_ups(gateway.call(to=0)):
                 sent += action.server == "s0"
-    # 0.5 a second of each in the calm are 100 a second; cold it can do 0.4 to 0.52 of that, so 2 x 2 x 46
-    # may come. One whole token for each gateway would be 200 at once.
+    # A calm rate of 0.5 a second each is 100 a second; a cold server can take 0.4 to 0.52 of that, so that 2 x 2 x 46
+    # may be sent. One full token for each gateway would be 200 at once.
     assert 20 <= sent <= 184
 
 
-def test_what_strays_to_a_small_server_is_drawn_by_chance():
-    made = fleet(200, servers=4, per_s=2.0, seconds=20.0)
+def test_calls_of_another_first_choice_reach_a_small_server_by_chance():
+    members = fleet(200, servers=4, per_s=2.0, seconds=20.0)
     sent = 0
-    for gateway in made:  # all but one server drain at once
-        gone = tuple(entry(f"s{i}", i, "draining") for i in range(1, 4))
-        gateway.give(face.ListNews(face.NewsKind.CHANGES, gone))
+    for gateway in members:  # all but one server drain at once
+        draining = tuple(entry(f"s{i}", i, "draining") for i in range(1, 4))
+        gateway.give(face.ListNews(face.NewsKind.CHANGES, draining))
         for i in range(4):
             gateway.wait(250.0)
             sent += len(set_ups(gateway.call(to=1 + i % 3)))
-    # 100 a second is calm; 1.7 times that and a second's depth may come, not one for each gateway at once.
+    # The calm rate is 100 a second: 1.7 times that and a second's burst depth may be sent, not one each at once.
     assert 50 <= sent <= 340
 
 
-def test_a_busy_number_gets_a_part_of_the_flow_as_trials():
-    made = fleet(100, servers=2, per_s=2.0, seconds=10.0)
+def test_a_fraction_of_the_calls_to_a_busy_number_is_sent_as_trials():
+    members = fleet(100, servers=2, per_s=2.0, seconds=10.0)
     trials = 0
-    for gateway in made:
+    for gateway in members:
         (sent,) = set_ups(gateway.call(to=1, number_called="n"))
-        gateway.ends(sent, "error", cause=face.Cause.NUMBER_BUSY)
+        gateway.end_attempt(sent, "error", cause=face.Cause.NUMBER_BUSY)
         gateway.wait(2000.0)
         trials += len(set_ups(gateway.call(to=1, number_called="n")))
-    # Two seconds are over for all gateways alike: whole trials would be a hundred at once.
+    # The retry time ends for all gateways at once: without the fraction a hundred trials would be sent.
     assert 5 <= trials <= 40
 
 
-def test_a_silent_server_is_not_flooded_by_hundreds_that_forget_together():
-    made = fleet(200, servers=4, per_s=2.0, seconds=20.0)
+def test_a_silent_server_is_not_flooded_when_hundreds_of_samples_expire_together():
+    members = fleet(200, servers=4, per_s=2.0, seconds=20.0)
     sent = 0
-    for gateway in made:
+    for gateway in members:
         server = gateway.controller.servers["s0"]
         gateway.controller._record_sample(gateway.now, server, 2000.0)
         for _ in range(12):  # six seconds in which every call names it: 2400 calls, none answered
@@ -303,5 +309,5 @@
                     sent += 1
                 else:
                     gateway.stands(action, 30.0)
-    # Each knows of the jam by its own sample and keeps it for three gaps of two seconds.
+    # Each gateway has a sample of the overload and keeps it for three gaps of two seconds.
     assert sent <= 200
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-written batches."""
+"""The simulator adapter on hand-written batches of its line protocol."""
 
 import io
 import re
@@ -7,7 +7,7 @@
 
 from leadslip import simhost
 
-CONF = (
+SETTINGS = (
     "balancers=3 index=1 services.count=1 services.0.name=plain services.0.gain=1 services.0.aim_ms=1000 "
     "services.0.deadline_ms=5000 services.0.brand_new=7 limits.most_tries=3 limits.cancel=true tick_ms=5 "
     "obligations.cold_from=0.4 obligations.warm_after_ms=9000 obligations.tip_multiple=2 "
@@ -16,7 +16,7 @@
 )
 START = f"""ROUND t_ms=1000.0
 SWITCH_TO gateway_id=gateway/1
-BOOT salt=51 conf_extra=1 {CONF}
+BOOT salt=51 conf_extra=1 {SETTINGS}
 LIST buffer=3 items=2
 ENTRY switch=10.0.0.1:70 node_no=0 mode=2 nominal=1
 ENTRY switch=10.0.0.2:70 node_no=1 mode=2 nominal=1 oddity=4
@@ -30,24 +30,24 @@
 """
 
 
-def play(text: str) -> tuple[int, str, str]:
+def run_lines(text: str) -> tuple[int, str, str]:
     out, err = io.StringIO(), io.StringIO()
     code = simhost.run(io.StringIO(text), out, err)
     return code, out.getvalue(), err.getvalue()
 
 
-def batch(*lines: str, at: float = 1200.0) -> str:
-    return "\n".join([f"ROUND t_ms={at}", "SWITCH_TO gateway_id=gateway/1", *lines, "EOF_BATCH", ""])
+def batch(*lines: str, t_ms: float = 1200.0) -> str:
+    return "\n".join([f"ROUND t_ms={t_ms}", "SWITCH_TO gateway_id=gateway/1", *lines, "EOF_BATCH", ""])
 
 
 def test_an_empty_batch_gets_an_empty_reply():
-    assert play("ROUND t_ms=1\nEOF_BATCH\n") == (0, "DONE\n", "")
+    assert run_lines("ROUND t_ms=1\nEOF_BATCH\n") == (0, "DONE\n", "")
 
 
-def test_a_call_is_handed_to_its_first_choice():
-    code, out, err = play(START + CALL)
+def test_a_call_is_sent_to_its_first_choice():
+    code, out, err = run_lines(START + CALL)
     assert (code, err) == (0, "")
-    # The first tick comes at a moment of its own, within an interval.
+    # The first timer expires at a random time within one interval.
     assert 0.0 <= float(re.search(r"offset_ms=([0-9.]+) ctx=interval", out).group(1)) <= 500.0
     assert re.sub(r"offset_ms=[0-9.]+", "offset_ms=T", out).splitlines() == [
         "INSTANCE gateway_id=gateway/1",
@@ -59,17 +59,17 @@
     ]
 
 
-def test_full_with_a_wait_goes_to_the_other_server():
+def test_a_call_refused_by_a_full_server_is_sent_to_the_other():
     verdict = (
         "VERDICT txn=r-a go=0 switch=10.0.0.2:70 reason=turned_away time_taken_ms=9 cause=19 stats=5,9,800,1"
     )
-    code, out, _ = play(START + CALL + batch(verdict))
+    code, out, _ = run_lines(START + CALL + batch(verdict))
     assert code == 0
     assert "HAND_OFF txn=r-a switch=10.0.0.1:70" in out
 
 
-def test_every_event_is_read():
-    code, out, err = play(
+def test_every_event_is_parsed():
+    code, out, err = run_lines(
         START
         + CALL
         + batch(
@@ -88,15 +88,15 @@
     assert out.endswith("DONE\n")
 
 
-def test_a_destroyed_gateway_starts_with_nothing():
-    again = START.replace("1000.0", "1300.0")
-    code, out, _ = play(START + CALL + batch("DESTROY") + again + CALL.replace("1100.25", "1400.0"))
+def test_a_destroyed_gateway_starts_again_without_state():
+    restart = START.replace("1000.0", "1300.0")
+    code, out, _ = run_lines(START + CALL + batch("DESTROY") + restart + CALL.replace("1100.25", "1400.0"))
     assert code == 0
     assert out.count("HAND_OFF") == 2
 
 
 @pytest.mark.parametrize(
-    ("line", "fault"),
+    ("line", "error"),
     [
         ("REQ txn=r-b destination=1 tier_class=plain", "valid_until_ms is missing"),
         ("REQ txn=r-b valid_until_ms=soon tier_class=plain", "valid_until_ms is no number"),
@@ -113,31 +113,31 @@
         ("SWITCH_TO gateway_id=gateway/7\nBOOT salt=1 balancers=2", "is missing"),
     ],
 )
-def test_a_malformed_line_is_named_and_ends_the_process(line, fault):
-    code, _, err = play(START + batch(line))
+def test_a_malformed_line_is_reported_and_ends_the_process(line, error):
+    code, _, err = run_lines(START + batch(line))
     assert code == 2
-    assert fault in err and "line " in err
+    assert error in err and "line " in err
     assert len(err.splitlines()) == 1
 
 
-def test_input_that_ends_within_a_batch_is_a_fault():
-    code, _, err = play("ROUND t_ms=1\n")
+def test_input_that_ends_within_a_batch_is_an_error():
+    code, _, err = run_lines("ROUND t_ms=1\n")
     assert code == 2 and "ended within a batch" in err
 
 
-def test_a_failing_controller_is_told_with_its_text(monkeypatch):
-    def broken(self, now_ms, event):
+def test_an_exception_of_the_controller_is_reported_with_its_text(monkeypatch):
+    def fail(self, now_ms, event):
         raise RuntimeError("two\nlines")
 
-    monkeypatch.setattr(simhost.Controller, "handle", broken)
-    code, out, err = play(START)
+    monkeypatch.setattr(simhost.Controller, "handle", fail)
+    code, out, err = run_lines(START)
     assert code == 0
     assert "INTERNAL_ERROR what=RuntimeError: two lines" in out
     assert "Traceback" in err
 
 
-def test_senseless_settings_are_told_as_a_failure():
-    code, out, _ = play(
+def test_settings_out_of_range_are_reported_as_an_error():
+    code, out, _ = run_lines(
         START.replace("limits.most_tries=3", "limits.most_tries=0").split("LIST")[0] + "EOF_BATCH\n"
     )
     assert code == 0
