--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -66,32 +66,34 @@
         self.now = end
         return actions
 
-    def call(self, to: int = 0, kind: str = PLAIN, left: float = 3000.0, **more: object) -> list[face.Action]:
-        """Offers a call whose caller waits for `left` milliseconds."""
+    def call(
+        self, to: int = 0, kind: str = PLAIN, valid_for_ms: float = 3000.0, **fields: object
+    ) -> list[face.Action]:
+        """Offers a call whose caller waits for `valid_for_ms`."""
         self.call_count += 1
         return self.give(
-            face.CallOffered(f"c{self.call_count}", kind, self.now + left, destination=to, **more)  # type: ignore
+            face.CallOffered(f"c{self.call_count}", kind, self.now + valid_for_ms, destination=to, **fields)  # type: ignore
         )
 
-    def stands(self, sent: face.SetUp, taken: float, attempt: int = 0) -> list[face.Action]:
-        """Reports a call as established after `taken` milliseconds; the clock stays."""
-        return self.give(face.CallStands(sent.call, sent.server, attempt, taken))
+    def stands(self, sent: face.SetUp, elapsed_ms: float, attempt: int = 0) -> list[face.Action]:
+        """Reports a call as established after `elapsed_ms`; the clock stays."""
+        return self.give(face.CallStands(sent.call, sent.server, attempt, elapsed_ms))
 
     def end_attempt(
-        self, sent: face.SetUp, outcome: str, attempt: int = 0, **more: object
+        self, sent: face.SetUp, outcome: str, attempt: int = 0, **fields: object
     ) -> list[face.Action]:
         """Reports the end of an attempt."""
-        taken = more.pop("taken_ms", 30.0)
+        elapsed_ms = fields.pop("taken_ms", 30.0)
         return self.give(
-            face.AttemptEnded(sent.call, sent.server, attempt, face.Outcome(outcome), taken, **more)  # type: ignore
+            face.AttemptEnded(sent.call, sent.server, attempt, face.Outcome(outcome), elapsed_ms, **fields)  # type: ignore
         )
 
-    def serve(self, seconds: float, per_s: float = 8.0, delay: float = 30.0, **more: object) -> int:
+    def serve(self, seconds: float, per_s: float = 8.0, delay: float = 30.0, **fields: object) -> int:
         """Offers calls evenly, each established at once with the given delay; returns how many were sent."""
         sent = 0
         for i in range(int(seconds * per_s)):
             self.wait(1000.0 / per_s)
-            for action in set_ups(self.call(to=i % max(1, len(self.controller.servers)), **more)):
+            for action in set_ups(self.call(to=i % max(1, len(self.controller.servers)), **fields)):
                 sent += 1
                 self.stands(action, delay)
         return sent
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -271,7 +271,7 @@
     gateway.serve(10, per_s=8.0)
     trials = []
     for _ in range(100):
-        for sent in set_ups(gateway.wait(100.0)) + set_ups(gateway.call(to=0, left=1900.0)):
+        for sent in set_ups(gateway.wait(100.0)) + set_ups(gateway.call(to=0, valid_for_ms=1900.0)):
             if sent.server == "s0":
                 trials.append((gateway.now, sent))
             else:
@@ -329,7 +329,7 @@
     gateway = Gateway(1)
     gateway.serve(20, per_s=2.0)
     server = gateway.controller.servers["s0"]
-    (lost,) = set_ups(gateway.call(left=2500.0))
+    (lost,) = set_ups(gateway.call(valid_for_ms=2500.0))
     gateway.wait(1500.0)
     assert server.refusal_probability == 1.0  # cannot be told from an overload yet
     gateway.end_attempt(lost, "timed_out", taken_ms=1500.0, call_over=True)
@@ -378,7 +378,7 @@
     gateway = Gateway(servers=1)
     gateway.serve(20.0, per_s=50.0)
     server = gateway.controller.servers["s0"]
-    gateway.call(left=3000.0)
+    gateway.call(valid_for_ms=3000.0)
     call = next(iter(gateway.controller.calls.values()))
     assert gateway.controller._reserved(call, server) > 0.0
     server.refusal_probability = 2 * CALM_PROBABILITY
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,7 +19,7 @@
 
 def test_rule_1_an_unanswered_call_times_out_before_its_deadline_and_fails_once():
     gateway = Gateway()
-    (sent,) = set_ups(gateway.call(left=2000.0))
+    (sent,) = set_ups(gateway.call(valid_for_ms=2000.0))
     assert sent.cut_at_ms < gateway.now + 2000.0
     gateway.wait(sent.cut_at_ms - gateway.now)
     gateway.end_attempt(sent, "timed_out")
@@ -52,7 +52,7 @@
 def test_rule_2_one_attempt_at_a_time_and_at_most_max_attempts(outcome):
     gateway = Gateway(6)
     open_attempts = 0
-    sent_now = set_ups(gateway.call(left=5000.0))
+    sent_now = set_ups(gateway.call(valid_for_ms=5000.0))
     tries = 0
     while sent_now:
         (sent,) = sent_now
@@ -126,7 +126,7 @@
 
 def test_rule_5_a_call_without_time_to_wait_fails_at_once():
     gateway = Gateway()
-    (sent,) = set_ups(gateway.call(left=300.0))
+    (sent,) = set_ups(gateway.call(valid_for_ms=300.0))
     gateway.wait(200.0)
     assert gateway.end_attempt(sent, "withdrawn")[-1] == face.Fail("c1")
 
@@ -151,7 +151,7 @@
 
 def test_calls_are_answered_in_time_when_the_server_list_is_empty():
     gateway = Gateway(servers=0)
-    gateway.call(left=2000.0)
+    gateway.call(valid_for_ms=2000.0)
     gateway.wait(1990.0)
     assert len(answers(gateway, "c1")) == 1
 
@@ -159,8 +159,8 @@
 def test_calls_of_an_unknown_class_or_of_one_without_servers_are_answered():
     unserved = face.CallClass("lonely", 1.0, 0.0, 1000.0, 5000.0, allowed_pools=(9,))
     gateway = Gateway(classes=(unserved,))
-    gateway.call(kind="lonely", left=2000.0)
-    gateway.call(kind="never heard of", left=2000.0)
+    gateway.call(kind="lonely", valid_for_ms=2000.0)
+    gateway.call(kind="never heard of", valid_for_ms=2000.0)
     gateway.wait(1990.0)
     assert len(answers(gateway, "c1")) == len(answers(gateway, "c2")) == 1
 
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -107,7 +107,7 @@
         ("VERDICT txn=r-a go=0.5 switch=x reason=served time_taken_ms=1", "go is no whole number"),
         ("TARGETS kind=3 gen=4 buffer=9", "buffer is unknown"),
         ("ENTRY switch=a node_no=0 mode=2", "entry outside a list"),
-        ("NEIGHBOUR_SAYS src_peer=0 msg=xyz", "msg is not hex"),
+        ("NEIGHBOUR_SAYS src_peer=0 msg=xyz", "msg is not hexadecimal"),
         ("LIST buffer=0 items=2", "list is short"),
         ("SWITCH_TO gateway_id=gateway/7\nBELL ctx=interval", "gateway not started"),
         ("SWITCH_TO gateway_id=gateway/7\nBOOT salt=1 balancers=2", "is missing"),
