--- a/leadslip/__main__.py
+++ b/leadslip/__main__.py
@@ -1,4 +1,4 @@
-"""One signalling proxy: wiring, signals, exit."""
+"""The signalling proxy process: wires its components, handles signals and shuts down in order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from leadslip import config, parts
 from leadslip.checks import Tally
-from leadslip.core import Deadlines, Engine, Watcher, Watchers
+from leadslip.core import Deadlines, Engine, Observers, Watcher
 from leadslip.counters import Counters
 from leadslip.errors import OperatorError
 from leadslip.logs import Log, open_log
@@ -27,16 +27,15 @@
 from leadslip.parts.part import Part
 from leadslip.readiness import Readiness
 
-DRAIN_MS = 900.0  # new work may still come for so long after SIGTERM
-LISTEN_AFTER_END_MS = (
-    500.0  # new connections may come for 0.4 s after SIGTERM where nobody shares the address
-)
-LAST_SWEEP_MS = 400.0  # before the exit, every connection is closed once it owes no answer
-TALLY_EVERY_MS = 10_000.0
-FLUSH_MS = 120.0  # at the end, for so long callers may take to read the last answers
-FLUSH_LOOK_MS = 10.0  # between two looks whether they have
-# Descriptors beside connections of callers and servers: standard streams, the reactor's own, listeners and their
-# reserve, polls of two boards, calls at the operators' address, files read anew.
+MIN_DRAIN_MS = 900.0  # minimum time between SIGTERM and exit: new requests may still arrive
+# Where no other process shares the address, clients may open connections for up to 400 ms after SIGTERM.
+LISTEN_AFTER_SIGTERM_MS = 500.0
+FINAL_CLOSE_MS = 400.0  # before the exit, for closing each connection as soon as no answer is pending on it
+COUNTS_LOG_INTERVAL_MS = 10_000.0
+FLUSH_TIMEOUT_MS = 120.0  # for callers to read the last answers before the exit
+FLUSH_POLL_MS = 10.0
+# Descriptors other than connections of callers and servers: standard streams, the reactor's own, listeners and their
+# reserve, polls of two notice boards, requests at the operators' address, files read again on a reload.
 OTHER_DESCRIPTORS = 24
 
 
@@ -48,78 +47,78 @@
 
 
 class SystemClock:
-    """Unix milliseconds: the rules, `boot_ms` and all deadlines go by this clock."""
+    """Wall clock in Unix milliseconds; used for the rules, `boot_ms` and all deadlines."""
 
     def now_ms(self) -> float:
         return time.time() * 1000.0
 
 
-def show_errors() -> None:
-    """Let what Twisted catches be read; else an error in a callback would pass unseen."""
-    loud = logger.LogLevelFilterPredicate(defaultLogLevel=logger.LogLevel.error)
-    observer = logger.FilteringLogObserver(logger.textFileLogObserver(sys.stderr), [loud])
+def log_twisted_errors() -> None:
+    """Write errors caught by Twisted to stderr; otherwise exceptions in callbacks would go unnoticed."""
+    errors_only = logger.LogLevelFilterPredicate(defaultLogLevel=logger.LogLevel.error)
+    observer = logger.FilteringLogObserver(logger.textFileLogObserver(sys.stderr), [errors_only])
     logger.globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False, discardBuffer=True)
 
 
-def watcher_of(held: list[Watcher]) -> Watcher | None:
-    """Several watchers as one; none where there is none, which costs an engine nothing."""
-    return held[0] if len(held) == 1 else Watchers(*held) if held else None
+def combine_observers(observers: list[Watcher]) -> Watcher | None:
+    """Combine observers into one; None for an empty list, so that the engine skips notifications."""
+    return observers[0] if len(observers) == 1 else Observers(*observers) if observers else None
 
 
 @dataclass(frozen=True, slots=True)
 class Descriptors:
-    """How the descriptors that the process may hold are shared out, so that no use of them starves another."""
+    """Shares of the file descriptor limit, so that no use of descriptors starves another."""
 
-    callers: int  # connections taken from callers, who hold a third of all
-    spare: int  # more of them, taken only to tell callers to come again
-    servers: int  # connections to setup servers beyond which none is opened that can be done without
+    callers: int  # inbound connections of callers, who hold a third of all
+    overflow: int  # further inbound connections, accepted only to ask callers to retry
+    servers: int  # connections to setup servers; above this only indispensable ones are opened
 
     @classmethod
-    def of(cls, conf: config.Config) -> Descriptors:
-        """By the limit told, or that of the system where it is lower."""
-        most = min(conf.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        spare = most // 16
-        callers = most * 5 // 8 - spare
-        return cls(callers, spare, most - callers - spare - OTHER_DESCRIPTORS)
+    def from_config(cls, conf: config.Config) -> Descriptors:
+        """Divide the configured limit, or that of the system if lower."""
+        limit = min(conf.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        overflow = limit // 16
+        callers = limit * 5 // 8 - overflow
+        return cls(callers, overflow, limit - callers - overflow - OTHER_DESCRIPTORS)
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """All that the files of one proxy ask for; the settings of a part that is off are None."""
+class LoadedConfig:
+    """The complete configuration of one proxy; the settings of a disabled part are None."""
 
     conf: config.Config
     parts: dict[str, object]
 
     @classmethod
-    def load(cls, conf: config.Config) -> Wanted:
-        """Read every file but the first, checked."""
+    def load(cls, conf: config.Config) -> LoadedConfig:
+        """Read and check the files of all parts."""
         return cls(conf, parts.read(conf))
 
 
 class Node:
-    """The parts of one proxy and their life."""
+    """Builds the components of one proxy and controls their lifecycle."""
 
-    def __init__(self, wanted: Wanted, log: Log) -> None:
-        self.wanted, self.log, self.reactor = wanted, log, reactor
-        conf = wanted.conf
+    def __init__(self, loaded: LoadedConfig, log: Log) -> None:
+        self.loaded, self.log, self.reactor = loaded, log, reactor
+        conf = loaded.conf
         self.conf, self.tally, self.clock = conf, Tally(), SystemClock()
         self.readiness = Readiness()
         self.port = None
         self.deadlines = Deadlines(self.clock, reactor)
         self.parts: dict[str, Part] = {}
         watches: dict[str, list[Watcher]] = {"sip": [], "dns": []}
-        for name, told in wanted.parts.items():
-            if told is not None:
-                part = self.parts[name] = parts.wiring(name)(self, told)
+        for name, part_conf in loaded.parts.items():
+            if part_conf is not None:
+                part = self.parts[name] = parts.wiring(name)(self, part_conf)
                 part.watch(watches)
-        self.watches = {name: watcher_of(held) for name, held in watches.items()}
-        descriptors = Descriptors.of(conf)
+        self.watches = {name: combine_observers(observers) for name, observers in watches.items()}
+        descriptors = Descriptors.from_config(conf)
         self.servers = Servers(
             reactor,
             self.tally,
             self.clock.now_ms,
             conf.dial_timeout_ms,
-            self.unknown_end,
+            self.on_unknown_end,
             self.deadlines,
             descriptors.servers,
         )
@@ -139,12 +138,12 @@
         self.figures.watch("pool_size", self.servers.listed_count)
         self.figures.watch("pool_ejected", self.servers.avoided)
         for part in self.parts.values():
-            for name, read in part.figures().items():
-                self.figures.watch(name, read)
+            for name, read_value in part.figures().items():
+                self.figures.watch(name, read_value)
         self.engines = [self.engine]
         self.filter()
         self.clients = Clients(
-            self.engine, self.tally, descriptors.callers, self.readiness, descriptors.spare
+            self.engine, self.tally, descriptors.callers, self.readiness, descriptors.overflow
         )
         self.board = Board(
             reactor,
@@ -152,20 +151,20 @@
             self.tally,
             conf.board,
             conf.last_event,
-            self.told,
+            self.apply_notice,
             conf.dial_timeout_ms / 1000.0,
         )
 
     def filter(self) -> None:
-        """Build the chain of filters that the configuration asks for; what is open keeps its own."""
-        self.engine.chain.replace([held for part in self.parts.values() for held in part.filters()])
+        """Rebuild the filter chain from the configuration; open requests keep the filters that admitted them."""
+        self.engine.chain.replace([filter_ for part in self.parts.values() for filter_ in part.filters()])
 
     def start(self) -> None:
-        """Begin to serve; what is known already comes before anything is polled."""
-        # Before listening: a SIGTERM that comes once the front can reach us must drain, not end.
+        """Start serving; the notices in the configuration are applied before anything is polled."""
+        # Before listening: once the load balancer can reach the proxy, SIGTERM must drain it, not end it.
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(self.drain))
         for notice in self.conf.notices:
-            self.told(notice)
+            self.apply_notice(notice)
         host, _ = self.conf.listen
         self.port = listen_shared(reactor, self.conf.listen, self.clients, backlog=512)
         port = self.port.getHost().port
@@ -180,195 +179,196 @@
         self.board.poll()
         for part in self.parts.values():
             part.start()
-        self.report()
+        self.log_counters()
         gc.collect()
         gc.freeze()
         self.readiness.listening = True
         self.log("serves", name=self.conf.name, address=f"{host}:{port}")
 
-    def told(self, notice: config.Notice) -> None:
-        """News of the list: the far side first, so that the engine can send where it has heard of."""
+    def apply_notice(self, notice: config.Notice) -> None:
+        """Apply a server list update: upstream first, as the engine may send to new servers at once."""
         self.servers.listed(notice.news, notice.addresses)
         self.engine.news(notice.news)
 
     def calls(self) -> Calls:
-        """What operators may call: the proxy's own calls, and those of its parts."""
+        """Return the endpoints at the operators' address: those of the proxy and of its parts."""
 
-        def ready(asked: Asked) -> Answer:
+        def ready(request: Asked) -> Answer:
             return Answer(200, b"ready\n") if self.readiness.ready() else Answer(503, b"not ready\n")
 
-        def out(asked: Asked) -> Answer:
-            self.out()
+        def take_out(request: Asked) -> Answer:
+            self.take_out_of_service()
             return Answer(200, b"out of service\n")
 
-        def back(asked: Asked) -> Answer:
-            self.back()
+        def put_back(request: Asked) -> Answer:
+            self.return_to_service()
             return Answer(200, b"in service\n")
 
-        told: Calls = {
+        endpoints: Calls = {
             b"ready": Verbs({b"GET": ready, b"HEAD": ready}),
-            b"counters": Verbs({b"GET": lambda asked: Answer(200, self.figures.text())}),
-            b"out-of-service": Verbs({b"PUT": out, b"POST": out}),
-            b"in-service": Verbs({b"PUT": back, b"POST": back}),
+            b"counters": Verbs({b"GET": lambda request: Answer(200, self.figures.text())}),
+            b"out-of-service": Verbs({b"PUT": take_out, b"POST": take_out}),
+            b"in-service": Verbs({b"PUT": put_back, b"POST": put_back}),
         }
         for part in self.parts.values():
-            told |= part.calls()
-        return told
+            endpoints |= part.calls()
+        return endpoints
 
-    def out(self) -> None:
-        """Operators send clients away; the process goes on."""
+    def take_out_of_service(self) -> None:
+        """Drain client connections on an operator's request; the process keeps running."""
         if self.readiness.out_of_service(self.clock.now_ms()):
             self.log("out_of_service")
             self.clients.send_away()
-            self.told_service()
+            self.notify_service_state()
 
-    def back(self) -> None:
-        """Operators take clients again."""
+    def return_to_service(self) -> None:
+        """Accept clients again on an operator's request."""
         if self.readiness.in_service():
             self.log("in_service")
-            self.told_service()
+            self.notify_service_state()
 
-    def told_service(self) -> None:
-        """Tell the parts whether this proxy takes clients."""
-        told = self.readiness.service()
+    def notify_service_state(self) -> None:
+        """Notify the parts of the proxy's service state."""
+        service_state = self.readiness.service()
         for part in self.parts.values():
-            part.service(told)
+            part.service(service_state)
 
-    def unknown_end(self, call: bytes, cut: bool) -> None:
-        """A server ends a call never held here: it stands since before a restart, and its caller is told."""
+    def on_unknown_end(self, call: bytes, cut: bool) -> None:
+        """A server ended a call unknown here, such as one set up before a restart: notify its caller."""
         self.tally.add("servers.unknown_ends")
         self.clients.release(call.hex(), cut)
         for part in self.parts.values():
             part.ended_elsewhere(call.hex())
 
-    def report(self, _: object = None) -> None:
-        """Log the counters now and then."""
-        told = sorted(self.tally.counts.items())
-        self.log("counts", **{name.replace(" ", "_"): count for name, count in told})
-        self.deadlines.at(self.clock.now_ms() + TALLY_EVERY_MS, self.report)
+    def log_counters(self, _: object = None) -> None:
+        """Log the counters periodically."""
+        counts = sorted(self.tally.counts.items())
+        self.log("counts", **{name.replace(" ", "_"): count for name, count in counts})
+        self.deadlines.at(self.clock.now_ms() + COUNTS_LOG_INTERVAL_MS, self.log_counters)
 
     def reload(self) -> None:
-        """SIGHUP: take all configuration anew, or none of it and say why."""
-        if self.engine.settled:
-            return  # the process ends: there is nothing left to which settings could apply
+        """SIGHUP: apply the whole new configuration, or reject it and log the reason."""
+        if self.engine.stopped:
+            return  # the process is shutting down
         try:
             conf = config.reload(self.conf)
-            wanted = Wanted.load(conf)
-            running = parts.fixed(self.wanted.parts)
-            for key, lasting in parts.fixed(wanted.parts).items():
-                if lasting != running[key]:
+            loaded = LoadedConfig.load(conf)
+            running = parts.fixed(self.loaded.parts)
+            for key, fixed_settings in parts.fixed(loaded.parts).items():
+                if fixed_settings != running[key]:
                     raise config.FixedError(f"{key} can't change without a restart")
             if (conf.settings, conf.most_held) != (self.conf.settings, self.conf.most_held):
-                self.engine.adopt(conf.settings, conf.most_held)  # first, as the Controller may refuse them
-        except OperatorError as fault:
+                self.engine.adopt(conf.settings, conf.most_held)  # first, as the Controller may reject them
+        except OperatorError as error:
             self.figures.config_rejected += 1
             self.tally.add("reloads.rejected")
-            self.log("reload.refused", level="error", **fault.fields())
+            self.log("reload.refused", level="error", **error.fields())
             return
-        old, self.conf, self.wanted = self.conf, conf, wanted
+        old, self.conf, self.loaded = self.conf, conf, loaded
         for name, part in self.parts.items():
-            part.retuned(wanted.parts[name])
+            part.retuned(loaded.parts[name])
         self.filter()
         self.figures.config_applied += 1
         self.tally.add("reloads")
         self.servers.dial_timeout_s = conf.dial_timeout_ms / 1000.0
-        descriptors = Descriptors.of(conf)
-        self.clients.accepted.most, self.clients.accepted.spare = descriptors.callers, descriptors.spare
+        descriptors = Descriptors.from_config(conf)
+        self.clients.accepted.most, self.clients.accepted.spare = descriptors.callers, descriptors.overflow
         self.servers.most_links = descriptors.servers
         for notice in conf.notices:
             if notice.rev > self.board.last:
                 self.board.last = notice.rev
-                self.told(notice)
+                self.apply_notice(notice)
         if conf.board != old.board:
             self.board.move(conf.board)
         self.log("reload.taken")
 
     def drain(self) -> None:
-        """SIGTERM: no more connections are taken here; what is held is answered, and clients are sent away."""
-        if not self.readiness.end(self.clock.now_ms(), self.longest()):
+        """SIGTERM: stop accepting connections, answer the open requests and drain client connections."""
+        if not self.readiness.end(self.clock.now_ms(), self.longest_deadline_ms()):
             return
         if self.port is not None:
-            self.deadlines.at(self.clock.now_ms() + LISTEN_AFTER_END_MS, lambda _: stop_shared(self.port))
+            self.deadlines.at(self.clock.now_ms() + LISTEN_AFTER_SIGTERM_MS, lambda _: stop_shared(self.port))
         self.log("draining")
-        self.told_service()
+        self.notify_service_state()
         self.clients.send_away()
-        self.drained()
+        self.exit_when_drained()
 
-    def drained(self, _: object = None) -> None:
-        """Exit once all is settled, or shortly before the kill."""
+    def exit_when_drained(self, _: object = None) -> None:
+        """Exit once no call depends on this process, or shortly before SIGKILL; otherwise check again."""
         now_ms = self.clock.now_ms()
-        ending_ms, last_ms = self.readiness.ending_ms, self.readiness.last_ms(self.longest())
-        # What stands can be told only on a connection from callers; once none is left, the servers tell its end
-        # to whoever else they serve, a new process beside this one among them.
-        held = any(engine.open for engine in self.engines) or (self.engine.standing and self.clients.links)
-        if now_ms >= last_ms - LAST_SWEEP_MS:
-            # Guards against connections that the exit would end under a set-up: each is closed once it is free,
-            # so that what crosses the close is sent again by its caller.
+        ending_ms, last_ms = self.readiness.ending_ms, self.readiness.last_ms(self.longest_deadline_ms())
+        # The end of an established call can be reported only on a connection from a caller. Once none is left, the
+        # servers report it to their other clients, such as a new process beside this one.
+        pending = any(engine.open for engine in self.engines) or (self.engine.standing and self.clients.links)
+        if now_ms >= last_ms - FINAL_CLOSE_MS:
+            # Prevents the exit from dropping connections during a set-up: each is closed once no answer is pending,
+            # so that callers resend a set-up that crosses the close.
             for link in self.clients.links:
                 link.still_used = True
-        if now_ms >= last_ms or (now_ms >= ending_ms + DRAIN_MS and not held):
-            self.leave()
+        if now_ms >= last_ms or (now_ms >= ending_ms + MIN_DRAIN_MS and not pending):
+            self.begin_exit()
             return
-        self.deadlines.at(now_ms + 50.0, self.drained)
+        self.deadlines.at(now_ms + 50.0, self.exit_when_drained)
 
-    def longest(self) -> float:
-        """The longest deadline of a class, ms."""
-        return max(kind.deadline_ms for kind in self.conf.settings.classes)
+    def longest_deadline_ms(self) -> float:
+        """Return the longest deadline of all classes."""
+        return max(call_class.deadline_ms for call_class in self.conf.settings.classes)
 
-    def leave(self) -> None:
-        """The end, in one order: nothing more is sent, all is answered, what is written gets out, connections close.
+    def begin_exit(self) -> None:
+        """Shut down in order: stop sending set-ups, answer all requests, flush the answers, close connections.
 
-        Guards against what is still open being found unanswered by the kill, and against requests taken while the
-        last answers are on their way.
+        Prevents SIGKILL from leaving open requests unanswered, and requests from being accepted while the last
+        answers are being sent.
         """
         self.board.stop()
         for engine in self.engines:
             engine.settle()
         for part in self.parts.values():
             part.close()
-        self.report()
-        self.flushed(self.clock.now_ms() + FLUSH_MS)
+        self.log_counters()
+        self.stop_when_flushed(self.clock.now_ms() + FLUSH_TIMEOUT_MS)
 
-    def flushed(self, last_ms: float) -> None:
-        """Stop once callers have all that was written for them, or at the last moment."""
+    def stop_when_flushed(self, last_ms: float) -> None:
+        """Stop the reactor once all answers have been flushed to the callers, or at `last_ms`."""
         now_ms = self.clock.now_ms()
         if now_ms < last_ms and not self.clients.finish():
-            self.deadlines.at(now_ms + FLUSH_LOOK_MS, self.flushed, last_ms)
+            self.deadlines.at(now_ms + FLUSH_POLL_MS, self.stop_when_flushed, last_ms)
             return
-        reactor.callLater(FLUSH_LOOK_MS / 1000.0, reactor.stop)  # servers are told of what is given up first
+        # The delay lets cancellations of unfinished attempts reach the servers first.
+        reactor.callLater(FLUSH_POLL_MS / 1000.0, reactor.stop)
 
 
 def main() -> int:
-    """Run until a SIGTERM has been served; 2 when the configuration makes no sense."""
+    """Run until shut down by SIGTERM; returns 2 for an invalid configuration or an address that cannot be used."""
     node = None
-    # One that comes before anything is taken ends the program as one does that comes later.
+    # A SIGTERM before the proxy listens exits with status 0, as a later one does.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
-    # Hooked first, as a SIGHUP not yet hooked ends the process; one that comes early waits for the reactor.
+    # Installed first, as SIGHUP without a handler ends the process; an early one waits until the reactor runs.
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(lambda: node.reload()))
     try:
-        wanted = Wanted.load(config.load())
-        show_errors()
-        logs = wanted.parts["logs"]
-        node = Node(wanted, open_log(logs.format, logs.level, wanted.conf.name))
-    except OperatorError as fault:
-        print(f"leadslip: {fault.line()}", file=sys.stderr)
+        loaded = LoadedConfig.load(config.load())
+        log_twisted_errors()
+        logs = loaded.parts["logs"]
+        node = Node(loaded, open_log(logs.format, logs.level, loaded.conf.name))
+    except OperatorError as error:
+        print(f"leadslip: {error.line()}", file=sys.stderr)
         return 2
-    failed = []
+    failures = []
 
     def start() -> None:
         try:
             node.start()
-        except net_error.CannotListenError as fault:
-            failed.append(ListenError(str(fault)).line())
+        except net_error.CannotListenError as error:
+            failures.append(ListenError(str(error)).line())
             reactor.stop()
-        except OperatorError as fault:
-            failed.append(fault.line())
+        except OperatorError as error:
+            failures.append(error.line())
             reactor.stop()
 
     reactor.callWhenRunning(start)
     reactor.run()
-    if failed:
-        print(f"leadslip: {failed[0]}", file=sys.stderr)
+    if failures:
+        print(f"leadslip: {failures[0]}", file=sys.stderr)
         return 2
     return 0
 
--- a/leadslip/core.py
+++ b/leadslip/core.py
@@ -1,8 +1,9 @@
-"""The wire-free engine: requests, attempts, outcomes and timers, driven by the Controller's decisions.
+"""Call engine: tracks requests and attempts and carries out the Controller's decisions, without network I/O.
 
-A front offers requests and gets exactly one final answer for each; the far side carries attempts out and
-tells their outcomes. The engine keeps the rules whatever the Controller or a peer does: one final answer, one
-attempt out, deadlines, the wait after a release, drains. All times are Unix milliseconds of one clock.
+The downstream side offers requests and receives exactly one final answer for each; the upstream side sends the
+attempts to setup servers and reports their outcomes. Whatever the Controller or a peer does, the engine enforces
+one final answer, one attempt in progress, deadlines, the wait after a release, and drains. All times are Unix
+milliseconds of one clock.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 from leadslip.logs import Log
 from leadslip.request import Attempt, Request, State
 
-AWAY = (face.Outcome.TIMED_OUT, face.Outcome.CUT, face.Outcome.WITHDRAWN)
+RELEASE_WAIT_OUTCOMES = (face.Outcome.TIMED_OUT, face.Outcome.CUT, face.Outcome.WITHDRAWN)
 
 
 class FarSide(Protocol):
-    """Carries attempts to servers; tells what became of them by Engine.stood and Engine.ended."""
+    """Sends attempts to setup servers and reports their results through Engine.stood and Engine.ended."""
 
     def send(self, attempt: Attempt) -> face.Outcome | None:
-        """Send a set-up; an outcome tells at once that it never left."""
+        """Send a set-up; returns an outcome if it could not be sent, else None."""
 
     def give_up(self, attempt: Attempt) -> None: ...
 
@@ -35,30 +36,30 @@
 
 
 class Watcher(Protocol):
-    """Told of what has ended, for traces and metrics."""
+    """Notified of ended attempts and answered requests, for traces and metrics."""
 
     def attempt_ended(self, attempt: Attempt, outcome: face.Outcome, now_ms: float) -> None: ...
 
     def request_answered(self, request: Request, answer: str, now_ms: float) -> None: ...
 
 
-class Watchers:
-    """Several watchers as one, in order."""
+class Observers:
+    """Notifies several observers in order."""
 
-    def __init__(self, *watchers: Watcher) -> None:
-        self.watchers = watchers
+    def __init__(self, *observers: Watcher) -> None:
+        self.observers = observers
 
     def attempt_ended(self, attempt: Attempt, outcome: face.Outcome, now_ms: float) -> None:
-        for watcher in self.watchers:
-            watcher.attempt_ended(attempt, outcome, now_ms)
+        for observer in self.observers:
+            observer.attempt_ended(attempt, outcome, now_ms)
 
     def request_answered(self, request: Request, answer: str, now_ms: float) -> None:
-        for watcher in self.watchers:
-            watcher.request_answered(request, answer, now_ms)
+        for observer in self.observers:
+            observer.request_answered(request, answer, now_ms)
 
 
 class Engine:
-    """Holds the requests of one proxy and keeps the rules for each."""
+    """Holds the requests of one proxy and enforces the protocol's rules on each."""
 
     def __init__(
         self,
@@ -79,57 +80,56 @@
         self.far_side, self.tally, self.log, self.most_held = far_side, tally, log, most_held
         self.watcher = watcher
         self.counters = counters or Counters()
-        self.counters.count_classes(kind.name for kind in settings.classes)
+        self.counters.count_classes(call_class.name for call_class in settings.classes)
         self.counters.watch("active", self.active)
-        self.attempt_ms = attempt_ms  # the longest, where a peer's silence must leave time for another
+        self.attempt_ms = attempt_ms  # upper limit per attempt, so that a silent peer leaves time for another
         self.chain = Chain(tally, log)
         self.open: dict[str, Request] = {}
         self.standing: dict[str, Request] = {}
         self.states: dict[str, face.ServerState] = {}
-        self.entries: dict[str, face.ListEntry] = {}  # as the list tells them
-        self.off: frozenset[str] = frozenset()  # servers that operators hold off
-        self.told_ms: dict[str, float] = {}  # when a server was told to drain or be gone
+        self.entries: dict[str, face.ListEntry] = {}  # as in the server list, before local drains
+        self.out_of_rotation: frozenset[str] = frozenset()  # servers taken out of rotation by operators
+        self.unavailable_since_ms: dict[str, float] = {}  # when each server was reported as draining or gone
         self.events: deque[face.Event] = deque()
-        self.feeding = False
-        self.settled = False  # the process ends: nothing more is sent
+        self.dispatching = False
+        self.stopped = False  # the process is shutting down: nothing more is sent
 
     def adopt(self, settings: face.Settings, most_held: int) -> None:
-        """Take settings that have changed while running; requests already held keep their deadlines and attempts.
+        """Apply changed settings while running; open requests keep their deadlines and attempt limits.
 
-        Raises SettingsError, before anything changes, for settings that the Controller can't take.
+        Raises SettingsError, before anything changes, for settings that the Controller rejects.
         """
-        self.controller.adopt(
-            settings
-        )  # first: it refuses settings that make no sense, and nothing has changed
+        # First, since the Controller raises for invalid settings and nothing may have changed by then.
+        self.controller.adopt(settings)
         self.settings, self.most_held = settings, most_held
-        self.counters.count_classes(kind.name for kind in settings.classes)
+        self.counters.count_classes(call_class.name for call_class in settings.classes)
 
     def settle(self) -> None:
-        """Answer all that is open now, and refuse whatever still comes, since nothing can be answered later."""
-        self.settled = True
+        """Fail all open requests now and refuse new ones, since nothing can be answered after the exit."""
+        self.stopped = True
         for request in list(self.open.values()):
-            self._overdue(request)
+            self._on_overall_deadline(request)
 
-    # What the list says.
+    # Server list updates.
 
     def news(self, news: face.ListNews) -> None:
-        """Take news of the server list; what drains is remembered for the drain rule."""
-        news = self._masked(news)
+        """Apply a server list update, and note when servers start to drain for the drain grace."""
+        news = self._mask_drained(news)
         if news.kind is not face.NewsKind.CHANGES:
             listed = {entry.server for entry in news.entries}
             for server in self.states.keys() - listed:
-                self._state(server, face.ServerState.GONE)
+                self._set_state(server, face.ServerState.GONE)
         for entry in news.entries:
-            self._state(entry.server, entry.state)
-        # Guards against growth without end where servers are replaced by new ones under new ids.
-        grace_ms = self.clock.now_ms() - self.settings.drain_grace_ms
-        for server, told_ms in list(self.told_ms.items()):
-            if self.states[server] is face.ServerState.GONE and told_ms <= grace_ms:
-                del self.told_ms[server], self.states[server]
-        self._feed(news)
-
-    def _masked(self, news: face.ListNews) -> face.ListNews:
-        """The news as they count here: a server that is held off drains, whatever the list tells."""
+            self._set_state(entry.server, entry.state)
+        # Prevents unbounded growth where servers are repeatedly replaced by new ones under new ids.
+        drained_before_ms = self.clock.now_ms() - self.settings.drain_grace_ms
+        for server, since_ms in list(self.unavailable_since_ms.items()):
+            if self.states[server] is face.ServerState.GONE and since_ms <= drained_before_ms:
+                del self.unavailable_since_ms[server], self.states[server]
+        self._dispatch(news)
+
+    def _mask_drained(self, news: face.ListNews) -> face.ListNews:
+        """Return the update with servers out of rotation marked as draining, whatever the list reports."""
         if news.kind is not face.NewsKind.CHANGES:
             self.entries.clear()
         for entry in news.entries:
@@ -137,47 +137,47 @@
                 self.entries.pop(entry.server, None)
             else:
                 self.entries[entry.server] = entry
-        if not self.off:
+        if not self.out_of_rotation:
             return news
-        told = (
+        masked_entries = (
             replace(entry, state=face.ServerState.DRAINING)
-            if entry.server in self.off and entry.state is face.ServerState.READY
+            if entry.server in self.out_of_rotation and entry.state is face.ServerState.READY
             else entry
             for entry in news.entries
         )
-        return replace(news, entries=tuple(told))
+        return replace(news, entries=tuple(masked_entries))
 
     def hold(self, servers: frozenset[str]) -> None:
-        """Send nothing new to these servers, and to those held off before again."""
-        changed, self.off = servers ^ self.off, servers
+        """Take exactly these servers out of rotation; others taken out earlier return to it."""
+        changed, self.out_of_rotation = servers ^ self.out_of_rotation, servers
         entries = tuple(self.entries[name] for name in sorted(changed) if name in self.entries)
         if entries:
             self.news(face.ListNews(face.NewsKind.CHANGES, entries))
 
-    def _state(self, server: str, state: face.ServerState) -> None:
+    def _set_state(self, server: str, state: face.ServerState) -> None:
         if state is face.ServerState.READY:
-            self.told_ms.pop(server, None)
+            self.unavailable_since_ms.pop(server, None)
         elif self.states.get(server) in (face.ServerState.READY, None):
-            self.told_ms[server] = self.clock.now_ms()
+            self.unavailable_since_ms[server] = self.clock.now_ms()
         self.states[server] = state
 
-    # What fronts say.
+    # Called by the downstream side.
 
     def offer(self, request: Request, room: bool = True) -> None:
-        """Take a request; it gets its one final answer through its front, at once where that has no room for it."""
+        """Accept a request; its one final answer goes to its `front`. Without `room` it is refused at once."""
         now_ms = request.taken_ms = self.clock.now_ms()
         request.most_tries = self.settings.max_attempts
         self.tally.add("requests")
         if request.id in self.open or request.id in self.standing:
-            # An id must not come twice; the second asker still gets an answer, the first keeps its call.
+            # Ids must be unique: the second request fails, the first keeps its call.
             self.tally.add("requests.doubled")
-            request.state = State.OVER
+            request.state = State.ENDED
             self.counters.answered(request.call_class, "errors")
             request.front.failed(request)
             return
         self.open[request.id] = request
-        if self.settled or not room or len(self.open) > self.most_held:
-            self.tally.add("requests.after_the_end" if self.settled else "requests.over_most_held")
+        if self.stopped or not room or len(self.open) > self.most_held:
+            self.tally.add("requests.after_the_end" if self.stopped else "requests.over_most_held")
             self._refuse(request, 0.0)
             return
         if self.chain.filters:
@@ -185,11 +185,11 @@
             if refused is not None:
                 self._refuse(request, refused.pause_ms)
                 return
-        # Guards against a Controller that holds a call for ever: rule 1 does not hang on any decision.
-        request.guard = self.deadlines.at(
-            max(now_ms, request.valid_until_ms - self.settings.tick_ms), self._overdue, request
+        # Prevents a request from staying unanswered if the Controller never decides about it.
+        request.overall_deadline = self.deadlines.at(
+            max(now_ms, request.valid_until_ms - self.settings.tick_ms), self._on_overall_deadline, request
         )
-        self._feed(
+        self._dispatch(
             face.CallOffered(
                 request.id,
                 request.call_class,
@@ -203,36 +203,36 @@
         )
 
     def cancel(self, request: Request) -> None:
-        """The caller has left; nothing is owed any more, and what is out is given up at its server."""
+        """The caller has left: no answer is due any more, and an attempt in progress is cancelled at its server."""
         if request.state is not State.OPEN:
-            return  # the answer and the caller's leaving have crossed
-        self._close(request)
+            return  # the cancellation crossed the answer
+        self._mark_closed(request)
         self.tally.add("requests.cancelled")
-        self._over(request)
-        self._watch(request, "cancelled")
-        self._feed(face.CallerLeft(request.id))
+        self._notify_filters_ended(request)
+        self._notify_observer(request, "cancelled")
+        self._dispatch(face.CallerLeft(request.id))
         if request.attempt is not None:
             self.ended(request.attempt, face.Outcome.WITHDRAWN)
 
     def hang_up(self, request: Request) -> None:
-        """The caller ends a standing call."""
+        """The caller ends an established call."""
         if request.state is not State.STANDING:
             return
         attempt = request.attempt
         if attempt is not None and attempt.out:
             self.far_side.release(attempt)
-            self._finish(attempt, face.Outcome.SERVED, tell=False)
+            self._finish(attempt, face.Outcome.SERVED, notify=False)
 
-    # What the far side says.
+    # Called by the upstream side.
 
     def stood(self, attempt: Attempt, payload: object) -> None:
-        """An attempt's answer came: it reaches the asker on its own, unless the request is over."""
+        """An attempt was answered: pass the answer on, unless the request has already ended."""
         request = attempt.request
         if not attempt.out or attempt.stands or request.state is not State.OPEN:
             return
         self.deadlines.cancel(attempt.deadline)
         attempt.stands = True
-        self._close(request)
+        self._mark_closed(request)
         request.state = State.STANDING
         self.standing[request.id] = request
         self.tally.add("answers.stands")
@@ -240,9 +240,9 @@
         now_ms = self.clock.now_ms()
         if request.passed:
             self.chain.stood(request, now_ms)
-        self._watch(request, "stands")
+        self._notify_observer(request, "stands")
         request.front.stands(request, payload)
-        self._feed(face.CallStands(request.id, attempt.server, attempt.index, now_ms - attempt.sent_ms))
+        self._dispatch(face.CallStands(request.id, attempt.server, attempt.index, now_ms - attempt.sent_ms))
 
     def ended(
         self,
@@ -251,18 +251,18 @@
         cause: face.Cause = face.Cause.NONE,
         load: face.Load | None = None,
     ) -> None:
-        """An attempt, or the standing call that came of it, has ended."""
+        """An attempt, or the call established by it, has ended."""
         if not attempt.out:
-            return  # a report that crossed our own end of it
+            return  # the report crossed the end of the attempt on this side
         if outcome is face.Outcome.WITHDRAWN or outcome is face.Outcome.TIMED_OUT:
-            # The server may still work on it: it is told, so that what the call holds comes free.
+            # The server may still be working on it: cancel it there, so that its resources are released.
             self.far_side.give_up(attempt)
         self._finish(attempt, outcome, cause, load)
 
     def spent(self, attempt: Attempt) -> None:
-        """A call has stood and come to its end while its answer never came.
+        """A call was established and has ended although its answer never arrived.
 
-        Guards against setting it up again: it has run, and its end would be taken for the other attempt's.
+        Prevents another attempt: the call has already taken place, and its end would be attributed to the new one.
         """
         request = attempt.request
         if not attempt.out:
@@ -270,39 +270,40 @@
         if request.state is State.OPEN:
             self.tally.add("requests.spent")
             self._fail(request)
-            self._feed(face.CallerLeft(request.id))
+            self._dispatch(face.CallerLeft(request.id))
         self.ended(attempt, face.Outcome.CUT)
 
     def active(self) -> int:
-        """Requests taken and not yet ended: open, or answered with a call that stands."""
+        """Number of requests that are open or answered with a call still established."""
         return len(self.open) + len(self.standing)
 
     def wanted(self, attempt: Attempt) -> bool:
-        """Whether a set-up may leave now; the far side asks just before it writes one.
+        """Whether a set-up may be sent now; the upstream side checks just before it writes one.
 
-        Guards against set-ups for a caller that has gone: its leaving may lie unread, behind what else came in the
-        same turn or while the process had no processor, and what waited for a connection may be out of time.
+        Prevents set-ups for a caller that has left: its cancellation may still be unread, after other data received
+        in the same read or while the process got no CPU time; and a set-up that waited for a connection may have
+        passed its attempt time-out.
         """
         request = attempt.request
         request.front.catch_up(request)
         return attempt.out and request.state is State.OPEN and self.clock.now_ms() < attempt.cut_at_ms
 
     def written(self, attempt: Attempt) -> None:
-        """The far side has written an attempt's set-up whole to its server: a try."""
+        """The upstream side has fully written an attempt's set-up; counts as a try."""
         self.counters.tried(attempt.request.call_class)
 
     def looked(self, server: str, load: face.Load) -> None:
-        """Unasked news of a server's lines."""
-        self._feed(face.ServerLooked(server, face.Outcome.SERVED, 0.0, load))
+        """A server has sent an unsolicited load report."""
+        self._dispatch(face.ServerLooked(server, face.Outcome.SERVED, 0.0, load))
 
     def sent_to(self, server: str) -> bool:
-        """Whether set-ups may still leave for a server; asked again by what had to wait for a connection."""
-        told_ms = self.told_ms.get(server)
+        """Whether new set-ups may be sent to a server; checked again for those that waited for a connection."""
+        since_ms = self.unavailable_since_ms.get(server)
         if server not in self.states:
             return False
-        return told_ms is None or self.clock.now_ms() < told_ms + self.settings.drain_grace_ms
+        return since_ms is None or self.clock.now_ms() < since_ms + self.settings.drain_grace_ms
 
-    # Within.
+    # Internal.
 
     def _finish(
         self,
@@ -310,55 +311,55 @@
         outcome: face.Outcome,
         cause: face.Cause = face.Cause.NONE,
         load: face.Load | None = None,
-        tell: bool = True,
+        notify: bool = True,
     ) -> None:
         request, now_ms = attempt.request, self.clock.now_ms()
         attempt.out = False
         self.deadlines.cancel(attempt.deadline)
         request.attempt = None
-        if outcome in AWAY:
-            request.away_until_ms = now_ms + self.settings.release_wait_ms
+        if outcome in RELEASE_WAIT_OUTCOMES:
+            request.not_before_ms = now_ms + self.settings.release_wait_ms
         self.tally.add("attempts." + outcome.value)
         if self.watcher is not None:
             self.watcher.attempt_ended(attempt, outcome, now_ms)
         if request.state is State.STANDING:
-            request.state = State.OVER
+            request.state = State.ENDED
             self.standing.pop(request.id, None)
             if request.passed:
                 self.chain.ended(request, now_ms)
-            if tell:
+            if notify:
                 request.front.over(request, outcome is not face.Outcome.SERVED)
-        self._feed(
+        self._dispatch(
             face.AttemptEnded(
                 request.id,
                 attempt.server,
                 attempt.index,
                 outcome,
                 now_ms - attempt.sent_ms,
-                request.state is State.OVER,
+                request.state is State.ENDED,
                 cause,
                 0.0,
                 load,
             )
         )
 
-    def _feed(self, event: face.Event) -> None:
-        """Hand events to the Controller in order; what its actions cause waits until they are done."""
+    def _dispatch(self, event: face.Event) -> None:
+        """Pass events to the Controller in order; events caused by its actions are queued until these are done."""
         self.events.append(event)
-        if self.feeding:
+        if self.dispatching:
             return
-        self.feeding = True
+        self.dispatching = True
         try:
             while self.events:
                 for action in self.controller.handle(self.clock.now_ms(), self.events.popleft()):
-                    self._act(action)
+                    self._execute(action)
         finally:
-            self.feeding = False
+            self.dispatching = False
 
-    def _act(self, action: face.Action) -> None:
+    def _execute(self, action: face.Action) -> None:
         match action:
             case face.SetUp(call, server, cut_at_ms):
-                self._send(call, server, cut_at_ms)
+                self._send_attempt(call, server, cut_at_ms)
             case face.Refuse(call, pause_ms):
                 request = self.open.get(call)
                 if self.tally.must(request is not None, "one final answer"):
@@ -372,76 +373,76 @@
                 if request is not None and request.attempt and request.attempt.index == attempt:
                     self.ended(request.attempt, face.Outcome.WITHDRAWN)
             case face.SetTimer(after_ms, token):
-                self.deadlines.at(self.clock.now_ms() + after_ms, self._timer, token)
+                self.deadlines.at(self.clock.now_ms() + after_ms, self._on_timer, token)
             case face.Log(text):
                 self.log("decision", text=text)
             case _:
-                # The list is pushed here; probes and peers are not to be had.
+                # The server list is pushed to this engine; polling it, probes and peer messages are unsupported.
                 self.tally.add("actions.unsupported")
 
-    def _timer(self, token: str) -> None:
-        self._feed(face.TimerDue(token))
+    def _on_timer(self, token: str) -> None:
+        self._dispatch(face.TimerDue(token))
 
-    def _send(self, call: str, server: str, cut_at_ms: float) -> None:
-        request, now_ms, must = self.open.get(call), self.clock.now_ms(), self.tally.must
-        if not must(request is not None, "a set-up is for an open request"):
+    def _send_attempt(self, call: str, server: str, cut_at_ms: float) -> None:
+        request, now_ms, check = self.open.get(call), self.clock.now_ms(), self.tally.must
+        if not check(request is not None, "a set-up is for an open request"):
             return
-        if not must(request.attempt is None, "one attempt out"):
+        if not check(request.attempt is None, "one attempt out"):
             return
-        longest_ms = min(self.attempt_ms, request.attempt_ms)
-        cut_at_ms = min(cut_at_ms or request.valid_until_ms, request.valid_until_ms, now_ms + longest_ms)
-        attempt = Attempt(request, server, request.tries, now_ms, cut_at_ms)
+        max_attempt_ms = min(self.attempt_ms, request.attempt_ms)
+        cut_at_ms = min(cut_at_ms or request.valid_until_ms, request.valid_until_ms, now_ms + max_attempt_ms)
+        attempt = Attempt(request, server, request.attempt_count, now_ms, cut_at_ms)
         request.attempt = attempt
-        request.tries += 1
-        legal = must(request.tries <= request.most_tries, "most attempts")
-        legal = must(now_ms >= request.away_until_ms, "release wait") and legal
-        legal = must(self.sent_to(server), "nothing new after a drain") and legal
-        outcome = self.far_side.send(attempt) if legal and now_ms < cut_at_ms else face.Outcome.NOT_SENT
+        request.attempt_count += 1
+        allowed = check(request.attempt_count <= request.most_tries, "most attempts")
+        allowed = check(now_ms >= request.not_before_ms, "release wait") and allowed
+        allowed = check(self.sent_to(server), "nothing new after a drain") and allowed
+        outcome = self.far_side.send(attempt) if allowed and now_ms < cut_at_ms else face.Outcome.NOT_SENT
         if outcome is not None:
             self._finish(attempt, outcome)
         elif attempt.out:
-            attempt.deadline = self.deadlines.at(cut_at_ms, self._timed_out, attempt)
+            attempt.deadline = self.deadlines.at(cut_at_ms, self._on_attempt_timeout, attempt)
 
-    def _timed_out(self, attempt: Attempt) -> None:
+    def _on_attempt_timeout(self, attempt: Attempt) -> None:
         self.ended(attempt, face.Outcome.TIMED_OUT)
 
-    def _overdue(self, request: Request) -> None:
+    def _on_overall_deadline(self, request: Request) -> None:
         if request.state is not State.OPEN:
             return
         self.tally.add("requests.overdue")
         self._fail(request)
-        self._feed(face.CallerLeft(request.id))
+        self._dispatch(face.CallerLeft(request.id))
         if request.attempt is not None:
             self.ended(request.attempt, face.Outcome.TIMED_OUT)
 
-    def _close(self, request: Request) -> None:
-        """Nothing more is owed."""
+    def _mark_closed(self, request: Request) -> None:
+        """Record that a request needs no further answer."""
         self.tally.must(request.state is State.OPEN, "one final answer")
-        request.state = State.OVER
-        self.deadlines.cancel(request.guard)
+        request.state = State.ENDED
+        self.deadlines.cancel(request.overall_deadline)
         self.open.pop(request.id, None)
 
-    def _over(self, request: Request) -> None:
-        """It ends without standing: the filters that passed it are told."""
+    def _notify_filters_ended(self, request: Request) -> None:
+        """Notify the filters that admitted a request that it ended without an established call."""
         if request.passed:
             self.chain.ended(request, self.clock.now_ms())
 
     def _refuse(self, request: Request, pause_ms: float) -> None:
-        self._close(request)
-        self._over(request)
+        self._mark_closed(request)
+        self._notify_filters_ended(request)
         self.tally.add("answers.refused")
         self.counters.answered(request.call_class, "shed")
-        self._watch(request, "refused")
+        self._notify_observer(request, "refused")
         request.front.refused(request, min(max(pause_ms, 0.0), self.settings.max_pause_ms))
 
     def _fail(self, request: Request) -> None:
-        self._close(request)
-        self._over(request)
+        self._mark_closed(request)
+        self._notify_filters_ended(request)
         self.tally.add("answers.failed")
         self.counters.answered(request.call_class, "errors")
-        self._watch(request, "failed")
+        self._notify_observer(request, "failed")
         request.front.failed(request)
 
-    def _watch(self, request: Request, answer: str) -> None:
+    def _notify_observer(self, request: Request, answer: str) -> None:
         if self.watcher is not None:
             self.watcher.request_answered(request, answer, self.clock.now_ms())
--- a/leadslip/deadlines.py
+++ b/leadslip/deadlines.py
@@ -1,4 +1,4 @@
-"""One heap of deadlines behind one timer; the clock and the timer are handed in. No I/O."""
+"""Deadline scheduler: a heap of callbacks behind a single timer. Pure: clock and scheduler are passed in."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from collections.abc import Callable
 from typing import Protocol
 
-COMPACT_FROM = 1024  # dead deadlines from which on the heap is swept
+MIN_CANCELLED_TO_COMPACT = 1024  # fewer cancelled deadlines than this stay in the heap
 
 
 class Clock(Protocol):
-    """Tells Unix milliseconds."""
+    """Returns the time in Unix milliseconds."""
 
     def now_ms(self) -> float: ...
 
 
-class Wake(Protocol):
-    """A call to come that can be moved."""
+class Timer(Protocol):
+    """A pending timer that can be rescheduled."""
 
     def active(self) -> bool: ...
 
@@ -24,86 +24,86 @@
 
 
 class Scheduler(Protocol):
-    """Calls back once after some seconds."""
+    """Calls a function once after a delay in seconds."""
 
-    def callLater(self, seconds: float, work: Callable[[], None]) -> Wake: ...  # noqa: N802
+    def callLater(self, seconds: float, callback: Callable[[], None]) -> Timer: ...  # noqa: N802
 
 
 class Deadline:
-    """One entry of the heap; cancelled by forgetting its work."""
+    """One entry of the heap; a cancelled one has no callback (`work` is None)."""
 
-    __slots__ = ("due_ms", "order", "work", "of")
+    __slots__ = ("due_ms", "order", "work", "argument")
 
-    def __init__(self, due_ms: float, order: int, work: Callable | None, of: object) -> None:
-        self.due_ms, self.order, self.work, self.of = due_ms, order, work, of
+    def __init__(self, due_ms: float, order: int, callback: Callable | None, argument: object) -> None:
+        self.due_ms, self.order, self.work, self.argument = due_ms, order, callback, argument
 
     def __lt__(self, other: Deadline) -> bool:
         return (self.due_ms, self.order) < (other.due_ms, other.order)
 
 
 class Deadlines:
-    """One heap of deadlines behind one timer, so that a request costs no timer of its own."""
+    """Runs callbacks at their due times from a single timer, so that a request needs none of its own."""
 
     def __init__(self, clock: Clock, scheduler: Scheduler) -> None:
         self.clock, self.scheduler = clock, scheduler
         self.heap: list[Deadline] = []
-        self.count = self.dead = 0
-        self.wake: Wake | None = None
-        self.wake_ms = 0.0
-
-    def at(self, due_ms: float, work: Callable, of: object = None) -> Deadline:
-        """Call work(of) at that time."""
-        self.count += 1
-        entry = Deadline(due_ms, self.count, work, of)
+        self.last_order = self.cancelled = 0
+        self.timer: Timer | None = None
+        self.timer_due_ms = 0.0
+
+    def at(self, due_ms: float, callback: Callable, argument: object = None) -> Deadline:
+        """Schedule `callback(argument)` at a time in Unix milliseconds."""
+        self.last_order += 1
+        entry = Deadline(due_ms, self.last_order, callback, argument)
         heapq.heappush(self.heap, entry)
         if self.heap[0] is entry:
             self._arm()
         return entry
 
     def cancel(self, entry: Deadline | None) -> None:
-        """Forget a deadline; the heap is swept when most of it is dead."""
+        """Cancel a deadline; the heap is compacted when most of its entries are cancelled."""
         if entry is None or entry.work is None:
             return
-        entry.work = entry.of = None
-        self.dead += 1
-        if self.dead > COMPACT_FROM and self.dead * 2 > len(self.heap):
-            self.heap = [held for held in self.heap if held.work is not None]
+        entry.work = entry.argument = None
+        self.cancelled += 1
+        if self.cancelled > MIN_CANCELLED_TO_COMPACT and self.cancelled * 2 > len(self.heap):
+            self.heap = [pending for pending in self.heap if pending.work is not None]
             heapq.heapify(self.heap)
-            self.dead = 0
+            self.cancelled = 0
 
     def _arm(self) -> None:
         if not self.heap:
             return
         due_ms = self.heap[0].due_ms
-        active = self.wake is not None and self.wake.active()
-        if active and self.wake_ms <= due_ms:
+        active = self.timer is not None and self.timer.active()
+        if active and self.timer_due_ms <= due_ms:
             return
-        self.wake_ms = due_ms
+        self.timer_due_ms = due_ms
         seconds = max(0.0, (due_ms - self.clock.now_ms()) / 1000.0)
         if active:
-            self.wake.reset(seconds)
+            self.timer.reset(seconds)
         else:
-            self.wake = self.scheduler.callLater(seconds, self._ring)
+            self.timer = self.scheduler.callLater(seconds, self._fire)
 
-    def _ring(self) -> None:
-        """Something is due: what lies in the sockets is read first.
+    def _fire(self) -> None:
+        """The timer fired: run due callbacks one reactor turn later, after pending socket data has been read.
 
-        Guards against a process that had no processor for a while: it would give up what has been answered, ask
-        who has spoken and send for who has left, as timers run ahead of the sockets.
+        Timers run before sockets. After a period without CPU time, the process would otherwise cancel attempts that
+        have been answered, probe peers that have sent data, and send set-ups for callers that have left.
         """
-        self.wake = self.scheduler.callLater(0.0, self._run)
+        self.timer = self.scheduler.callLater(0.0, self._run)
 
     def _run(self) -> None:
-        self.wake = None
+        self.timer = None
         now_ms = self.clock.now_ms()
         try:
             while self.heap and self.heap[0].due_ms <= now_ms:
                 entry = heapq.heappop(self.heap)
-                work, of = entry.work, entry.of
-                if work is None:
-                    self.dead -= 1
+                callback, argument = entry.work, entry.argument
+                if callback is None:
+                    self.cancelled -= 1
                     continue
-                entry.work = entry.of = None
-                work(of)
+                entry.work = entry.argument = None
+                callback(argument)
         finally:
             self._arm()
--- a/leadslip/readiness.py
+++ b/leadslip/readiness.py
@@ -1,69 +1,71 @@
-"""Whether the proxy takes clients: in or out of service, ending or not, and since when. No I/O.
+"""Readiness state of the proxy: whether it accepts clients, is out of service or is shutting down. No I/O.
 
-The front asks whether the proxy is ready (on the operators' address, and by the SIP test); operators send it out of
-service and take it back; SIGTERM ends it. All times are Unix milliseconds of the proxy's one clock.
+The load balancer checks readiness (at the operators' address, and with SIP OPTIONS requests); operators take the
+proxy out of service and put it back; SIGTERM shuts it down. All times are Unix milliseconds of the proxy's one clock.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-LONGEST_COUNTED_MS = 3000.0  # SIGKILL may follow after the longest deadline, counted as this at the most ...
-KILLED_AFTER_MS = 700.0  # ... and so much more
-MARGIN_MS = 200.0  # to be out before it
+# After SIGTERM, SIGKILL may follow after the longest deadline, counted up to MAX_DEADLINE_MS, plus KILL_DELAY_MS.
+MAX_DEADLINE_MS = 3000.0
+KILL_DELAY_MS = 700.0
+EXIT_MARGIN_MS = 200.0  # the process exits this long before the earliest SIGKILL
 
 
 @dataclass(slots=True)
 class Readiness:
-    """The answer to 'are you ready?', and the drain's timeline.
+    """The readiness of the proxy and the times of its drain.
 
-    `listening`: the clients' address is bound and taken from. `out_ms`: when operators sent it out of service; 0
-    while in service. `ending_ms`: when it was told to end (SIGTERM); 0 while it is not. `longest_ms`: the longest
-    deadline of a class at that time.
+    `listening`: the clients' address is bound and accepts connections. `out_of_service_since_ms`: when operators
+    took the proxy out of service; 0 while in service. `ending_ms`: when SIGTERM was received; 0 before. `longest_ms`:
+    the longest deadline of a class at that time.
     """
 
     listening: bool = False
-    out_ms: float = 0.0
+    out_of_service_since_ms: float = 0.0
     ending_ms: float = 0.0
     longest_ms: float = 0.0
 
     def ready(self) -> bool:
-        """Yes as soon as it takes clients, and while it is in service and not ending."""
-        return self.listening and not self.out_ms and not self.ending_ms
+        """Whether the proxy is listening, in service and not shutting down."""
+        return self.listening and not self.out_of_service_since_ms and not self.ending_ms
 
     def service(self) -> str:
-        """`in` service, `out` of it as operators want, or `ending`."""
-        return "ending" if self.ending_ms else "out" if self.out_ms else "in"
+        """Return the service state: `in`, `out` (taken out of service by operators) or `ending`."""
+        return "ending" if self.ending_ms else "out" if self.out_of_service_since_ms else "in"
 
     def draining(self) -> bool:
-        """Whether clients are to be sent away: connections are closed once they owe nothing."""
-        return bool(self.out_ms or self.ending_ms)
+        """Whether client connections are to be closed once no answer is pending on them."""
+        return bool(self.out_of_service_since_ms or self.ending_ms)
 
     def out_of_service(self, now_ms: float) -> bool:
-        """Operators send clients away; tells whether this changed anything (a second call keeps the first time)."""
-        if self.out_ms:
+        """Take the proxy out of service; returns whether this changed anything (a second call keeps the first time)."""
+        if self.out_of_service_since_ms:
             return False
-        self.out_ms = max(now_ms, 1.0)
+        self.out_of_service_since_ms = max(now_ms, 1.0)
         return True
 
     def in_service(self) -> bool:
-        """Operators take clients again; tells whether this changed anything."""
-        if not self.out_ms:
+        """Put the proxy back into service; returns whether this changed anything."""
+        if not self.out_of_service_since_ms:
             return False
-        self.out_ms = 0.0
+        self.out_of_service_since_ms = 0.0
         return True
 
-    def end(self, now_ms: float, longest_ms: float = LONGEST_COUNTED_MS) -> bool:
-        """SIGTERM: not ready ever again; tells whether this is the first time."""
+    def end(self, now_ms: float, longest_ms: float = MAX_DEADLINE_MS) -> bool:
+        """Begin the shutdown after SIGTERM, which is final; returns whether this is the first call."""
         if self.ending_ms:
             return False
         self.ending_ms, self.longest_ms = max(now_ms, 1.0), longest_ms
         return True
 
     def last_ms(self, longest_ms: float) -> float:
-        """When all must be answered, shortly before the kill; by the longest deadline as the settings are now.
+        """Return when all requests must be answered, shortly before SIGKILL.
 
-        The kill goes by the settings at SIGTERM or by those of a reload since: the earlier one counts.
+        `longest_ms` is the longest deadline in the current settings. SIGKILL may follow by the settings at SIGTERM or
+        by those of a later reload: the earlier time counts.
         """
-        longest_ms = min(self.longest_ms, longest_ms, LONGEST_COUNTED_MS)
-        return self.ending_ms + longest_ms + KILLED_AFTER_MS - MARGIN_MS
+        longest_ms = min(self.longest_ms, longest_ms, MAX_DEADLINE_MS)
+        return self.ending_ms + longest_ms + KILL_DELAY_MS - EXIT_MARGIN_MS
--- a/leadslip/request.py
+++ b/leadslip/request.py
@@ -1,4 +1,4 @@
-"""A request of a front and its attempts, as the engine holds them and filters see them. No I/O."""
+"""Requests and their attempts, as tracked by the engine and passed to filters. No I/O."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class State(Enum):
-    """How far a request has come."""
+    """Lifecycle state of a request."""
 
-    OPEN = "open"  # owed a final answer
-    STANDING = "standing"  # answered; the call goes on
-    OVER = "over"
+    OPEN = "open"  # no final answer sent yet
+    STANDING = "standing"  # answered; the call is established
+    ENDED = "over"
 
 
 class Request:
-    """One request of a front: owed one final answer until it is over."""
+    """One request from the downstream side, which receives exactly one final answer."""
 
     __slots__ = (
         "id",
@@ -33,9 +33,9 @@
         "context",
         "state",
         "attempt",
-        "tries",
-        "away_until_ms",
-        "guard",
+        "attempt_count",
+        "not_before_ms",
+        "overall_deadline",
         "taken_ms",
         "attempt_ms",
         "passed",
@@ -49,16 +49,18 @@
         self.number, self.destination, self.lines = "", -1, 1.0
         self.redialled = self.cut_before = False
         self.front, self.payload = front, payload
-        self.context: object = None  # what the front keeps with it
+        self.context: object = None  # private data of the downstream side
         self.state = State.OPEN
-        self.attempt: Attempt | None = None  # out, or carrying the standing call
-        self.tries = 0
-        self.away_until_ms = 0.0  # nothing may be sent before: what the last attempt held may stay taken
-        self.guard: Deadline | None = None
+        self.attempt: Attempt | None = None  # in progress, or carrying the established call
+        self.attempt_count = 0
+        self.not_before_ms = 0.0  # no attempt before: resources of the last one may still be in use
+        self.overall_deadline: Deadline | None = None
         self.taken_ms = 0.0
-        self.attempt_ms = float("inf")  # the longest that one attempt of it may be out
-        self.passed: tuple = ()  # the filters that are told what becomes of it
-        self.most_tries = 0  # attempts allowed by the settings when it came; they stay its own
+        self.attempt_ms = float("inf")  # upper limit for the duration of one attempt
+        self.passed: tuple = ()  # the filters to notify of its progress
+        self.most_tries = (
+            0  # attempts allowed by the settings when it was received; later changes do not apply
+        )
 
 
 class Attempt:
@@ -74,7 +76,7 @@
 
 
 class Front(Protocol):
-    """Where a request came from: it passes the one final answer on, and the end of what stands."""
+    """The side a request came from: receives its one final answer, and the end of an established call."""
 
     def stands(self, request: Request, payload: object) -> None: ...
 
@@ -85,4 +87,4 @@
     def over(self, request: Request, cut: bool) -> None: ...
 
     def catch_up(self, request: Request) -> None:
-        """Take what its asker has sent and is not read yet: it may have withdrawn the request, or gone."""
+        """Read what its sender has already sent: it may have cancelled the request or disconnected."""
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The engine without any wire: the rules hold whatever the Controller and the peers do."""
+"""The engine without network I/O: it enforces the rules whatever the Controller and the peers do."""
 
 import subprocess
 import sys
@@ -14,7 +14,7 @@
 
 
 class World:
-    """An engine, its clock, and a front and a far side that write down what they are told."""
+    """An engine with its clock; also its downstream and upstream sides, which record what the engine calls."""
 
     def __init__(self, servers=2, **changes):
         self.time, self.tally, self.told, self.sent = Clock(), Tally(), [], []
@@ -50,7 +50,7 @@
         self.told.append(("over", request.id, cut))
 
     def catch_up(self, request):
-        """Its callers say nothing behind its back."""
+        """Does nothing: no unread data is ever pending from the callers of this fixture."""
 
     def offer(self, id_="a", left_ms=2000.0, to=0):
         request = core.Request(id_, PLAIN, self.now_ms() + left_ms, self, b"c=offer")
@@ -63,7 +63,7 @@
             self.time.advance(0.001)
 
 
-def test_a_call_that_stands_is_answered_once_and_released_once():
+def test_an_established_call_is_answered_once_and_released_once():
     world = World()
     world.offer()
     (attempt,) = world.sent
@@ -75,7 +75,7 @@
     assert world.told == [("stands", "a", b"sdp"), ("over", "a", False)]
 
 
-def test_a_silent_server_leads_to_one_answer_before_the_caller_quits_and_is_given_up():
+def test_with_a_silent_server_the_request_fails_before_its_deadline_and_the_attempt_is_cancelled():
     world = World()
     world.offer(left_ms=800.0)
     world.wait(795)
@@ -84,7 +84,7 @@
     assert len(world.told) == 2
 
 
-def test_a_controller_that_forgets_a_call_does_not_cost_its_answer():
+def test_a_request_is_answered_even_if_the_controller_never_decides_about_it():
     world = World()
     world.engine.controller.handle = lambda now_ms, event: []
     world.offer(left_ms=500.0)
@@ -92,7 +92,7 @@
     assert world.told == [("failed", "a")]
 
 
-def test_a_cancel_that_crosses_the_answer_changes_nothing():
+def test_a_cancellation_that_crosses_the_answer_changes_nothing():
     world = World()
     request = world.offer()
     world.engine.stood(world.sent[0], b"sdp")
@@ -103,7 +103,7 @@
     assert world.told[1:] == [("release", "a")]
 
 
-def test_a_cancelled_call_gets_no_answer_and_is_given_up_at_its_server():
+def test_a_cancelled_request_gets_no_answer_and_its_attempt_is_cancelled_at_the_server():
     world = World()
     request = world.offer()
     world.engine.cancel(request)
@@ -112,7 +112,7 @@
     assert world.told == [("give up", "a")]
 
 
-def test_after_a_cut_nothing_is_sent_for_the_release_wait():
+def test_after_a_lost_connection_nothing_is_sent_for_the_release_wait():
     world = World(release_wait_ms=250.0)
     world.offer()
     world.engine.ended(world.sent[0], face.Outcome.CUT)
@@ -122,7 +122,7 @@
     assert [attempt.server for attempt in world.sent] == ["s0", "s1"]
 
 
-def test_what_never_left_goes_elsewhere_at_once_and_one_attempt_is_out():
+def test_an_unsent_attempt_is_retried_elsewhere_at_once_with_one_attempt_in_progress():
     world = World()
     world.outcome = face.Outcome.NO_CONNECTION
     world.offer()
@@ -131,17 +131,17 @@
     assert world.tally.counts["attempts.no_connection"] == 2
 
 
-@pytest.mark.parametrize("gone", [face.ServerState.DRAINING, face.ServerState.GONE])
-def test_a_server_that_drains_is_sent_to_for_no_longer_than_the_grace(gone):
+@pytest.mark.parametrize("state", [face.ServerState.DRAINING, face.ServerState.GONE])
+def test_a_draining_server_accepts_set_ups_only_during_the_drain_grace(state):
     world = World(drain_grace_ms=300.0)
-    world.engine.news(face.ListNews(face.NewsKind.CHANGES, (face.ListEntry("s0", 0, gone),)))
+    world.engine.news(face.ListNews(face.NewsKind.CHANGES, (face.ListEntry("s0", 0, state),)))
     world.wait(299)
     assert world.engine.sent_to("s0")
     world.wait(2)
     assert not world.engine.sent_to("s0") and world.engine.sent_to("s1") and not world.engine.sent_to("s9")
 
 
-def test_an_id_that_comes_twice_keeps_the_first_call():
+def test_a_duplicate_id_fails_and_the_first_call_is_kept():
     world = World()
     world.offer()
     world.offer()
@@ -150,17 +150,17 @@
     assert len(world.sent) == 1
 
 
-def test_many_deadlines_take_one_timer_and_cancelled_ones_are_swept():
+def test_many_deadlines_share_one_timer_and_cancelled_ones_are_compacted():
     world = World()
     before = len(world.time.getDelayedCalls())
-    held = [world.deadlines.at(world.now_ms() + 5000 + i, lambda of: None) for i in range(5000)]
+    scheduled = [world.deadlines.at(world.now_ms() + 5000 + i, lambda argument: None) for i in range(5000)]
     assert len(world.time.getDelayedCalls()) == before == 1
-    for one in held:
-        world.deadlines.cancel(one)
-    assert len(world.deadlines.heap) < 2 * deadlines.COMPACT_FROM + 10
+    for deadline in scheduled:
+        world.deadlines.cancel(deadline)
+    assert len(world.deadlines.heap) < 2 * deadlines.MIN_CANCELLED_TO_COMPACT + 10
 
 
-BREACH = """
+BROKEN_INVARIANT = """
 from leadslip.checks import Tally
 tally = Tally()
 print(tally.must(True, "fine"), tally.must(False, "one attempt out"), dict(tally.counts))
@@ -170,24 +170,28 @@
 @pytest.mark.parametrize(
     ("flags", "code", "text"), [([], 1, "AssertionError: one attempt out"), (["-O"], 0, "")]
 )
-def test_what_must_hold_is_asserted_in_debug_and_counted_in_release_builds(flags, code, text):
-    done = subprocess.run([sys.executable, *flags, "-c", BREACH], cwd=ROOT, capture_output=True, text=True)
-    assert done.returncode == code and text in done.stderr
+def test_a_broken_invariant_is_asserted_in_debug_and_counted_in_release_builds(flags, code, text):
+    completed = subprocess.run(
+        [sys.executable, *flags, "-c", BROKEN_INVARIANT], cwd=ROOT, capture_output=True, text=True
+    )
+    assert completed.returncode == code and text in completed.stderr
     if not code:
-        assert done.stdout.strip() == "True False {'broken.one attempt out': 1}"
+        assert completed.stdout.strip() == "True False {'broken.one attempt out': 1}"
 
 
-def test_servers_that_come_and_go_under_new_ids_leave_nothing_behind():
+def test_servers_replaced_under_new_ids_leave_no_state_behind():
     world = World(drain_grace_ms=300.0)
     for i in range(50):
         world.engine.news(face.ListNews(face.NewsKind.CHANGES, (entry(f"n{i}", 0),)))
         world.offer(str(i), to=0)
         for attempt in world.sent:
             world.engine.ended(attempt, face.Outcome.ERROR)
-        gone = entry(f"n{i}", 0, "gone")
-        world.engine.news(face.ListNews(face.NewsKind.CHANGES, (gone,)))
+        gone_entry = entry(f"n{i}", 0, "gone")
+        world.engine.news(face.ListNews(face.NewsKind.CHANGES, (gone_entry,)))
         world.wait(301)
     world.engine.news(face.ListNews(face.NewsKind.CHANGES, ()))
     world.wait(choice.MEMORY_MS + choice.INTERVAL_MS)
     assert set(world.engine.states) == {"s0", "s1"} == set(world.engine.controller.servers)
-    assert not world.engine.told_ms and not world.engine.open and not world.engine.controller.gone
+    assert (
+        not world.engine.unavailable_since_ms and not world.engine.open and not world.engine.controller.gone
+    )
--- a/tests/test_filters.py
+++ b/tests/test_filters.py
@@ -126,7 +126,7 @@
             told.append((self.name, answer))
 
     world = World()
-    world.engine.watcher = core.Watchers(Watch("a"), Watch("b"))
+    world.engine.watcher = core.Observers(Watch("a"), Watch("b"))
     world.offer("x")
     world.engine.stood(world.sent[0], b"sdp")
     world.engine.ended(world.sent[0], face.Outcome.SERVED)
