--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""The build of deploy/balancer.toml: anew when what it was built from has changed, with bytecode that `run` reads."""
+"""The build command of deploy/balancer.toml: rebuilds when its inputs change, and compiles bytecode for `run`."""
 
 import os
 import subprocess
@@ -19,7 +19,7 @@
 
 
 def build(folder):
-    """Run the build with a python3 that makes an environment whose pip only writes down what it is asked for."""
+    """Run the build with a fake python3, whose pip only records its arguments; returns the number of installs."""
     conf = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     environ = os.environ | {"PATH": f"{folder / 'bin'}:{os.environ['PATH']}", "PYTHONDONTWRITEBYTECODE": "1"}
     environ.pop("PYTHONPYCACHEPREFIX", None)
@@ -27,7 +27,7 @@
     return len((folder / "installed").read_text().splitlines())
 
 
-def test_it_is_made_anew_when_requirements_or_python_change_and_compiled_for_run(tmp_path):
+def test_the_environment_is_rebuilt_when_requirements_or_python_change_and_bytecode_is_compiled(tmp_path):
     for name in ("bin", "deploy", "leadslip"):
         (tmp_path / name).mkdir()
     (tmp_path / "deploy" / "build.sh").write_text((ROOT / "deploy" / "build.sh").read_text())
@@ -37,7 +37,7 @@
     for name, text in (("pip", PIP), ("bin/python3", PYTHON.format(python=sys.executable))):
         (tmp_path / name).write_text(text)
         (tmp_path / name).chmod(0o755)
-    assert (build(tmp_path), build(tmp_path)) == (1, 1), "nothing has changed"
+    assert (build(tmp_path), build(tmp_path)) == (1, 1), "no rebuild when nothing has changed"
     assert list((tmp_path / "leadslip" / "__pycache__").glob("one.*.opt-1.pyc"))
     (tmp_path / "requirements.txt").write_text("one==2\n")
     assert (build(tmp_path), build(tmp_path)) == (2, 2)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -1,4 +1,4 @@
-"""The end of a call that stood reaches its caller within a second, whichever connections fail meanwhile."""
+"""The end of an established call is reported to its caller within a second, whichever connections fail meanwhile."""
 
 import random
 
@@ -17,24 +17,24 @@
 ADDRESS = {"s0": ("127.0.0.1", 1)}
 
 
-class Day(World):
-    """A proxy's engine and connections before one stand-in server, all on one clock."""
+class ConnectedWorld(World):
+    """A proxy's engine and its connections to one stand-in server, all on one virtual clock."""
 
-    def __init__(self, seed, hold_ms=4000.0, states=True, **ways):
+    def __init__(self, seed, hold_ms=4000.0, states=True, **behaviour):
         self.time, self.tally, self.told = Clock(), Tally(), []
         self.time.advance(100.0)
         self.draw = random.Random(seed)
-        self.server = StandInServer(self.time, seed, hold_ms, states, **ways)
+        self.server = StandInServer(self.time, seed, hold_ms, states, **behaviour)
         self.deadlines = core.Deadlines(self, self.time)
-        self.far = Servers(
+        self.upstream = Servers(
             self.server, self.tally, self.now_ms, 500.0, lambda call, cut: None, self.deadlines
         )
-        self.engine = core.Engine(settings(), 1, self, self.deadlines, self.far, self.tally, logs.silent)
-        self.far.engine = self.engine
+        self.engine = core.Engine(settings(), 1, self, self.deadlines, self.upstream, self.tally, logs.silent)
+        self.upstream.engine = self.engine
         self.news(face.NewsKind.WHOLE)
-        self.far.look()
-        self.over_ms = {}
-        self.stood = set()
+        self.upstream.look()
+        self.ended_at_ms = {}
+        self.established = set()
         self.count = 0
         self.wait(300)
 
@@ -42,15 +42,15 @@
         return self.time.seconds() * 1000.0
 
     def news(self, kind, state="ready"):
-        told = face.ListNews(kind, (entry("s0", 0, state),))
-        self.far.listed(told, ADDRESS)
-        self.engine.news(told)
+        update = face.ListNews(kind, (entry("s0", 0, state),))
+        self.upstream.listed(update, ADDRESS)
+        self.engine.news(update)
 
     def stands(self, request, payload):
-        self.stood.add(bytes.fromhex(request.id))
+        self.established.add(bytes.fromhex(request.id))
 
     def over(self, request, cut):
-        self.over_ms[bytes.fromhex(request.id)] = self.now_ms()
+        self.ended_at_ms[bytes.fromhex(request.id)] = self.now_ms()
 
     def call(self):
         self.count += 1
@@ -61,204 +61,206 @@
         while self.time.seconds() < until - 1e-9:
             self.time.advance(0.005)
 
-    def untold(self):
-        """Ends of calls whose caller had an answer, that took over a second to be told."""
+    def late_ends(self):
+        """Delays in ms of ends of answered calls that took over a second to be reported, by call id."""
         late = {}
         for call, ended_ms in self.server.ended_ms.items():
-            took_ms = self.over_ms.get(call, float("inf")) - ended_ms
-            if call in self.stood and took_ms > 1000.0:
-                late[call.hex()] = took_ms
+            delay_ms = self.ended_at_ms.get(call, float("inf")) - ended_ms
+            if call in self.established and delay_ms > 1000.0:
+                late[call.hex()] = delay_ms
         return late
 
 
-def spoil(day):
-    """One connection stays open and brings nothing more; the calls set up on it go on."""
-    alive = [wire for wire in day.server.wires if not wire.bad]
+def stall(world):
+    """One connection stays open but delivers nothing more; the calls set up on it go on."""
+    alive = [wire for wire in world.server.wires if not wire.bad]
     if len(alive) > 1:
-        day.draw.choice(alive).bad = True
+        world.draw.choice(alive).bad = True
 
 
-def reset(day):
-    if day.server.wires:
-        day.draw.choice(day.server.wires).end(error.ConnectionLost())
+def reset(world):
+    if world.server.wires:
+        world.draw.choice(world.server.wires).end(error.ConnectionLost())
 
 
 @pytest.mark.parametrize("states", [True, False], ids=["states", "no-states"])
 @pytest.mark.parametrize("seed", range(12))
-def test_ends_are_told_in_time_while_connections_go_bad_and_are_reset(seed, states):
-    day = Day(seed, states=states)
+def test_ends_are_reported_in_time_while_connections_stall_and_are_reset(seed, states):
+    world = ConnectedWorld(seed, states=states)
     for step in range(300):
-        if step < 240 and day.draw.random() < 0.5:
-            day.call()
+        if step < 240 and world.draw.random() < 0.5:
+            world.call()
         if step % 20 == 19:
-            day.draw.choice((spoil, reset))(day)
-        day.wait(50)
-    day.wait(8000)
-    assert len(day.stood) > 80 and len(day.server.ended_ms) > 80
-    assert day.untold() == {}
-    assert not day.engine.standing and day.server.dials < 250
+            world.draw.choice((stall, reset))(world)
+        world.wait(50)
+    world.wait(8000)
+    assert len(world.established) > 80 and len(world.server.ended_ms) > 80
+    assert world.late_ends() == {}
+    assert not world.engine.standing and world.server.dials < 250
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_ends_are_told_when_calls_have_ceased_and_their_connection_dies(seed):
-    day = Day(seed, states=False)
+def test_ends_are_reported_when_new_calls_have_ceased_and_the_connections_stall(seed):
+    world = ConnectedWorld(seed, states=False)
     for _ in range(24):
-        day.call()
-        day.wait(15)
-    day.wait(300)
-    for wire in day.server.wires[:-1]:
+        world.call()
+        world.wait(15)
+    world.wait(300)
+    for wire in world.server.wires[:-1]:
         wire.bad = True
-    day.wait(8000)
-    assert len(day.stood) == 24 and day.untold() == {}
+    world.wait(8000)
+    assert len(world.established) == 24 and world.late_ends() == {}
 
 
-def test_a_connection_opened_before_the_loss_does_not_stand_for_the_one_owed():
-    day = Day(1, hold_ms=1e6, states=False)
+def test_a_connection_opened_before_the_loss_does_not_count_as_its_replacement():
+    world = ConnectedWorld(1, hold_ms=1e6, states=False)
     for _ in range(8):
-        day.call()
-        day.wait(15)
-    day.wait(200)
-    link = day.far.servers["s0"]
-    first, *_ = day.server.wires
-    link.dial()
-    day.wait(12)  # the server has taken the new connection, the proxy does not know it yet
-    held = next(call for call, wire in day.server.standing.items() if wire is first)
+        world.call()
+        world.wait(15)
+    world.wait(200)
+    server = world.upstream.servers["s0"]
+    first, *_ = world.server.wires
+    server.dial()
+    world.wait(12)  # the server has accepted the new connection, but the proxy does not know this yet
+    ended_call = next(call for call, wire in world.server.standing.items() if wire is first)
     first.bad = True
-    day.server.release(held)
+    world.server.release(ended_call)
     first.protocol.abort()
-    day.wait(900)
-    assert day.untold() == {} and held in day.over_ms
+    world.wait(900)
+    assert world.late_ends() == {} and ended_call in world.ended_at_ms
 
 
-def test_one_connection_too_many_is_closed_only_once_no_call_stands_on_it():
-    day = Day(1, hold_ms=1e6, states=False)
-    server = day.far.servers["s0"]
+def test_an_excess_connection_is_closed_only_once_no_call_is_established_on_it():
+    world = ConnectedWorld(1, hold_ms=1e6, states=False)
+    server = world.upstream.servers["s0"]
     for _ in range(40):
-        day.call()
-        day.wait(2)
-    day.wait(200)
+        world.call()
+        world.wait(2)
+    world.wait(200)
     assert len(server.up) == 4
-    spare = min(server.up, key=lambda link: link.heard_ms)
-    held = [call for call, wire in day.server.standing.items() if wire.protocol is spare]
+    least_recent = min(server.up, key=lambda link: link.heard_ms)
+    calls = [call for call, wire in world.server.standing.items() if wire.protocol is least_recent]
     server.dial()
-    day.wait(25)  # the new connection is up, and says something in 5 ms more
-    day.server.release(held[0])
-    day.wait(900)
-    assert held[0] in day.over_ms and spare in server.up and len(server.up) == 5
-    assert len(day.engine.standing) == 39
-    for call in held[1:]:
-        day.server.release(call)
-    day.wait(900)
+    world.wait(25)  # the new connection is up, and delivers its first data in another 5 ms
+    world.server.release(calls[0])
+    world.wait(900)
+    assert calls[0] in world.ended_at_ms and least_recent in server.up and len(server.up) == 5
+    assert len(world.engine.standing) == 39
+    for call in calls[1:]:
+        world.server.release(call)
+    world.wait(900)
     server.dial()
-    day.wait(900)
-    assert len(server.up) == 4, "the two on which nothing stands were closed for the newcomer"
-    assert set(held) <= set(day.over_ms) and day.untold() == {}
+    world.wait(900)
+    assert len(server.up) == 4, "the two connections without established calls were closed for the new one"
+    assert set(calls) <= set(world.ended_at_ms) and world.late_ends() == {}
 
 
 @pytest.mark.parametrize("refused", [True, False])
-def test_calls_of_a_lost_connection_end_though_no_new_one_comes_up_while_others_go_on(refused):
-    day = Day(1, hold_ms=1e6)
+def test_calls_of_a_lost_connection_end_without_a_replacement_while_other_calls_go_on(refused):
+    world = ConnectedWorld(1, hold_ms=1e6)
     for _ in range(12):
-        day.call()
-        day.wait(10)
-    day.wait(200)
+        world.call()
+        world.wait(10)
+    world.wait(200)
     if refused:
-        day.server.refuses = True
+        world.server.refuses = True
     else:
-        day.news(face.NewsKind.CHANGES, "gone")
-    first, *_ = day.server.wires
-    held = [call for call, wire in day.server.standing.items() if wire is first]
+        world.news(face.NewsKind.CHANGES, "gone")
+    first, *_ = world.server.wires
+    calls = [call for call, wire in world.server.standing.items() if wire is first]
     first.bad = True
-    for call in held:
-        day.server.release(call)
+    for call in calls:
+        world.server.release(call)
     first.protocol.abort()
-    day.wait(7500)
-    assert held and set(day.over_ms) == set(held), "and no other call is cut"
+    world.wait(7500)
+    assert calls and set(world.ended_at_ms) == set(calls), "no other call may be dropped"
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_late_answer_closes_no_connection_under_the_ends_of_other_calls(seed):
-    """Of the untouched program of then: a connection was taken for dead and closed for one late answer."""
-    day = Day(seed, hold_ms=1000.0, again=False, late=0.04)
+def test_a_late_answer_closes_no_connection_needed_for_the_ends_of_other_calls(seed):
+    """Prevents a connection from being considered dead and closed because of a single late answer."""
+    world = ConnectedWorld(seed, hold_ms=1000.0, again=False, late=0.04)
     for _ in range(600):
-        if day.draw.random() < 0.7:
-            day.call()
-        day.wait(20)
-    day.wait(4000)
-    assert len(day.server.ended_ms) > 300 and day.untold() == {}
-    assert not day.engine.standing and day.server.dials < 12
-    assert day.tally.counts["servers.late_set_ups"] > 5, "late by themselves, and given up to go again"
+        if world.draw.random() < 0.7:
+            world.call()
+        world.wait(20)
+    world.wait(4000)
+    assert len(world.server.ended_ms) > 300 and world.late_ends() == {}
+    assert not world.engine.standing and world.server.dials < 12
+    assert world.tally.counts["servers.late_set_ups"] > 5, "late attempts were cancelled and retried"
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_reset_connection_leads_to_no_closing_of_those_that_work(seed):
-    """Of the untouched program of then: each closing of a spare one was a loss that called for another dial."""
-    day = Day(seed, hold_ms=1000.0, again=False)
+def test_a_reset_connection_does_not_cause_working_ones_to_be_closed(seed):
+    """Prevents a reconnect loop: closing an excess connection counted as a loss, which opened another one."""
+    world = ConnectedWorld(seed, hold_ms=1000.0, again=False)
     for step in range(1200):
-        day.call()
+        world.call()
         if step in (100, 700):
-            reset(day)
-        day.wait(10)
-    day.wait(4000)
-    assert len(day.server.ended_ms) > 1000 and not day.engine.standing
-    assert day.untold() == {} and day.server.dials <= 12
+            reset(world)
+        world.wait(10)
+    world.wait(4000)
+    assert len(world.server.ended_ms) > 1000 and not world.engine.standing
+    assert world.late_ends() == {} and world.server.dials <= 12
 
 
-def test_a_connection_that_says_nothing_is_asked_and_kept_where_it_answers():
-    day = Day(1, hold_ms=1e6, states=False, again=False)
+def test_an_idle_connection_is_probed_and_kept_if_it_answers():
+    world = ConnectedWorld(1, hold_ms=1e6, states=False, again=False)
     for _ in range(8):
-        day.call()
-        day.wait(15)
-    day.wait(5000)
-    wires = list(day.server.wires)
-    dials = day.server.dials
-    day.wait(5000)
-    assert day.server.wires == wires and day.server.dials == dials
-    assert day.tally.counts["servers.tests"] > 5 and len(day.engine.standing) == 8
+        world.call()
+        world.wait(15)
+    world.wait(5000)
+    wires = list(world.server.wires)
+    dials = world.server.dials
+    world.wait(5000)
+    assert world.server.wires == wires and world.server.dials == dials
+    assert world.tally.counts["servers.tests"] > 5 and len(world.engine.standing) == 8
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("for_ms", [3000, 6000])
-def test_a_processor_that_hangs_finds_its_connections_open_and_tells_what_has_ended(seed, for_ms):
-    """Of the untouched program of then: those idle were closed as soon as another had come up."""
-    day = Day(seed, hold_ms=6000.0, again=False)
+def test_after_a_server_stall_connections_are_still_open_and_ended_calls_are_reported(seed, for_ms):
+    """Prevents idle connections from being closed as soon as another one was established."""
+    world = ConnectedWorld(seed, hold_ms=6000.0, again=False)
     for _ in range(60):
-        day.call()
-        day.wait(15)
-    day.server.hang(for_ms)
-    day.wait(for_ms + 10_000)
-    assert len(day.server.ended_ms) > 40 and day.untold() == {}
-    assert not day.engine.standing and day.server.dials < 40
+        world.call()
+        world.wait(15)
+    world.server.hang(for_ms)
+    world.wait(for_ms + 10_000)
+    assert len(world.server.ended_ms) > 40 and world.late_ends() == {}
+    assert not world.engine.standing and world.server.dials < 40
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_ends_of_calls_whose_connection_is_lost_are_not_overtaken_by_our_closings(seed):
-    """Of the untouched program of then: each closing of one too many called for another, on which ends came."""
-    day = Day(seed, hold_ms=8000.0, again=False)
+def test_ends_of_calls_after_connection_losses_are_not_lost_on_connections_the_proxy_closes(seed):
+    """Prevents a reconnect loop: closing an excess connection opened another one, on which ends then arrived."""
+    world = ConnectedWorld(seed, hold_ms=8000.0, again=False)
     for _ in range(80):
-        day.call()
-        day.wait(15)
+        world.call()
+        world.wait(15)
     for _ in range(3):
-        reset(day)
-        day.wait(1500)
-    day.wait(15_000)
-    assert len(day.server.ended_ms) > 60 and day.untold() == {}
-    assert not day.engine.standing and day.server.dials <= 14
+        reset(world)
+        world.wait(1500)
+    world.wait(15_000)
+    assert len(world.server.ended_ms) > 60 and world.late_ends() == {}
+    assert not world.engine.standing and world.server.dials <= 14
 
 
-def test_calls_of_a_process_whose_address_another_has_taken_are_over():
-    """Of the untouched program of then: a connection to the newcomer passed for one to the process that had died."""
-    day = Day(1, hold_ms=1e6, again=False)
+def test_calls_of_a_server_process_end_when_another_process_takes_over_its_address():
+    """Prevents a connection to the new process from being taken for one to the process that died."""
+    world = ConnectedWorld(1, hold_ms=1e6, again=False)
     for _ in range(12):
-        day.call()
-        day.wait(15)
-    day.wait(200)
-    day.server.standing.clear()  # it dies, and another listens there before anybody tells
-    for wire in list(day.server.wires):
+        world.call()
+        world.wait(15)
+    world.wait(200)
+    world.server.standing.clear()  # it dies, and another process listens there before the server list reports it
+    for wire in list(world.server.wires):
         wire.end(error.ConnectionLost())
-    day.wait(2000)
-    assert len(day.engine.standing) == 12 and day.far.servers["s0"].up
-    told = face.ListNews(face.NewsKind.CHANGES, (entry("s1", 0),))
-    day.far.listed(told, {"s1": ADDRESS["s0"]})
-    day.engine.news(told)
-    assert len(day.over_ms) == 12 and not day.engine.standing and list(day.far.servers) == ["s1"]
+    world.wait(2000)
+    assert len(world.engine.standing) == 12 and world.upstream.servers["s0"].up
+    update = face.ListNews(face.NewsKind.CHANGES, (entry("s1", 0),))
+    world.upstream.listed(update, {"s1": ADDRESS["s0"]})
+    world.engine.news(update)
+    assert (
+        len(world.ended_at_ms) == 12 and not world.engine.standing and list(world.upstream.servers) == ["s1"]
+    )
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program itself, started and spoken to over sockets."""
+"""The proxy as a process, tested through its sockets."""
 
 import contextlib
 import json
@@ -20,13 +20,15 @@
 def start(tmp_path):
     started = []
 
-    def begin(*behaviours, release=True, **more):
+    def start_program(*behaviours, release=True, **options):
         servers = [SetupServer(behaviour) for behaviour in behaviours]
-        program = Program(tmp_path, {f"s{i}": s.address for i, s in enumerate(servers)}, release, **more)
+        program = Program(
+            tmp_path, {f"s{i}": server.address for i, server in enumerate(servers)}, release, **options
+        )
         started.append(program)
         return program, servers
 
-    yield begin
+    yield start_program
     for program in started:
         code = program.stop()
         assert code == 0 and "Traceback" not in "".join(program.log), program.log
@@ -34,7 +36,7 @@
 
 
 @pytest.mark.parametrize("release", [True, False], ids=["release", "debug"])
-def test_a_call_stands_with_the_servers_description_and_is_released(start, release):
+def test_a_call_is_established_with_the_servers_description_and_is_released(start, release):
     program, (server,) = start("answer", release=release)
     caller = Caller(program)
     caller.say("OPTIONS", FIRST)
@@ -46,12 +48,18 @@
     caller.say("ACK", FIRST)
     start_line, headers, _ = caller.hear()
     assert start_line.startswith("BYE ") and headers["Reason"] == "Q.850;cause=16"
-    kind, call, told = server.heard[0]
-    assert (kind, call.hex(), told[33], told[41], told[63]) == (1, FIRST, b"urgent", b"0123", b"c=offer")
-    assert 0 < int(told[35]) <= 3000
-
-
-def test_a_full_server_is_left_for_another_and_two_full_ones_are_a_refusal(start):
+    message_type, call, fields = server.heard[0]
+    assert (message_type, call.hex(), fields[33], fields[41], fields[63]) == (
+        1,
+        FIRST,
+        b"urgent",
+        b"0123",
+        b"c=offer",
+    )
+    assert 0 < int(fields[35]) <= 3000
+
+
+def test_a_call_refused_by_a_full_server_is_retried_and_two_full_servers_give_a_refusal(start):
     program, (full, other) = start("full", "answer")
     caller = Caller(program)
     caller.invite(FIRST)
@@ -63,7 +71,7 @@
     assert caller.hear()[0] == "SIP/2.0 503 Service Unavailable"
 
 
-def test_a_silent_server_is_a_failure_before_the_caller_quits_and_is_given_up(start):
+def test_with_a_silent_server_the_call_fails_before_its_deadline_and_the_set_up_is_cancelled(start):
     program, (server,) = start("silent")
     caller = Caller(program)
     caller.invite(FIRST, expires=300)
@@ -85,7 +93,7 @@
     assert caller.hear()[1]["CSeq"] == "1 OPTIONS"
 
 
-def test_a_server_that_dies_ends_its_standing_calls_at_the_callers(start):
+def test_when_a_server_dies_its_established_calls_are_released_to_the_callers(start):
     program, (server,) = start("hold")
     caller = Caller(program)
     caller.invite(FIRST)
@@ -95,16 +103,17 @@
     assert start_line.startswith("BYE ") and headers["Reason"] == "Q.850;cause=41"
 
 
-def test_the_board_tells_of_a_new_server_and_of_one_that_left(start):
+def test_the_notice_board_reports_a_new_server_and_one_that_left(start):
     program, (first,) = start("answer")
     second = SetupServer("answer")
-    there = ("s1", second.address, "active")
-    program.board.events.append((2, notice(2, ("s0", first.address, "left"), there)))
+    active = ("s1", second.address, "active")
+    program.board.events.append((2, notice(2, ("s0", first.address, "left"), active)))
     caller = Caller(program)
     for count in range(2000):
         if second.heard:
             break
-        # Named as first choice: else the Controller lets few calls go to a server of which it knows no rate yet.
+        # Destination 1 makes the server the first choice: the Controller sends few other calls to a server whose rate
+        # is still unknown.
         caller.invite(f"{count:016x}", dest=1)
         status, _, _ = caller.hear()
         if status.startswith("SIP/2.0 200"):
@@ -113,7 +122,7 @@
     assert second.heard and program.board.polls[0] == "1"
 
 
-def test_sigterm_fails_the_test_but_serves_what_stands_to_the_end(start):
+def test_after_sigterm_options_are_refused_but_calls_are_served_to_their_end(start):
     program, (server,) = start("hold")
     caller = Caller(program)
     caller.invite(FIRST)
@@ -130,7 +139,7 @@
     assert caller.hear()[0].startswith("BYE ") and caller.hear()[0].startswith("BYE ")
 
 
-def test_a_reload_moves_to_the_new_board_and_the_numbering_goes_on(start):
+def test_a_reload_moves_to_the_new_notice_board_and_revisions_continue(start):
     program, (first,) = start("answer")
     second, board = SetupServer("answer"), Board()
     wait_for(lambda: program.board.polls)
@@ -145,47 +154,47 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "key"),
+    ("changes", "key"),
     [
         ({"board": "nowhere"}, "board is no address:port"),
         ({"listen": f"{HOST}:1"}, "listen can't change"),
         ({"settings": settings(services=[])}, "settings.services is empty"),
     ],
 )
-def test_a_reload_that_makes_no_sense_changes_nothing_and_names_its_key(start, spoil, key):
+def test_an_invalid_reload_changes_nothing_and_names_its_key(start, changes, key):
     program, _ = start("answer")
     board = Board()
-    assert key in program.reload(**({"board": board.address, "limits": {"sockets": 16}} | spoil))
+    assert key in program.reload(**({"board": board.address, "limits": {"sockets": 16}} | changes))
     caller = Caller(program)
     caller.invite(FIRST)
     assert caller.hear()[0] == "SIP/2.0 200 OK"
-    assert not board.polls, "nor is a part of it taken"
+    assert not board.polls, "no part of it may be applied"
 
 
-def test_what_is_open_shortly_before_the_kill_is_answered(start):
+def test_open_requests_are_answered_shortly_before_sigkill(start):
     program, (server,) = start("silent", settings=settings(services=[LONG]))
     caller = Caller(program)
     caller.invite(FIRST, expires=9000)
     wait_for(lambda: server.heard)
-    began = time.monotonic()
+    started_s = time.monotonic()
     program.process.terminate()
     assert caller.hear()[0] == "SIP/2.0 500 Server Internal Error"
-    assert time.monotonic() - began < 9.0, "before the deadline of the call"
+    assert time.monotonic() - started_s < 9.0, "answered before the deadline of the call"
     assert program.stop() == 0
 
 
-def test_garbage_from_one_caller_leaves_the_others_alone(start):
+def test_invalid_data_from_one_caller_does_not_affect_others(start):
     program, _ = start("answer")
-    caller, rude = Caller(program), socket.create_connection(program.listen)
-    rude.sendall(b"\0\1\2 nonsense\r\n\r\n")
+    caller, invalid = Caller(program), socket.create_connection(program.listen)
+    invalid.sendall(b"\0\1\2 nonsense\r\n\r\n")
     with contextlib.suppress(ConnectionResetError):
-        assert rude.recv(10) == b""
+        assert invalid.recv(10) == b""
     caller.invite(FIRST)
     assert caller.hear()[0] == "SIP/2.0 200 OK"
 
 
 @pytest.mark.parametrize(
-    ("spoil", "key"),
+    ("changes", "key"),
     [
         ({"settings": settings(tick_ms="soon")}, "settings.tick_ms"),
         ({"settings": settings(services=[])}, "settings.services"),
@@ -199,14 +208,14 @@
         ({"limits": {"sockets": 0}}, "limits.sockets"),
     ],
 )
-def test_a_bad_configuration_names_its_key_and_exits_with_2(tmp_path, spoil, key):
-    told = {"name": "n", "listen": f"{HOST}:0", "seed": "1", "board": f"{HOST}:1", "settings": settings()}
-    told |= {"known": {"rev": 1, "notices": []}} | spoil
-    (tmp_path / "c.json").write_text(json.dumps(told))
+def test_an_invalid_configuration_names_its_key_and_exits_with_2(tmp_path, changes, key):
+    config = {"name": "n", "listen": f"{HOST}:0", "seed": "1", "board": f"{HOST}:1", "settings": settings()}
+    config |= {"known": {"rev": 1, "notices": []}} | changes
+    (tmp_path / "c.json").write_text(json.dumps(config))
     environ = os.environ | {"NODE_CONFIG": str(tmp_path / "c.json")}
     command = [sys.executable, "-O", "-m", "leadslip"]
-    done = subprocess.run(command, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=30)
-    assert done.returncode == 2 and key in done.stderr and len(done.stderr.splitlines()) == 1
+    completed = subprocess.run(command, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=30)
+    assert completed.returncode == 2 and key in completed.stderr and len(completed.stderr.splitlines()) == 1
 
 
 def test_the_end_of_a_call_from_before_a_restart_reaches_its_caller_once(start):
@@ -216,6 +225,6 @@
     caller.hear()
     for id_, cause in ((SECOND, b"\x22"), (FIRST, b"\x10"), (FIRST, b"\x10"), (SECOND, b"\x10")):
         server.links[-1].sendall(binary(12, bytes.fromhex(id_), (61, cause)))
-    heard = [caller.hear()[1]["Call-ID"] for _ in range(2)]
+    released = [caller.hear()[1]["Call-ID"] for _ in range(2)]
     caller.say("OPTIONS", FIRST)
-    assert heard == [FIRST, SECOND] and caller.hear()[0] == "SIP/2.0 200 OK"
+    assert released == [FIRST, SECOND] and caller.hear()[0] == "SIP/2.0 200 OK"
