--- a/tests/test_filters.py
+++ b/tests/test_filters.py
@@ -130,7 +130,7 @@
             notes.append((self.name, answer))
 
     world = World()
-    world.engine.watcher = core.Watchers(RecordingObserver("a"), RecordingObserver("b"))
+    world.engine.watcher = core.Observers(RecordingObserver("a"), RecordingObserver("b"))
     world.offer("x")
     world.engine.stood(world.sent[0], b"sdp")
     world.engine.ended(world.sent[0], face.Outcome.SERVED)
