--- a/leadslip/net/board.py
+++ b/leadslip/net/board.py
@@ -1,4 +1,4 @@
-"""The notice board: server-sent events over HTTP, polled again whenever they end or fall silent."""
+"""Client of the notice board: server-sent events over HTTP, polled anew when a stream ends or falls silent."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 from leadslip.config import Address, MalformedError, Notice, notice_of
 from leadslip.deadlines import Deadline, Deadlines
 
-SILENT_MS = 2500.0  # a comment comes every second: after two have failed the connection is dead
-AGAIN_MS = 200.0  # before the next poll, so that a board that answers and ends at once is not hammered
-MAX_LINE = 256 * 1024  # a whole list in one line
+SILENCE_TIMEOUT_MS = 2500.0  # the board sends a comment every second: two missing mean a dead connection
+POLL_DELAY_MS = 200.0  # limits the rate of polls at a board that ends each one at once
+MAX_LINE_BYTES = 256 * 1024  # a complete server list is one line
 
 
 def url_of(address: Address) -> bytes:
-    """Where to poll."""
+    """Returns the URL to poll."""
     host, port = address
     return f"http://{f'[{host}]' if ':' in host else host}:{port}/board/poll".encode()
 
 
-class Events(LineReceiver):
-    """The body of one poll, line by line."""
+class EventStream(LineReceiver):
+    """Parses the response body of one poll, line by line."""
 
     delimiter = b"\n"
-    MAX_LENGTH = MAX_LINE
+    MAX_LENGTH = MAX_LINE_BYTES
 
     def __init__(self, board: Board, poll: int) -> None:
         self.board, self.poll = board, poll
         self.id, self.data = "", b""
 
     def lineReceived(self, line: bytes) -> None:
-        if not self.board.alive(self.poll):
+        if not self.board.line_received(self.poll):
             return
         field, _, value = line.rstrip(b"\r").partition(b":")
         value = value.removeprefix(b" ")
@@ -46,15 +46,15 @@
             self.data += b"\n" + value if self.data else value
         elif not line.rstrip(b"\r") and self.data:
             data, self.data = self.data, b""
-            if not self.board.take(self.id, data):
+            if not self.board.event_received(self.id, data):
                 self.transport.loseConnection()
 
     def connectionLost(self, reason: object = None) -> None:
-        self.board.ended(self.poll)
+        self.board.stream_ended(self.poll)
 
 
 class Board:
-    """Keeps one poll open and hands on what it tells, in order and once."""
+    """Keeps one poll open, and passes on each notice once and in order."""
 
     def __init__(
         self,
@@ -63,53 +63,61 @@
         tally: Tally,
         address: Address,
         last: int,
-        told: Callable[[Notice], None],
+        on_notice: Callable[[Notice], None],
         connect_timeout_s: float,
     ) -> None:
         self.url = url_of(address)
         self.agent = Agent(reactor, connectTimeout=connect_timeout_s)
-        self.deadlines, self.tally, self.last, self.told = deadlines, tally, last, told
-        self.asking: defer.Deferred | None = None
-        self.events: Events | None = None
-        self.heard_ms = 0.0
-        self.polls = 0  # the number of the present poll; what an earlier one still brings is not heard
-        self.due: Deadline | None = None  # the look whether this poll is silent, or the next poll
+        self.deadlines, self.tally, self.last, self.on_notice = deadlines, tally, last, on_notice
+        self.response: defer.Deferred | None = None
+        self.stream: EventStream | None = None
+        self.last_received_ms = 0.0
+        self.current_poll = 0  # number of the current poll; data of earlier ones is ignored
+        self.timer: Deadline | None = None  # the check of this poll for silence, or the next poll
 
     def poll(self, _: object = None) -> None:
-        """Ask for all events after the last one known; a poll still under way is dropped."""
+        """Requests all events after the last one received; cancels a poll still in progress."""
         self.stop()
-        poll = self.polls
+        poll = self.current_poll
         headers = Headers({"Last-Event-ID": [str(self.last)], "Accept": ["text/event-stream"]})
-        self.alive(poll)
-        self.due = self.deadlines.at(self.heard_ms + SILENT_MS, self._watch, poll)
-        self.asking = self.agent.request(b"GET", self.url, headers)
-        self.asking.addCallbacks(self._begun, self._failed, callbackArgs=(poll,), errbackArgs=(poll,))
+        self.line_received(poll)
+        self.timer = self.deadlines.at(self.last_received_ms + SILENCE_TIMEOUT_MS, self._check_silence, poll)
+        self.response = self.agent.request(b"GET", self.url, headers)
+        self.response.addCallbacks(
+            self._response_received, self._request_failed, callbackArgs=(poll,), errbackArgs=(poll,)
+        )
 
     def move(self, address: Address) -> None:
-        """Poll at another address from now on; the numbering goes on."""
-        # Guards against hearing nothing between the old board's last word and the end of its connection.
+        """Polls at another address from now on; event numbers continue."""
+        # At once: prevents a gap between the old board's last event and the end of its connection.
         self.url = url_of(address)
         self.poll()
 
-    def alive(self, poll: int) -> bool:
-        """A line has come; whether it is the present poll's."""
-        if poll == self.polls:
-            self.heard_ms = self.deadlines.clock.now_ms()
-        return poll == self.polls
+    def line_received(self, poll: int) -> bool:
+        """Records that a line has arrived; returns whether it belongs to the current poll."""
+        if poll == self.current_poll:
+            self.last_received_ms = self.deadlines.clock.now_ms()
+        return poll == self.current_poll
 
     def stop(self) -> None:
-        """Drop what is under way; nothing more is heard until the next poll."""
-        self.polls += 1
-        self.deadlines.cancel(self.due)
-        events, asking, self.due, self.events, self.asking = self.events, self.asking, None, None, None
-        if events is not None:
-            # The body's transport is a proxy that knows no abortConnection.
-            events.transport.loseConnection()
-        elif asking is not None:
-            asking.cancel()
-
-    def take(self, id_: str, data: bytes) -> bool:
-        """One event; told once, and one that can't be read ends the poll."""
+        """Cancels the poll in progress; nothing is received until the next poll."""
+        self.current_poll += 1
+        self.deadlines.cancel(self.timer)
+        stream, response, self.timer, self.stream, self.response = (
+            self.stream,
+            self.response,
+            None,
+            None,
+            None,
+        )
+        if stream is not None:
+            # The body's transport is a proxy without abortConnection.
+            stream.transport.loseConnection()
+        elif response is not None:
+            response.cancel()
+
+    def event_received(self, id_: str, data: bytes) -> bool:
+        """Passes on a new event once; returns False, which ends the poll, if it is malformed."""
         try:
             notice = notice_of(json.loads(data), "notice")
         except (ValueError, MalformedError):
@@ -119,34 +127,34 @@
         if number > self.last:
             self.last = number
             self.tally.add("board.notices")
-            self.told(notice)
+            self.on_notice(notice)
         return True
 
-    def ended(self, poll: int) -> None:
-        if poll == self.polls:
-            self._again()
+    def stream_ended(self, poll: int) -> None:
+        if poll == self.current_poll:
+            self._schedule_poll()
 
-    def _begun(self, response: object, poll: int) -> None:
+    def _response_received(self, response: object, poll: int) -> None:
         if response.code != 200:
             self.tally.add("board.errors")
-        if poll == self.polls:
-            self.events = Events(self, poll)
-            response.deliverBody(self.events)
+        if poll == self.current_poll:
+            self.stream = EventStream(self, poll)
+            response.deliverBody(self.stream)
 
-    def _failed(self, reason: object, poll: int) -> None:
-        if poll == self.polls:
+    def _request_failed(self, reason: object, poll: int) -> None:
+        if poll == self.current_poll:
             self.tally.add("board.unreachable")
-            self._again()
+            self._schedule_poll()
 
-    def _again(self) -> None:
+    def _schedule_poll(self) -> None:
         self.stop()
-        self.due = self.deadlines.at(self.deadlines.clock.now_ms() + AGAIN_MS, self.poll)
+        self.timer = self.deadlines.at(self.deadlines.clock.now_ms() + POLL_DELAY_MS, self.poll)
 
-    def _watch(self, poll: int) -> None:
-        """A board that vanished says nothing: after the silence the poll is dropped and begun anew."""
-        due_ms = self.heard_ms + SILENT_MS
+    def _check_silence(self, poll: int) -> None:
+        """Polls anew after a silence: a board whose machine has vanished does not end the connection."""
+        due_ms = self.last_received_ms + SILENCE_TIMEOUT_MS
         if self.deadlines.clock.now_ms() < due_ms:
-            self.due = self.deadlines.at(due_ms, self._watch, poll)
+            self.timer = self.deadlines.at(due_ms, self._check_silence, poll)
             return
         self.tally.add("board.silent")
         self.poll()
--- a/leadslip/net/links.py
+++ b/leadslip/net/links.py
@@ -1,7 +1,7 @@
-"""What all connections share: framing by slices of the buffer read into, and bounds on stalled peers.
+"""TCP connections: zero-copy message framing, limits on inbound connections, and detection of stalled peers.
 
-Twisted's own receivers copy what is left of the buffer for every line; these keep their classes and callbacks
-but hand out memoryview slices, and copy only the unfinished tail of a read.
+Twisted's own receivers copy the rest of the buffer for every message; these keep their classes and callbacks,
+but pass on memoryview slices and copy only the unfinished tail of a read.
 """
 
 from __future__ import annotations
@@ -20,44 +20,44 @@
 from leadslip.checks import Tally
 from leadslip.core import Deadlines
 
-MAX_MESSAGE = 16 * 1024  # bytes of one message; the protocol's cap
-FIRST_MS = 2000.0  # in so long a peer has to bring its first message, and to finish any
-IDLE_MS = 15_000.0  # for so long a connection may stay open with nothing due on it
-LOOK_MS = 200.0  # between two looks at the connections taken
-STALLED_MS = 2000.0  # for so long a peer may leave what we wrote unread
-SPARE_MS = 500.0  # so long a connection beyond the bound has to say what it is told to come again with
-READ = 64 * 1024  # bytes of one read, as Twisted's; and of all that is taken from a connection in one turn
-READS_ON = 4  # reads that may follow on one before what came of it is offered
+MAX_MESSAGE_BYTES = 16 * 1024  # the protocol's limit
+FIRST_MESSAGE_TIMEOUT_MS = 2000.0  # for a peer to send its first message, and to finish any message
+IDLE_TIMEOUT_MS = 15_000.0  # for a connection without a pending answer
+CHECK_INTERVAL_MS = 200.0
+WRITE_STALL_TIMEOUT_MS = 2000.0  # for a peer to resume reading what was written to it
+OVERFLOW_TIMEOUT_MS = 500.0  # for a connection over the limit to send the request that is then refused
+READ_BYTES = 64 * 1024  # of one read, as in Twisted; also the limit for one connection in one reactor turn
+MAX_EXTRA_READS = 4  # reads that may follow the first before its requests are offered
 
 
 def listen_shared(
     reactor: object, address: tuple[str, int], factory: protocol.Factory, backlog: int
 ) -> tcp.Port:
-    """Listen at an address that another process may bind as well (SO_REUSEPORT), as during an upgrade.
+    """Listens at an address that another process may bind as well (SO_REUSEPORT), as during an upgrade.
 
-    The kernel then spreads new connections over all that listen there. Raises CannotListenError.
+    The kernel then distributes new connections over all listening processes. Raises CannotListenError.
     """
     host, port = address
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    shared = socket.socket(family, socket.SOCK_STREAM)
+    listening = socket.socket(family, socket.SOCK_STREAM)
     try:
-        shared.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        shared.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        shared.bind((host, port))
-        shared.listen(backlog)
-        shared.setblocking(False)
-        return reactor.adoptStreamPort(shared.fileno(), family, factory)  # takes a copy of the descriptor
-    except OSError as fault:
-        raise error.CannotListenError(host, port, fault) from fault
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        listening.bind((host, port))
+        listening.listen(backlog)
+        listening.setblocking(False)
+        return reactor.adoptStreamPort(listening.fileno(), family, factory)  # duplicates the descriptor
+    except OSError as exc:
+        raise error.CannotListenError(host, port, exc) from exc
     finally:
-        shared.close()
+        listening.close()
 
 
 def stop_shared(port: tcp.Port) -> None:
-    """Take no more connections here, and lose none that wait: those are taken, then the socket stops listening.
+    """Stops listening without losing queued connections: accepts all of them, then shuts the socket down.
 
-    Guards against connections reset in the queue of a socket that closes while another process shares its
-    address: between the last accept and the shutdown, which follow each other at once, nothing can land here.
+    Prevents resets of connections in the queue of a socket that closes while another process shares its
+    address: the shutdown follows the last accept at once, so that no connection can arrive in between.
     """
     port.stopReading()
     port.numberAccepts = 1 << 16
@@ -68,18 +68,18 @@
 
 
 class MessageError(Exception):
-    """A message that the protocol does not allow."""
+    """A message that violates the protocol."""
 
 
 @implementer(interfaces.IPushProducer)
 class Link:
-    """One connection: counts a malformed message and closes itself alone; notices a peer that won't read."""
+    """Base of all connections: closes only itself on a malformed message, and detects a peer that stops reading."""
 
     tally: Tally
     peer_kind = "peer"
     now_ms: Callable[[], float]
-    stalled_ms = 0.0  # since when the peer has left our bytes unread; 0: it has not
-    partial_ms = 0.0  # since when a message has been unfinished, however much of it comes; 0: none is
+    stalled_since_ms = 0.0  # since when the peer has not read what was written to it; 0: not stalled
+    partial_ms = 0.0  # since when a message has been unfinished, however much of it arrives; 0: none
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -87,25 +87,25 @@
         self.tally.add(f"{self.peer_kind}.connections")
 
     def pauseProducing(self) -> None:
-        self.stalled_ms = self.now_ms()
+        self.stalled_since_ms = self.now_ms()
 
     def resumeProducing(self) -> None:
-        self.stalled_ms = 0.0
+        self.stalled_since_ms = 0.0
 
     def stopProducing(self) -> None:
         """The transport is closing; connectionLost follows."""
 
-    def left_over(self, tail: bytes, begun: bool) -> bytes:
-        """Keep what is unfinished of a read; `begun` tells that it began in this read."""
+    def retain_tail(self, tail: bytes, starts_message: bool) -> bytes:
+        """Records since when a message is unfinished; `starts_message`: its first bytes came in this read."""
         if not tail:
             self.partial_ms = 0.0
-        elif begun or not self.partial_ms:
+        elif starts_message or not self.partial_ms:
             self.partial_ms = self.now_ms()
         return tail
 
     def say(self, *parts: bytes | memoryview) -> bool:
-        """Write one message; a peer that has not read for long is cut off, so that buffers stay bounded."""
-        if self.stalled_ms and self.now_ms() - self.stalled_ms > STALLED_MS:
+        """Writes one message; drops a peer that has stopped reading, so that write buffers stay bounded."""
+        if self.stalled_since_ms and self.now_ms() - self.stalled_since_ms > WRITE_STALL_TIMEOUT_MS:
             self.tally.add(f"{self.peer_kind}.stalled")
             self.transport.abortConnection()
             return False
@@ -113,22 +113,22 @@
         return True
 
     def flush(self) -> None:
-        """Hand what was written to the system now, not at the reactor's next turn."""
+        """Passes the write buffer to the kernel now instead of in the reactor's next turn."""
         if not self.transport.disconnecting:
-            self.transport.doWrite()  # an error of it is met again at that turn, and handled there
+            self.transport.doWrite()  # an error occurs again in that turn, and is handled there
 
     def blocked(self) -> bool:
-        """Whether the system took no more at the last flush: what is written now would wait here."""
-        return bool(self.stalled_ms or self.transport.dataBuffer)
+        """Returns whether the kernel took less than all at the last flush: new data would wait in the buffer."""
+        return bool(self.stalled_since_ms or self.transport.dataBuffer)
 
-    def malformed(self, fault: MessageError) -> None:
+    def malformed(self, failure: MessageError) -> None:
         self.tally.add(f"{self.peer_kind}.malformed")
         self.transport.abortConnection()
 
-    def receive(self, most: int = READ) -> bytes | None:
-        """What waits in the socket, not read yet; empty where the connection has ended, None where nothing waits."""
+    def read_available(self, max_bytes: int = READ_BYTES) -> bytes | None:
+        """Reads what waits in the socket; empty at the end of the connection, None when nothing waits."""
         try:
-            return self.transport.getHandle().recv(most)
+            return self.transport.getHandle().recv(max_bytes)
         except BlockingIOError:
             return None
         except OSError:  # reset
@@ -136,37 +136,38 @@
 
 
 class AcceptedLink(Link):
-    """A connection that a front has taken; its messages are told to the front's AcceptedLinks."""
+    """An inbound connection from a caller or DNS client; AcceptedLinks manages its lifetime."""
 
     accepted: AcceptedLinks
     opened_ms = 0.0
-    heard_ms = 0.0  # when its last whole message came; 0: none has
-    reading = False  # what has been read is being taken
-    spare = False  # taken beyond the bound: told to come again, and closed
+    last_received_ms = 0.0  # when the last complete message arrived; 0: none yet
+    processing_read = False  # dataReceived is running
+    overflow = False  # accepted over the limit: its requests are refused, and it is closed
 
     def connectionMade(self) -> None:
         self.opened_ms = self.now_ms()
-        self.spare = len(self.accepted.held) >= self.accepted.most
-        self.accepted.held[self] = self.accepted.silent[self] = None
+        self.overflow = len(self.accepted.held) >= self.accepted.most
+        self.accepted.held[self] = self.accepted.no_message_yet[self] = None
         super().connectionMade()
 
     def connectionLost(self, reason: object = None) -> None:
-        self.accepted.ended(self)
+        self.accepted.connection_closed(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take a read and, where requests have come of it, whatever follows it already; then let them be offered.
+        """Processes a read and, if it contained requests, what has already followed it; then offers the requests.
 
-        Guards against servers working on requests withdrawn or left since: what tells it may lie right behind. In all
-        no more is taken than one read may bring, so that a flood does not hold up everybody else for longer.
+        Prevents servers from working on requests that are already withdrawn or whose caller has left: the message
+        that says so may follow directly. The total is limited to the size of one read, so that a flood does not
+        delay all other connections.
         """
-        self.reading = True
-        left = READ - len(data)
+        self.processing_read = True
+        left = READ_BYTES - len(data)
         try:
             super().dataReceived(data)
-            for _ in range(READS_ON):
-                if left <= 0 or not self.asking() or self not in self.accepted.held:
+            for _ in range(MAX_EXTRA_READS):
+                if left <= 0 or not self.has_new_requests() or self not in self.accepted.held:
                     break
-                more = self.receive(left)
+                more = self.read_available(left)
                 if more is None:
                     break
                 if not more:
@@ -174,165 +175,183 @@
                     return
                 left -= len(more)
                 super().dataReceived(more)
-            self.read()
+            self.read_finished()
         finally:
-            self.reading = False
+            self.processing_read = False
 
-    def asking(self) -> bool:
-        """Whether requests have been read that are not offered yet."""
+    def has_new_requests(self) -> bool:
+        """Returns whether requests have been read that are not offered yet."""
         return False
 
-    def read(self) -> None:
-        """All that had come has been taken."""
+    def read_finished(self) -> None:
+        """Called when all available data has been processed."""
 
     def catch_up(self) -> None:
-        """Take what has come meanwhile and is not read yet: its peer may have spoken, or gone."""
-        if self.reading or self not in self.accepted.held or self.transport.disconnecting:
+        """Processes data that waits in the socket: the peer may have sent a message, or closed."""
+        if self.processing_read or self not in self.accepted.held or self.transport.disconnecting:
             return
-        data = self.receive()
+        data = self.read_available()
         if data:
             self.dataReceived(data)
         elif data is not None:
             self.accepted.close(self)
 
     def heard(self) -> None:
-        """A whole message has come."""
-        self.heard_ms = self.now_ms()
+        """Records that a complete message has arrived."""
+        self.last_received_ms = self.now_ms()
         if self in self.accepted.held:
             self.accepted.held.move_to_end(self)
-        self.accepted.silent.pop(self, None)
+        self.accepted.no_message_yet.pop(self, None)
 
     def busy(self) -> bool:
-        """Whether it is owed an answer."""
+        """Returns whether an answer is pending on this connection."""
         raise NotImplementedError
 
     def left(self) -> None:
-        """It has gone, or is being closed: what it was owed is not any more."""
+        """Called when the connection has closed or is being closed: its pending answers are dropped."""
         raise NotImplementedError
 
 
 class AcceptedLinks:
-    """The connections that a front has taken: bounds on their number, on silence and on half a message.
+    """The inbound connections of one listener: limits their number, their silence and partial messages.
 
-    Guards against descriptors and memory held by peers that say nothing, ask once and stay, or never finish;
-    where connections run short these go first, so that who has something to say is let in. Where all are owed an
-    answer a few more are taken beyond the bound, to be told so and closed: `spare` of them.
+    Prevents peers that send nothing, stay after one request or never finish a message from using up descriptors
+    and memory; at the limit these are closed first, so that active peers are let in. When an answer is pending
+    on every connection, up to `spare` more are accepted over the limit, to be refused and closed.
     """
 
-    def __init__(self, tally: Tally, kind: str, most: int, deadlines: Deadlines, spare: int = 0) -> None:
-        self.tally, self.kind, self.most, self.deadlines, self.spare = tally, kind, most, deadlines, spare
-        self.held: OrderedDict[AcceptedLink, None] = OrderedDict()  # the least lately heard first
-        self.silent: OrderedDict[AcceptedLink, None] = OrderedDict()  # those not heard yet, oldest first
-        self.closing: dict[AcceptedLink, float] = {}  # what was written on them is not out yet -> closed when
-        self.look()
+    def __init__(
+        self, tally: Tally, peer_kind: str, max_connections: int, deadlines: Deadlines, overflow: int = 0
+    ) -> None:
+        self.tally, self.peer_kind, self.most, self.deadlines, self.spare = (
+            tally,
+            peer_kind,
+            max_connections,
+            deadlines,
+            overflow,
+        )
+        self.held: OrderedDict[AcceptedLink, None] = OrderedDict()  # least recently received from first
+        self.no_message_yet: OrderedDict[AcceptedLink, None] = OrderedDict()  # oldest first
+        self.closing: dict[AcceptedLink, float] = {}  # with unsent data -> when closing began
+        self.check_connections()
 
     def room(self) -> bool:
-        """Whether one more is taken; the one that needs its place least may be closed for it."""
+        """Returns whether one more may be accepted; may close the least needed connection to make room."""
         if len(self.held) < self.most:
             return True
-        found = self._needs_least()
-        self.tally.add(f"{self.kind}.over_limit")
-        if found is not None and not found.heard_ms:
-            # Its descriptor is free at once. Guards against running out of them where hundreds come in one turn.
-            found.transport.connectionLost(Failure(error.ConnectionAborted()))
-        elif found is not None:
-            self.close(found)
+        candidate = self._eviction_candidate()
+        self.tally.add(f"{self.peer_kind}.over_limit")
+        if candidate is not None and not candidate.last_received_ms:
+            # Frees its descriptor at once. Prevents running out of them when hundreds connect in one turn.
+            candidate.transport.connectionLost(Failure(error.ConnectionAborted()))
+        elif candidate is not None:
+            self.close(candidate)
         return len(self.held) + len(self.closing) < self.most + self.spare
 
-    def _needs_least(self) -> AcceptedLink | None:
-        """One that has said nothing, else the least lately heard that is owed nothing, else one that is unfinished."""
+    def _eviction_candidate(self) -> AcceptedLink | None:
+        """Returns one without any message, else the least recent idle one, else one with a partial message."""
         unfinished = None
-        for links in (self.silent, self.held):
-            for link in list(links):
-                if link.busy():
+        for connections in (self.no_message_yet, self.held):
+            for connection in list(connections):
+                if connection.busy():
                     continue
-                if link.partial_ms:
-                    unfinished = unfinished or link
-                elif self._still(link):
-                    return link
+                if connection.partial_ms:
+                    unfinished = unfinished or connection
+                elif self._is_still_idle(connection):
+                    return connection
         return unfinished
 
-    def _still(self, link: AcceptedLink) -> bool:
-        """Whether a connection is still without anything to say, once what has come on it is read.
+    def _is_still_idle(self, connection: AcceptedLink) -> bool:
+        """Returns whether a connection is still idle after the data in its socket has been processed.
 
-        Guards against closing one under a message that lies unread: who sent it is owed an answer.
+        Prevents closing a connection with an unread message in its socket, whose sender is due an answer.
         """
-        heard_ms = link.heard_ms
-        link.catch_up()
-        return link in self.held and not link.busy() and link.heard_ms == heard_ms
-
-    def close(self, link: AcceptedLink) -> None:
-        """Close one once what was written on it is out; it counts as gone from now on."""
-        link.transport.loseConnection()
-        if link in self.held:
-            self.closing[link] = self.deadlines.clock.now_ms()
-        self.remove(link)
-
-    def remove(self, link: AcceptedLink) -> None:
-        """It has gone; told once."""
-        self.silent.pop(link, None)
-        if link in self.held:
-            del self.held[link]
-            link.left()
-
-    def ended(self, link: AcceptedLink) -> None:
-        """Its socket has closed."""
-        self.closing.pop(link, None)
-        self.remove(link)
-
-    def look(self, _: object = None) -> None:
-        """Close who has been silent or idle for too long, or does not finish a message."""
+        last_received_ms = connection.last_received_ms
+        connection.catch_up()
+        return (
+            connection in self.held
+            and not connection.busy()
+            and connection.last_received_ms == last_received_ms
+        )
+
+    def close(self, connection: AcceptedLink) -> None:
+        """Closes a connection once its write buffer is sent; it counts as closed from now on."""
+        connection.transport.loseConnection()
+        if connection in self.held:
+            self.closing[connection] = self.deadlines.clock.now_ms()
+        self.remove(connection)
+
+    def remove(self, connection: AcceptedLink) -> None:
+        """Removes a closed connection, and notifies it once."""
+        self.no_message_yet.pop(connection, None)
+        if connection in self.held:
+            del self.held[connection]
+            connection.left()
+
+    def connection_closed(self, connection: AcceptedLink) -> None:
+        """Called when the socket has closed."""
+        self.closing.pop(connection, None)
+        self.remove(connection)
+
+    def check_connections(self, _: object = None) -> None:
+        """Closes connections that are silent or idle for too long, or do not finish a message."""
         now_ms = self.deadlines.clock.now_ms()
-        for link, since_ms in list(self.closing.items()):
-            if now_ms - since_ms > STALLED_MS:
-                link.transport.abortConnection()  # its peer does not read what is due to it
-        for link in list(self.held):
-            if not link.heard_ms and now_ms - link.opened_ms > (SPARE_MS if link.spare else FIRST_MS):
-                self.tally.add(f"{self.kind}.silent")
-            elif link.partial_ms and now_ms - link.partial_ms > FIRST_MS:
-                self.tally.add(f"{self.kind}.unfinished")
-            elif link.heard_ms and now_ms - link.heard_ms > IDLE_MS and not link.busy():
-                self.tally.add(f"{self.kind}.idle")
+        for connection, since_ms in list(self.closing.items()):
+            if now_ms - since_ms > WRITE_STALL_TIMEOUT_MS:
+                connection.transport.abortConnection()  # the peer does not read its answer
+        for connection in list(self.held):
+            if not connection.last_received_ms and now_ms - connection.opened_ms > (
+                OVERFLOW_TIMEOUT_MS if connection.overflow else FIRST_MESSAGE_TIMEOUT_MS
+            ):
+                self.tally.add(f"{self.peer_kind}.silent")
+            elif connection.partial_ms and now_ms - connection.partial_ms > FIRST_MESSAGE_TIMEOUT_MS:
+                self.tally.add(f"{self.peer_kind}.unfinished")
+            elif (
+                connection.last_received_ms
+                and now_ms - connection.last_received_ms > IDLE_TIMEOUT_MS
+                and not connection.busy()
+            ):
+                self.tally.add(f"{self.peer_kind}.idle")
             else:
                 continue
-            if self._still(link):
-                self.close(link)
-        self.deadlines.at(now_ms + LOOK_MS, self.look)
+            if self._is_still_idle(connection):
+                self.close(connection)
+        self.deadlines.at(now_ms + CHECK_INTERVAL_MS, self.check_connections)
 
 
-class HeadReceiver(Link, LineReceiver):
-    """Text messages: a head that ends with an empty line, and a body of the length that the head tells."""
+class TextMessageReceiver(Link, LineReceiver):
+    """Text messages: a header block that ends with an empty line, and a body of the length it declares."""
 
     delimiter = b"\r\n\r\n"
-    MAX_LENGTH = MAX_MESSAGE
+    MAX_LENGTH = MAX_MESSAGE_BYTES
 
     def dataReceived(self, data: bytes) -> None:
         if self._buffer:
             data = self._buffer + data
-        view, at, size = memoryview(data), 0, len(data)
+        view, offset, size = memoryview(data), 0, len(data)
         try:
-            while at < size and not self.transport.disconnecting:
-                if data.startswith(b"\r\n", at):
-                    at += 2  # an empty line between messages keeps a connection alive
+            while offset < size and not self.transport.disconnecting:
+                if data.startswith(b"\r\n", offset):
+                    offset += 2  # an empty line between messages is a keep-alive
                     continue
-                end = data.find(b"\r\n\r\n", at)
-                if end < 0:
-                    if size - at > MAX_MESSAGE:
-                        raise MessageError("too long")
+                header_end = data.find(b"\r\n\r\n", offset)
+                if header_end < 0:
+                    if size - offset > MAX_MESSAGE_BYTES:
+                        raise MessageError(f"message header too long: over {MAX_MESSAGE_BYTES} bytes")
                     break
-                body_at = end + 4
-                length = self.body_length(view[at : end + 2])
-                if body_at + length - at > MAX_MESSAGE:
-                    raise MessageError("too long")
-                if body_at + length > size:
+                body_offset = header_end + 4
+                length = self.body_length(view[offset : header_end + 2])
+                if body_offset + length - offset > MAX_MESSAGE_BYTES:
+                    raise MessageError(f"message too long: over {MAX_MESSAGE_BYTES} bytes")
+                if body_offset + length > size:
                     break
-                self.messageReceived(view[at : end + 2], view[body_at : body_at + length])
-                at = body_at + length
-        except MessageError as fault:
+                self.messageReceived(view[offset : header_end + 2], view[body_offset : body_offset + length])
+                offset = body_offset + length
+        except MessageError as failure:
             self._buffer = b""
-            self.malformed(fault)
+            self.malformed(failure)
             return
-        self._buffer = self.left_over(data[at:], begun=at > 0)
+        self._buffer = self.retain_tail(data[offset:], starts_message=offset > 0)
 
     def body_length(self, head: memoryview) -> int:
         raise NotImplementedError
@@ -342,26 +361,26 @@
 
 
 class SliceReceiver(Link, Int16StringReceiver):
-    """Binary messages behind a length of two bytes."""
+    """Binary messages with a length prefix of two bytes."""
 
-    MAX_LENGTH = MAX_MESSAGE
+    MAX_LENGTH = MAX_MESSAGE_BYTES
     _unprocessed = b""
 
     def dataReceived(self, data: bytes) -> None:
         if self._unprocessed:
             data = self._unprocessed + data
-        view, at, size = memoryview(data), 0, len(data)
+        view, offset, size = memoryview(data), 0, len(data)
         try:
-            while size - at >= 2 and not self.transport.disconnecting:
-                (length,) = struct.unpack_from("!H", data, at)
-                if length + 2 > MAX_MESSAGE:
-                    raise MessageError("too long")
-                if size - at - 2 < length:
+            while size - offset >= 2 and not self.transport.disconnecting:
+                (length,) = struct.unpack_from("!H", data, offset)
+                if length + 2 > MAX_MESSAGE_BYTES:
+                    raise MessageError(f"message too long: {length + 2} of at most {MAX_MESSAGE_BYTES} bytes")
+                if size - offset - 2 < length:
                     break
-                self.stringReceived(view[at + 2 : at + 2 + length])
-                at += 2 + length
-        except MessageError as fault:
+                self.stringReceived(view[offset + 2 : offset + 2 + length])
+                offset += 2 + length
+        except MessageError as failure:
             self._unprocessed = b""
-            self.malformed(fault)
+            self.malformed(failure)
             return
-        self._unprocessed = self.left_over(data[at:], begun=at > 0)
+        self._unprocessed = self.retain_tail(data[offset:], starts_message=offset > 0)
--- a/leadslip/net/servers.py
+++ b/leadslip/net/servers.py
@@ -1,4 +1,4 @@
-"""Setup servers: the binary wire, one connection for all calls of a server."""
+"""Client side of the setup servers' binary protocol; each connection carries many calls."""
 
 from __future__ import annotations
 
@@ -14,80 +14,80 @@
 from leadslip.core import Attempt, Deadlines, Engine
 from leadslip.net.links import MessageError, SliceReceiver
 
-SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, STATE, TEST, TEST_ENDED = 1, 6, 9, 12, 16, 43, 52, 53
+# Message types.
+SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, STATE, TEST, TEST_ENDED = 1, 6, 9, 12, 16, 43, 52, 53
+# Parameter codes.
 CLASS, WAIT, NUMBER, NOTE, REPORT, CAUSE, DESCRIPTION = 33, 35, 41, 47, 51, 61, 63
-ENDS = {  # cause of a release before the answer
+OUTCOME_OF_CAUSE = {  # for a release that arrives before the answer
     34: face.Outcome.FULL,
     17: face.Outcome.ERROR,
     47: face.Outcome.ERROR,
     102: face.Outcome.NOT_SENT,
     41: face.Outcome.CUT,
 }
-FREE = (PROGRESS, RELEASE_HEARD, TEST_ENDED)  # they mean nothing
-NOTES = {
+IGNORED_TYPES = (PROGRESS, RELEASE_ACK, TEST_ENDED)  # valid, but need no action
+CAUSE_OF_NOTE = {
     b"no_circuit": face.Cause.NO_LINE,
     b"turned_back": face.Cause.BOUNCED,
     b"overload": face.Cause.PROCESSOR_FULL,
     b"lines_busy": face.Cause.NUMBER_BUSY,
     b"far_overload": face.Cause.BOUNCED,
 }
-HEAD = struct.Struct("!HB8s")  # length, type, call
+HEADER = struct.Struct("!HB8s")  # length, type, call
 NO_CALL = bytes(8)
 PARAMETER = struct.Struct("!BH")  # code, length
-NORMAL, CUT = 16, 41
-RECENT_MS = 30_000.0  # for so long the end of a call that was held here may be told again
-PARTIAL_MS = 300.0  # for so long a message may be unfinished: a whole one takes a few ms to come
-MOST_LINKS = 4  # connections to a server: so many are told the state of its lines
-OVERTAKEN_MS = 50.0  # a set-up is lost where one sent so much later stands and its connection stays silent
-STATE_MS = 300.0  # a state told elsewhere for so long, and not here, tells that a silent connection is dead
-UNANSWERED_MS = 400.0  # a set-up out for so long on a connection that says nothing puts it in doubt ...
-SILENT_MS = 1500.0  # ... and so does saying nothing at all for so long while calls stand
-GONE_MS = 2000.0  # a server not heard for so long, to which no connection comes up, can't be reached
-VANISHED_MS = 6500.0  # after so long its calls count as cut: their ends are due to callers in 8 s
-UP_MS = 200.0  # a new connection says something first; one that does not is used after so long all the same
-QUIET_MS = 550.0  # while calls stand, a connection that says nothing for so long is asked whether it works
-TESTED_MS = 90.0  # a test passes at once: a connection that leaves it unanswered for so long does not work
-CROSSED_MS = 100.0  # for so long a server may go on writing on a connection that we have given up
-CLOSING_MS = 300.0  # a server has so long to close a connection that we have closed towards it
-DIALS = 3  # new connections in a row that may be reset before what waits for one is sent elsewhere
-LOOK_MS = 100.0  # between two looks at all connections
-
-
-def parameters(view: memoryview, at: int) -> dict[int, memoryview]:
-    """The parameters of a message, as slices; of a code that comes twice the first holds."""
+NORMAL, TEMPORARY_FAILURE = 16, 41
+RECENTLY_ENDED_MS = 30_000.0  # a server may repeat the end of a call for this long
+PARTIAL_MESSAGE_TIMEOUT_MS = 300.0  # a complete message takes a few ms to arrive
+MAX_CONNECTIONS = 4  # per server; a server reports its state on at most this many
+OVERTAKEN_MARGIN_MS = 50.0  # a set-up is overtaken once one sent this much later has been answered
+MISSED_STATE_MS = 300.0  # a connection that missed a state report for this long may be dead
+UNANSWERED_SET_UP_MS = 400.0  # a silent connection with a set-up this old is suspect
+SILENCE_TIMEOUT_MS = 1500.0  # a server with calls that sends nothing for this long is suspect
+UNREACHABLE_AFTER_MS = 2000.0  # a server silent for this long that accepts no connection is unreachable
+CALLS_LOST_AFTER_MS = 6500.0  # then its calls count as lost: callers must learn of the end within 8 s
+FIRST_MESSAGE_WAIT_MS = 200.0  # a new connection without a first message is used after this time
+TEST_AFTER_SILENCE_MS = 550.0  # a connection silent for this long while calls exist is tested
+TEST_TIMEOUT_MS = 90.0  # a test is answered at once; without an answer in this time the connection has failed
+IN_FLIGHT_MS = 100.0  # a server may still write on a connection for this long after the proxy abandoned it
+CLOSE_TIMEOUT_MS = 300.0  # time for a server to close its side of a half-closed connection
+MAX_CONSECUTIVE_RESETS = 3  # new connections reset in a row before queued set-ups go elsewhere
+CHECK_INTERVAL_MS = 100.0
+
+
+def parameters(view: memoryview, offset: int) -> dict[int, memoryview]:
+    """Returns the parameters of a message as slices by code; the first of a repeated code wins."""
     found: dict[int, memoryview] = {}
     size = len(view)
-    while at < size:
-        if size - at < 3:
-            raise MessageError("parameter")
-        code, length = PARAMETER.unpack_from(view, at)
-        at += 3 + length
-        if at > size:
-            raise MessageError("parameter length")
-        found.setdefault(code, view[at - length : at])
+    while offset < size:
+        if size - offset < 3:
+            raise MessageError("parameter header is shorter than 3 bytes")
+        code, length = PARAMETER.unpack_from(view, offset)
+        offset += 3 + length
+        if offset > size:
+            raise MessageError(f"parameter {code}: length {length} exceeds the message")
+        found.setdefault(code, view[offset - length : offset])
     return found
 
 
-def message(kind: int, call: bytes, *told: tuple[int, bytes]) -> bytes:
-    """One message with its length."""
-    body = b"".join(part for code, value in told for part in (PARAMETER.pack(code, len(value)), value))
-    return HEAD.pack(9 + len(body), kind, call) + body
+def message(message_type: int, call: bytes, *fields: tuple[int, bytes]) -> bytes:
+    """Encodes one message, including its length prefix."""
+    body = b"".join(part for code, value in fields for part in (PARAMETER.pack(code, len(value)), value))
+    return HEADER.pack(9 + len(body), message_type, call) + body
 
 
-class ServerLink(SliceReceiver):
+class ServerConnection(SliceReceiver):
     """One connection to a setup server."""
 
     peer_kind = "servers"
 
     def __init__(self, server: Server) -> None:
-        self.server, self.tally, self.now_ms = server, server.far.tally, server.far.now_ms
-        self.opened_ms = self.heard_ms = self.now_ms()
-        self.set_ups: dict[bytes, Attempt] = {}  # out on this connection, oldest first
-        self.overtaken_ms = 0.0  # since when the end of a call set up here is known from another connection
-        self.tested_ms = (
-            0.0  # when it was asked whether it works, and has said nothing whole since; 0: it has
-        )
-        self.retired_ms = 0.0  # since when it is closed towards the server, and read to its end only
+        self.server, self.tally, self.now_ms = server, server.upstream.tally, server.upstream.now_ms
+        self.opened_ms = self.last_received_ms = self.now_ms()
+        self.set_ups: dict[bytes, Attempt] = {}  # in progress on this connection, oldest first
+        self.missed_end_ms = 0.0  # since when another connection has brought an end due here
+        self.test_sent_ms = 0.0  # when the unanswered test was sent; 0: none
+        self.closing_since_ms = 0.0  # since when it is half-closed, and only read from
 
     def connectionMade(self) -> None:
         super().connectionMade()
@@ -95,149 +95,151 @@
 
     def connectionLost(self, reason: object = None) -> None:
         done = reason is not None and reason.check(error.ConnectionDone) is not None
-        self.server.lost(self, all_read=bool(self.retired_ms) and done)
+        self.server.lost(self, all_read=bool(self.closing_since_ms) and done)
 
-    def retire(self) -> None:
-        """Close towards the server, and read on: what is under way from it must not be lost."""
-        self.retired_ms = self.now_ms()
+    def close_write(self) -> None:
+        """Half-closes the connection; reads on, so that messages in flight are not lost."""
+        self.closing_since_ms = self.now_ms()
         self.transport.loseWriteConnection()
 
-    def malformed(self, fault: MessageError) -> None:
-        super().malformed(fault)
+    def malformed(self, failure: MessageError) -> None:
+        super().malformed(failure)
         self.server.lost(self)
 
-    def test(self) -> None:
-        """Ask whether it works; whatever whole message comes next is the answer."""
-        if not self.tested_ms:
-            self.tested_ms = self.now_ms()
+    def send_test(self) -> None:
+        """Sends a test message; any complete message that follows counts as the answer."""
+        if not self.test_sent_ms:
+            self.test_sent_ms = self.now_ms()
             self.tally.add("servers.tests")
             self.say(message(TEST, NO_CALL, (CAUSE, b"\x00")))
 
-    def failed(self, now_ms: float) -> bool:
-        """Whether it has left a test unanswered for too long."""
-        return bool(self.tested_ms) and now_ms - self.tested_ms > TESTED_MS
+    def test_failed(self, now_ms: float) -> bool:
+        """Returns whether a test has timed out."""
+        return bool(self.test_sent_ms) and now_ms - self.test_sent_ms > TEST_TIMEOUT_MS
 
-    def dead(self, now_ms: float) -> bool:
-        """Whether it has, while its server has spoken elsewhere.
+    def is_dead(self, now_ms: float) -> bool:
+        """Returns whether a test has timed out while the server has sent on another connection.
 
-        Guards against closing all connections of a processor that hangs: it goes on later, and writes what has
-        ended meanwhile on connections that it does not know to be closed yet.
+        Prevents closing all connections of a server that hangs: when it resumes, it writes the ends that have
+        built up on connections that it does not yet know to be closed.
         """
-        return self.failed(now_ms) and self.server.heard_ms > self.tested_ms
+        return self.test_failed(now_ms) and self.server.last_received_ms > self.test_sent_ms
 
     def abort(self) -> None:
-        """Close without waiting; known at once, so that nothing more is sent on it."""
+        """Closes at once and reports the loss at once, so that nothing more is sent here."""
         self.transport.abortConnection()
         self.server.lost(self)
 
     def stringReceived(self, view: memoryview) -> None:
         if len(view) < 9:
-            raise MessageError("short")
-        kind, call = view[0], bytes(view[1:9])
-        told = parameters(view, 9)
-        load = self.server.far.load_of(told.get(REPORT))
-        # Only a whole message that can be read counts as heard: noise must not pass for a live connection.
-        self.heard_ms = self.now_ms()
-        if self.tested_ms:
-            self.tested_ms = 0.0
-            self.server.passed(self)
-        self.server.heard(self)
-        if kind == ANSWER:
-            if DESCRIPTION not in told:
-                raise MessageError("description")
-            self.server.answered(call, told[DESCRIPTION])
-        elif kind == RELEASE:
-            cause = told.get(CAUSE)
-            if cause is None or len(cause) != 1 or cause[0] not in (NORMAL, *ENDS):
-                raise MessageError("cause")
-            note = NOTES.get(bytes(told.get(NOTE, b"")), face.Cause.NONE)
+            raise MessageError(f"message too short: got {len(view)} of at least 9 bytes")
+        message_type, call = view[0], bytes(view[1:9])
+        fields = parameters(view, 9)
+        load = self.server.upstream.parse_load(fields.get(REPORT))
+        # Only a complete, readable message counts as received: garbage must not look like a live connection.
+        self.last_received_ms = self.now_ms()
+        if self.test_sent_ms:
+            self.test_sent_ms = 0.0
+            self.server.test_passed(self)
+        self.server.message_received(self)
+        if message_type == ANSWER:
+            if DESCRIPTION not in fields:
+                raise MessageError("answer has no description")
+            self.server.answered(call, fields[DESCRIPTION])
+        elif message_type == RELEASE:
+            cause = fields.get(CAUSE)
+            if cause is None or len(cause) != 1 or cause[0] not in (NORMAL, *OUTCOME_OF_CAUSE):
+                raise MessageError("release cause is missing or unknown")
+            note = CAUSE_OF_NOTE.get(bytes(fields.get(NOTE, b"")), face.Cause.NONE)
             self.server.released(self, call, cause[0], note, load)
-        elif kind == STATE and load is not None:
-            self.server.told_state(self)
-            self.server.far.engine.looked(self.server.uid, load)
-        elif kind == TEST:
+        elif message_type == STATE and load is not None:
+            self.server.state_received(self)
+            self.server.upstream.engine.looked(self.server.uid, load)
+        elif message_type == TEST:
             self.say(message(TEST_ENDED, call, (CAUSE, b"\x01")))
-        elif kind not in FREE:
-            # A type that does not exist is an answer spoilt: what follows on the connection is lost too.
-            raise MessageError("type")
+        elif message_type not in IGNORED_TYPES:
+            # An unknown type is a corrupt message: whatever follows on the connection is unreadable too.
+            raise MessageError(f"unknown message type {message_type}")
 
 
-class ServerLinks(protocol.ClientFactory):
-    """Makes the connections of one server."""
+class ServerConnectionFactory(protocol.ClientFactory):
+    """Builds the connections to one server."""
 
     noisy = False
 
     def __init__(self, server: Server) -> None:
         self.server = server
 
-    def buildProtocol(self, addr: object) -> ServerLink:
-        return ServerLink(self.server)
+    def buildProtocol(self, addr: object) -> ServerConnection:
+        return ServerConnection(self.server)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
         if reason.check(error.ConnectBindError):
-            self.server.dial_impossible()
+            self.server.no_local_socket()
         else:
-            self.server.dial_failed(reason.check(error.ConnectionRefusedError) is not None)
+            self.server.connect_failed(reason.check(error.ConnectionRefusedError) is not None)
 
 
 class Server:
-    """One setup server, by its id: two that follow each other at one address are two."""
+    """One setup server, identified by its uid: successive servers at one address are distinct."""
 
     def __init__(
-        self, far: Servers, uid: str, address: Address, state: face.ServerState, since: float
+        self, upstream: Servers, uid: str, address: Address, state: face.ServerState, since: float
     ) -> None:
-        self.far, self.uid, self.address, self.state, self.since = far, uid, address, state, since
-        self.up: list[ServerLink] = []  # take set-ups, oldest first
-        self.new: ServerLink | None = None  # has come up and said nothing yet
-        self.dialling = False
-        self.dialled_ms = 0.0
-        self.stood_ms = 0.0  # when the latest set-up that stands was sent
-        self.state_ms = 0.0  # when state was last told unasked
-        self.resets = 0  # new connections in a row that were lost before they said anything
-        self.heard_ms = far.now_ms()
-        self.waiting: dict[bytes, Attempt] = {}  # set-ups that wait for a connection
-        self.calls: dict[bytes, Attempt] = {}  # set-ups out, and calls that stand
-        self.on: dict[bytes, ServerLink] = {}  # those calls -> the connection of their set-up, open or not
-        self.retired: list[ServerLink] = []
-        self.owed_ms = 0.0  # a connection opened later is owed: what was lost is told there; 0: none
-        self.unsaid: list[bytes] = []  # releases that wait for a connection
-        self.down = False  # the last dial was refused or unanswered, and no connection has come up since
-        self.links = ServerLinks(self)
-
-    # What the engine asks.
+        self.upstream, self.uid, self.address, self.state, self.since = upstream, uid, address, state, since
+        self.active: list[ServerConnection] = []  # used for set-ups, oldest first
+        self.pending: ServerConnection | None = None  # open, but no message received yet
+        self.connecting = False
+        self.connect_started_ms = 0.0
+        self.latest_answered_ms = 0.0  # when the latest set-up that was answered was sent
+        self.state_ms = 0.0  # when the last unsolicited state report was received
+        self.resets = 0  # consecutive new connections lost before their first message
+        self.last_received_ms = upstream.now_ms()
+        self.queued: dict[bytes, Attempt] = {}  # set-ups waiting for a connection
+        self.calls: dict[bytes, Attempt] = {}  # set-ups in progress and established calls
+        self.connection_of: dict[bytes, ServerConnection] = {}  # call -> its set-up's connection, open or not
+        self.half_closed: list[ServerConnection] = []
+        self.replacement_due_ms = 0.0  # a connection opened from then on brings the ends missed; 0: none due
+        self.unsent_releases: list[bytes] = []  # wait for a connection
+        self.unreachable = False  # the last connect failed, and no connection has come up since
+        self.connection_factory = ServerConnectionFactory(self)
+
+    # Called for the engine.
 
     def send(self, attempt: Attempt) -> face.Outcome | None:
         call = bytes.fromhex(attempt.request.id)
-        link = self._least_used()
-        if link is None:
-            self.waiting[call] = attempt
-            self.dial()
+        connection = self._least_used()
+        if connection is None:
+            self.queued[call] = attempt
+            self.connect()
             return None
         if (
-            link.set_ups
-            and len(self.up) < MOST_LINKS
+            connection.set_ups
+            and len(self.active) < MAX_CONNECTIONS
             and self.state is face.ServerState.READY
-            and not self.under_way()
-            and self.far.room()
+            and not self.is_connecting()
+            and self.upstream.has_capacity()
         ):
-            # One spoilt answer ends all that is out on its connection: set-ups are spread over a few.
-            self.dial()
-        return self._set_up(link, call, attempt)
+            # One corrupt message ends all set-ups in progress on its connection, so they are spread over several.
+            self.connect()
+        return self._set_up(connection, call, attempt)
 
-    def _least_used(self) -> ServerLink | None:
-        return min(self.up, key=lambda link: (link.blocked(), len(link.set_ups)), default=None)
+    def _least_used(self) -> ServerConnection | None:
+        return min(
+            self.active, key=lambda connection: (connection.blocked(), len(connection.set_ups)), default=None
+        )
 
-    def _set_up(self, link: ServerLink, call: bytes, attempt: Attempt) -> face.Outcome | None:
-        request, far = attempt.request, self.far
-        if link.blocked():
-            # A machine that is cut off reads nothing: what it can't take must not pile up here.
+    def _set_up(self, connection: ServerConnection, call: bytes, attempt: Attempt) -> face.Outcome | None:
+        request, upstream = attempt.request, self.upstream
+        if connection.blocked():
+            # An unreachable machine reads nothing: set-ups must not pile up in the write buffer.
             return face.Outcome.NO_CONNECTION
-        if not far.engine.wanted(attempt):
+        if not upstream.engine.wanted(attempt):
             return face.Outcome.NOT_SENT if attempt.out else None
-        left_ms = max(1, int(attempt.cut_at_ms - far.now_ms()))
-        self.calls[call] = link.set_ups[call] = attempt
-        self.on[call] = link
-        written = link.say(
+        left_ms = max(1, int(attempt.cut_at_ms - upstream.now_ms()))
+        self.calls[call] = connection.set_ups[call] = attempt
+        self.connection_of[call] = connection
+        written = connection.say(
             message(
                 SET_UP,
                 call,
@@ -248,429 +250,482 @@
             )
         )
         if written:
-            link.flush()
-            far.engine.written(attempt)
+            connection.flush()
+            upstream.engine.written(attempt)
         return None
 
     def end(self, attempt: Attempt) -> None:
-        """Give a set-up up, or release a call that stands: cause 16 either way."""
+        """Cancels a set-up or releases an established call, with cause 16 (normal) in both cases."""
         call = bytes.fromhex(attempt.request.id)
-        if self.waiting.pop(call, None) is None:
-            on = self.on.get(call)
-            out = on is not None and call in on.set_ups
-            if self._drop(call) is not None:
-                if out and on.blocked():
-                    # Guards against a set-up that leaves, its release behind it, when nobody wants it any more.
-                    on.abort()
+        if self.queued.pop(call, None) is None:
+            connection = self.connection_of.get(call)
+            in_progress = connection is not None and call in connection.set_ups
+            if self._remove(call) is not None:
+                if in_progress and connection.blocked():
+                    # Prevents a cancelled set-up still in the write buffer from being sent, its release after it.
+                    connection.abort()
                 else:
-                    self.tell_release(call, on if out else self._least_used())
-        self.far.tidy(self)
+                    self.send_release(call, connection if in_progress else self._least_used())
+        self.upstream.remove_if_unused(self)
 
-    def tell_release(self, call: bytes, link: ServerLink | None) -> None:
-        """Release a call at the server, cause 16."""
-        told = message(RELEASE, call, (CAUSE, bytes((NORMAL,))))
-        if link is None or not link.say(told):
-            self.unsaid.append(told)  # else the call would stand on at the server
-            self.dial()
+    def send_release(self, call: bytes, connection: ServerConnection | None) -> None:
+        """Releases a call at the server, with cause 16 (normal)."""
+        release = message(RELEASE, call, (CAUSE, bytes((NORMAL,))))
+        if connection is None or not connection.say(release):
+            self.unsent_releases.append(release)  # otherwise the server would keep the call
+            self.connect()
 
     def release_unheld(self, call: bytes) -> None:
-        """Release a call that is not held here, as one that another process set up."""
-        self.far.remember(call)
-        self.tell_release(call, self._least_used())
+        """Releases a call that is not known here, such as one set up by another process."""
+        self.upstream.remember_ended(call)
+        self.send_release(call, self._least_used())
 
-    def _drop(self, call: bytes) -> Attempt | None:
-        """Forget a call; that it was held is remembered for a while, as its end may be told once more."""
+    def _remove(self, call: bytes) -> Attempt | None:
+        """Removes a call; its id is remembered for a while, as the server may repeat its end."""
         attempt = self.calls.pop(call, None)
         if attempt is not None:
-            self.far.remember(call)
-            on = self.on.pop(call)
-            on.set_ups.pop(call, None)
+            self.upstream.remember_ended(call)
+            connection = self.connection_of.pop(call)
+            connection.set_ups.pop(call, None)
         return attempt
 
     # Connections.
 
-    def dial(self) -> None:
-        if self.under_way() or self.state is face.ServerState.GONE:
+    def connect(self) -> None:
+        if self.is_connecting() or self.state is face.ServerState.GONE:
             return
-        self.dialling, self.dialled_ms = True, self.far.now_ms()
+        self.connecting, self.connect_started_ms = True, self.upstream.now_ms()
         host, port = self.address
-        self.far.reactor.connectTCP(host, port, self.links, timeout=self.far.dial_timeout_s)
+        self.upstream.reactor.connectTCP(
+            host, port, self.connection_factory, timeout=self.upstream.dial_timeout_s
+        )
 
-    def connected(self, link: ServerLink) -> None:
-        """A connection is up; it takes set-ups once it has said something, as servers do first of all.
+    def connected(self, connection: ServerConnection) -> None:
+        """A connection has opened; it is used for set-ups after its first message, which servers send at once.
 
-        Guards against set-ups that are lost, and have to wait, on a connection that is reset when new.
+        Prevents set-ups from being lost and delayed on a connection that is reset right after it opened.
         """
-        self.dialling = False
+        self.connecting = False
         if self.state is face.ServerState.GONE:
-            link.transport.abortConnection()  # another may listen there by now: nothing of ours stands there
-            self.cut()
+            # Another server may listen there by now, which has none of these calls.
+            connection.transport.abortConnection()
+            self.drop_calls()
         else:
-            self.new = link
+            self.pending = connection
 
-    def heard(self, link: ServerLink) -> None:
-        self.heard_ms = link.heard_ms
-        if link is self.new:
+    def message_received(self, connection: ServerConnection) -> None:
+        self.last_received_ms = connection.last_received_ms
+        if connection is self.pending:
             self.resets = 0
-            self._use(link)
-
-    def told_state(self, link: ServerLink) -> None:
-        if link.heard_ms > link.opened_ms + STATE_MS:  # what a new connection is told first is told it alone
-            self.state_ms = link.heard_ms
-
-    def _use(self, link: ServerLink) -> None:
-        """Send on this connection too from now on; those before it may still bring what is out on them."""
-        self.new, self.down = None, False
-        now_ms = self.far.now_ms()
-        for held in self._spare(now_ms):
-            self.up.remove(held)
-            self.retired.append(held)
-            held.retire()
-        if link.opened_ms >= self.owed_ms:
-            self.owed_ms = 0.0
-        self.up.append(link)
-        unsaid, self.unsaid = self.unsaid, []
-        for told in unsaid:
-            link.say(told)
-        # One by one: what becomes of one may end others that wait, and those must not be sent.
-        while self.waiting and link in self.up:
-            call, attempt = next(iter(self.waiting.items()))
-            del self.waiting[call]
-            if not self.far.engine.sent_to(self.uid):
-                outcome = face.Outcome.NO_CONNECTION  # told to drain while the connection came up
+            self._activate(connection)
+
+    def state_received(self, connection: ServerConnection) -> None:
+        # The first report on a new connection is sent there alone, so it does not count.
+        if connection.last_received_ms > connection.opened_ms + MISSED_STATE_MS:
+            self.state_ms = connection.last_received_ms
+
+    def _activate(self, connection: ServerConnection) -> None:
+        """Uses a connection for set-ups; older ones may still deliver the results of theirs."""
+        self.pending, self.unreachable = None, False
+        now_ms = self.upstream.now_ms()
+        for surplus in self._surplus(now_ms):
+            self.active.remove(surplus)
+            self.half_closed.append(surplus)
+            surplus.close_write()
+        if connection.opened_ms >= self.replacement_due_ms:
+            self.replacement_due_ms = 0.0
+        self.active.append(connection)
+        releases, self.unsent_releases = self.unsent_releases, []
+        for release in releases:
+            connection.say(release)
+        # One at a time: the result of one set-up may end others in the queue, which must not be sent.
+        while self.queued and connection in self.active:
+            call, attempt = next(iter(self.queued.items()))
+            del self.queued[call]
+            if not self.upstream.engine.sent_to(self.uid):
+                outcome = face.Outcome.NO_CONNECTION  # the server began to drain while the connection opened
             else:
-                outcome = self._set_up(link, call, attempt)
+                outcome = self._set_up(connection, call, attempt)
             if outcome is not None:
-                self.far.engine.ended(attempt, outcome)
-        self.far.tidy(self)
+                self.upstream.engine.ended(attempt, outcome)
+        self.upstream.remove_if_unused(self)
 
-    def _spare(self, now_ms: float) -> list[ServerLink]:
-        """Connections that may be closed now that another has come up: those that do not work, and some too many.
+    def _surplus(self, now_ms: float) -> list[ServerConnection]:
+        """Returns the connections to close when another has opened: dead ones, and those over the maximum.
 
-        Guards against the loss of an end: a server writes it on the connection of its set-up and nowhere else,
-        so one that works is closed only once no call stands that was set up on it. The ends of calls whose
-        connection is lost may come on any: while such calls stand, none is closed up to twice as many.
+        Prevents the loss of a call's end: a server writes it only on the connection of the set-up, so a working
+        connection is closed only once it carries no established call. The ends of calls whose connection was
+        lost may arrive on any connection: while there are such calls, twice the maximum may stay open.
         """
-        spare = [held for held in self.up if not held.set_ups and held.dead(now_ms)]
-        owing = set(self.on.values())
-        most = 2 * MOST_LINKS if owing - set(self.up) else MOST_LINKS
-        free = [held for held in self.up if held not in owing and held not in spare]
-        too_many = max(0, len(self.up) - len(spare) + 1 - most)
-        return spare + sorted(free, key=lambda held: held.heard_ms)[:too_many]
-
-    def dial_failed(self, refused: bool) -> None:
-        self.dialling = False
-        self.down = True
-        self.far.tally.add("servers.refused" if refused else "servers.unreachable")
-        self._nothing_sent()
-        quiet_ms = self.far.now_ms() - self.heard_ms
-        if quiet_ms > VANISHED_MS or (refused and (quiet_ms > GONE_MS or not self.up)):
-            # The process is gone and has cut its calls, or its machine has vanished: no connection tells.
-            self.cut()
-        elif quiet_ms > GONE_MS:
-            # Guards against releasing calls that stand on while the machine is only cut off for some seconds.
-            for link in list(self.up):
-                link.abort()
-        self.far.tidy(self)
-
-    def dial_impossible(self) -> None:
-        """No socket could be had here: that tells nothing of the server, but what waits goes elsewhere."""
-        self.dialling = False
-        self.far.tally.add("servers.no_socket")
-        self._nothing_sent()
-        self.far.tidy(self)
-
-    def _nothing_sent(self) -> None:
-        """No connection came up: what waits for one goes elsewhere."""
-        waiting, self.waiting = self.waiting, {}
-        for attempt in waiting.values():
-            self.far.engine.ended(attempt, face.Outcome.NO_CONNECTION)
-
-    def lost(self, link: ServerLink, all_read: bool = False) -> None:
-        """A connection has gone: the set-ups open on it may have run; calls that stand may stand on."""
-        open_now = [held for held in self.links_open() if held is not link]
-        stands = any(on not in open_now for call, on in self.on.items() if call not in link.set_ups)
-        if stands and (link in self.up or (link in self.retired and not all_read)):
-            # What it may have swallowed is told on the next one opened. One under way does not do: the server
-            # may have taken it first, and written the end of a call on the lost one after that.
-            self.owed_ms = self.far.now_ms() + CROSSED_MS
-        if link in self.retired:
-            self.retired.remove(link)
-        if link is self.new:
-            self.new = None
+        dead = [
+            connection for connection in self.active if not connection.set_ups and connection.is_dead(now_ms)
+        ]
+        in_use = set(self.connection_of.values())
+        limit = 2 * MAX_CONNECTIONS if in_use - set(self.active) else MAX_CONNECTIONS
+        idle = [
+            connection for connection in self.active if connection not in in_use and connection not in dead
+        ]
+        excess = max(0, len(self.active) - len(dead) + 1 - limit)
+        return dead + sorted(idle, key=lambda connection: connection.last_received_ms)[:excess]
+
+    def connect_failed(self, refused: bool) -> None:
+        self.connecting = False
+        self.unreachable = True
+        self.upstream.tally.add("servers.refused" if refused else "servers.unreachable")
+        self._fail_queued()
+        quiet_ms = self.upstream.now_ms() - self.last_received_ms
+        if quiet_ms > CALLS_LOST_AFTER_MS or (
+            refused and (quiet_ms > UNREACHABLE_AFTER_MS or not self.active)
+        ):
+            # The process has exited and dropped its calls, or its machine is gone: no connection will report it.
+            self.drop_calls()
+        elif quiet_ms > UNREACHABLE_AFTER_MS:
+            # Only the connections: prevents releasing established calls when the machine is cut off for seconds.
+            for connection in list(self.active):
+                connection.abort()
+        self.upstream.remove_if_unused(self)
+
+    def no_local_socket(self) -> None:
+        """No local socket was available: this says nothing about the server, but queued set-ups go elsewhere."""
+        self.connecting = False
+        self.upstream.tally.add("servers.no_socket")
+        self._fail_queued()
+        self.upstream.remove_if_unused(self)
+
+    def _fail_queued(self) -> None:
+        """Ends the queued set-ups without a connection, so that they are sent elsewhere."""
+        queued, self.queued = self.queued, {}
+        for attempt in queued.values():
+            self.upstream.engine.ended(attempt, face.Outcome.NO_CONNECTION)
+
+    def lost(self, connection: ServerConnection, all_read: bool = False) -> None:
+        """A connection was lost: its set-ups in progress may have run; established calls may go on."""
+        still_open = [other for other in self.open_connections() if other is not connection]
+        orphaned = any(
+            carrier not in still_open
+            for call, carrier in self.connection_of.items()
+            if call not in connection.set_ups
+        )
+        if orphaned and (connection in self.active or (connection in self.half_closed and not all_read)):
+            # Ends lost with it are repeated on the next connection opened. One already being opened does not do:
+            # the server may have accepted it first, and written an end on the lost connection after that.
+            self.replacement_due_ms = self.upstream.now_ms() + IN_FLIGHT_MS
+        if connection in self.half_closed:
+            self.half_closed.remove(connection)
+        if connection is self.pending:
+            self.pending = None
             self.resets += 1
-            if self.resets >= DIALS:
+            if self.resets >= MAX_CONSECUTIVE_RESETS:
                 self.resets = 0
-                self._nothing_sent()
+                self._fail_queued()
             else:
-                self.dial()
-        if link in self.up:
-            self.up.remove(link)
-            self.dial()
-        for call, attempt in list(link.set_ups.items()):
-            self._drop(call)
-            self.far.engine.ended(attempt, face.Outcome.CUT)
-        if self.state is face.ServerState.GONE and not self.up:
-            self.cut()
-        self.far.tidy(self)
-
-    def cut(self) -> None:
-        """End all that is out or stands here as cut."""
-        links, self.up, self.new, self.retired = self.links_open() + self.retired, [], None, []
-        self.unsaid.clear()
-        self.owed_ms = 0.0
-        for link in links:
-            link.abort()
+                self.connect()
+        if connection in self.active:
+            self.active.remove(connection)
+            self.connect()
+        for call, attempt in list(connection.set_ups.items()):
+            self._remove(call)
+            self.upstream.engine.ended(attempt, face.Outcome.CUT)
+        if self.state is face.ServerState.GONE and not self.active:
+            self.drop_calls()
+        self.upstream.remove_if_unused(self)
+
+    def drop_calls(self) -> None:
+        """Closes all connections, and ends all set-ups and calls as CUT."""
+        connections, self.active, self.pending, self.half_closed = (
+            self.open_connections() + self.half_closed,
+            [],
+            None,
+            [],
+        )
+        self.unsent_releases.clear()
+        self.replacement_due_ms = 0.0
+        for connection in connections:
+            connection.abort()
         for call, attempt in list(self.calls.items()):
-            if self._drop(call) is not None:
-                self.far.engine.ended(attempt, face.Outcome.CUT)
+            if self._remove(call) is not None:
+                self.upstream.engine.ended(attempt, face.Outcome.CUT)
 
-    def _cut_lost(self) -> None:
-        """End the calls whose connection has gone, and of which no newer one could tell."""
-        self.owed_ms = 0.0
-        open_now = self.links_open()
-        for call, on in list(self.on.items()):
-            if on not in open_now:
-                self.far.engine.ended(self._drop(call), face.Outcome.CUT)
+    def _drop_orphaned_calls(self) -> None:
+        """Ends the calls whose connection is lost when no newer connection could report their end."""
+        self.replacement_due_ms = 0.0
+        still_open = self.open_connections()
+        for call, connection in list(self.connection_of.items()):
+            if connection not in still_open:
+                self.upstream.engine.ended(self._remove(call), face.Outcome.CUT)
 
-    def links_open(self) -> list[ServerLink]:
-        return self.up + ([self.new] if self.new is not None else [])
+    def open_connections(self) -> list[ServerConnection]:
+        return self.active + ([self.pending] if self.pending is not None else [])
 
-    def under_way(self) -> bool:
-        """Whether a connection is being opened."""
-        return self.dialling or self.new is not None
+    def is_connecting(self) -> bool:
+        """Returns whether a connection is being opened, or has not received its first message."""
+        return self.connecting or self.pending is not None
 
     def _overtaken(self, attempt: Attempt) -> bool:
-        """Whether a set-up sent later stands already."""
-        return attempt.sent_ms + OVERTAKEN_MS < self.stood_ms
+        """Returns whether a set-up sent later has already been answered."""
+        return attempt.sent_ms + OVERTAKEN_MARGIN_MS < self.latest_answered_ms
 
-    def passed(self, link: ServerLink) -> None:
-        """A connection in doubt works: a set-up that others have overtaken is late by itself.
+    def test_passed(self, connection: ServerConnection) -> None:
+        """A suspect connection works, so its overtaken set-ups are late for another reason.
 
-        It is given up, so that it may go again; the connection is kept, as it goes on bringing all else.
+        They are cancelled, so that they may be retried; the connection stays, as it still delivers everything else.
         """
-        for attempt in list(link.set_ups.values()):
+        for attempt in list(connection.set_ups.values()):
             if self._overtaken(attempt):
-                self.far.tally.add("servers.late_set_ups")
+                self.upstream.tally.add("servers.late_set_ups")
                 self.end(attempt)
-                self.far.engine.ended(attempt, face.Outcome.CUT)
+                self.upstream.engine.ended(attempt, face.Outcome.CUT)
 
-    def _doubtful(self, link: ServerLink, now_ms: float) -> bool:
-        """Whether a connection is silent where others of the same server are not."""
-        oldest = next(iter(link.set_ups.values()), None)
+    def _is_suspect(self, connection: ServerConnection, now_ms: float) -> bool:
+        """Returns whether a connection is silent while others to the same server are not."""
+        oldest = next(iter(connection.set_ups.values()), None)
         overtaken = (
-            oldest is not None and self._overtaken(oldest) and link.heard_ms + OVERTAKEN_MS < self.stood_ms
+            oldest is not None
+            and self._overtaken(oldest)
+            and connection.last_received_ms + OVERTAKEN_MARGIN_MS < self.latest_answered_ms
+        )
+        missed_state = (
+            connection.last_received_ms + MISSED_STATE_MS < self.state_ms < now_ms - MISSED_STATE_MS
         )
-        told = link.heard_ms + STATE_MS < self.state_ms < now_ms - STATE_MS
-        ends = link.heard_ms < link.overtaken_ms < now_ms - CROSSED_MS
-        return overtaken or ends or (told and now_ms - link.heard_ms > SILENT_MS)
-
-    def look(self, now_ms: float) -> None:
-        """Close what will bring nothing more, and dial anew past a connection in doubt.
-
-        Guards against a connection that stays open but dead, behind half a message or in silence: its set-ups
-        would time out and the ends of its calls would never be heard. One late answer looks alike, and so does a
-        connection on which nothing was due: it is asked first, as closing one that works loses the ends that
-        cross the close. A processor that hangs looks alike too; there the new connection says no more, and
-        nothing is given up.
+        missed_end = connection.last_received_ms < connection.missed_end_ms < now_ms - IN_FLIGHT_MS
+        return (
+            overtaken
+            or missed_end
+            or (missed_state and now_ms - connection.last_received_ms > SILENCE_TIMEOUT_MS)
+        )
+
+    def check_connections(self, now_ms: float) -> None:
+        """Closes dead connections, and opens a new one where the existing ones are suspect.
+
+        Prevents a connection that is open but dead, in silence or after a partial message, from letting its
+        set-ups time out and losing the ends of its calls. A late answer and an idle connection look the same,
+        and closing a working connection loses the ends in flight, so a suspect one is tested first. A server
+        that hangs looks the same too; there a new connection stays silent as well, and no call is dropped.
         """
-        for link in self.links_open():
-            if link.partial_ms and now_ms - link.partial_ms > PARTIAL_MS:
-                link.malformed(MessageError("unfinished"))
-            elif self._doubtful(link, now_ms):
-                if link.dead(now_ms):
-                    self.far.tally.add("servers.dead_links")
-                    link.abort()
+        for connection in self.open_connections():
+            if connection.partial_ms and now_ms - connection.partial_ms > PARTIAL_MESSAGE_TIMEOUT_MS:
+                connection.malformed(
+                    MessageError(f"message unfinished after {PARTIAL_MESSAGE_TIMEOUT_MS:.0f} ms")
+                )
+            elif self._is_suspect(connection, now_ms):
+                if connection.is_dead(now_ms):
+                    self.upstream.tally.add("servers.dead_links")
+                    connection.abort()
                 else:
-                    link.test()
-        for link in list(self.retired):
-            if now_ms - link.retired_ms > CLOSING_MS:
-                link.abort()
+                    connection.send_test()
+        for connection in list(self.half_closed):
+            if now_ms - connection.closing_since_ms > CLOSE_TIMEOUT_MS:
+                connection.abort()
         if self.state is face.ServerState.GONE:
-            if now_ms - self.heard_ms > GONE_MS:
-                self.cut()
-            elif self.owed_ms and now_ms - self.owed_ms > GONE_MS:
-                self._cut_lost()  # no connection is opened to it any more
-            self.far.tidy(self)
+            if now_ms - self.last_received_ms > UNREACHABLE_AFTER_MS:
+                self.drop_calls()
+            elif self.replacement_due_ms and now_ms - self.replacement_due_ms > UNREACHABLE_AFTER_MS:
+                self._drop_orphaned_calls()  # no connection is opened to this server any more
+            self.upstream.remove_if_unused(self)
             return
-        if self.owed_ms and now_ms - self.owed_ms > VANISHED_MS:
-            self._cut_lost()
-        if self.new is not None and now_ms - self.new.opened_ms > UP_MS:
-            self._use(self.new)
-        if self.under_way():
+        if self.replacement_due_ms and now_ms - self.replacement_due_ms > CALLS_LOST_AFTER_MS:
+            self._drop_orphaned_calls()
+        if self.pending is not None and now_ms - self.pending.opened_ms > FIRST_MESSAGE_WAIT_MS:
+            self._activate(self.pending)
+        if self.is_connecting():
             return
-        if self.owed_ms and now_ms >= self.owed_ms and self.dialled_ms < self.owed_ms:
-            self.dial()
+        if (
+            self.replacement_due_ms
+            and now_ms >= self.replacement_due_ms
+            and self.connect_started_ms < self.replacement_due_ms
+        ):
+            self.connect()
             return
-        if now_ms - self.dialled_ms < SILENT_MS / 3:
+        if now_ms - self.connect_started_ms < SILENCE_TIMEOUT_MS / 3:
             return
-        if not self.up:
-            if self.calls or self.unsaid:
-                self.dial()
+        if not self.active:
+            if self.calls or self.unsent_releases:
+                self.connect()
             return
-        quiet_ms = now_ms - self.heard_ms
-        sent = [next(iter(link.set_ups.values())).sent_ms for link in self.up if link.set_ups]
-        fresh = (
-            len(self.up) > 1 and now_ms - self.up[-1].opened_ms < SILENT_MS
-        )  # it would say no less than another
-        doubt = bool(sent) and not fresh and min(quiet_ms, now_ms - min(sent)) > UNANSWERED_MS
-        # Guards against ends swallowed by a dead connection while others of the server go on: where one does not
-        # answer a test a new one is opened, on which what it has swallowed is told.
-        newest_ms = self.up[-1].opened_ms
-        quiet = [link for link in self.up if self.calls and now_ms - max(link.heard_ms, newest_ms) > QUIET_MS]
-        for link in quiet:
-            link.test()
-        failed = sum(link.failed(now_ms) for link in quiet)
-        renewed = failed and len(self.up) - failed < 2 * MOST_LINKS
-        if doubt or (self.calls and quiet_ms > SILENT_MS):
-            self.far.tally.add("servers.silent")
-            self.dial()
-        elif renewed or self.owed_ms:
-            self.far.tally.add("servers.renewed")
-            self.dial()
-
-    # What the server says.
+        quiet_ms = now_ms - self.last_received_ms
+        sent = [
+            next(iter(connection.set_ups.values())).sent_ms
+            for connection in self.active
+            if connection.set_ups
+        ]
+        # A connection opened recently would already receive whatever another new one would.
+        recently_opened = len(self.active) > 1 and now_ms - self.active[-1].opened_ms < SILENCE_TIMEOUT_MS
+        unanswered = (
+            bool(sent) and not recently_opened and min(quiet_ms, now_ms - min(sent)) > UNANSWERED_SET_UP_MS
+        )
+        # Prevents the loss of ends on a dead connection while others to the server work: when a test fails, a new
+        # connection is opened, on which the server repeats them.
+        newest_ms = self.active[-1].opened_ms
+        silent = [
+            connection
+            for connection in self.active
+            if self.calls and now_ms - max(connection.last_received_ms, newest_ms) > TEST_AFTER_SILENCE_MS
+        ]
+        for connection in silent:
+            connection.send_test()
+        failed = sum(connection.test_failed(now_ms) for connection in silent)
+        replace = failed and len(self.active) - failed < 2 * MAX_CONNECTIONS
+        if unanswered or (self.calls and quiet_ms > SILENCE_TIMEOUT_MS):
+            self.upstream.tally.add("servers.silent")
+            self.connect()
+        elif replace or self.replacement_due_ms:
+            self.upstream.tally.add("servers.renewed")
+            self.connect()
+
+    # Messages from the server.
 
     def answered(self, call: bytes, description: memoryview) -> None:
         attempt = self.calls.get(call)
         if attempt is not None:
-            if self.on[call].set_ups.pop(call, None) is not None:
-                self.stood_ms = max(self.stood_ms, attempt.sent_ms)
-            self.far.engine.stood(attempt, description)
+            if self.connection_of[call].set_ups.pop(call, None) is not None:
+                self.latest_answered_ms = max(self.latest_answered_ms, attempt.sent_ms)
+            self.upstream.engine.stood(attempt, description)
 
     def released(
-        self, link: ServerLink, call: bytes, cause: int, note: face.Cause, load: face.Load | None
+        self,
+        connection: ServerConnection,
+        call: bytes,
+        cause: int,
+        note: face.Cause,
+        load: face.Load | None,
     ) -> None:
-        on = self.on.get(call)
-        if on is not None and on is not link and on.overtaken_ms <= on.heard_ms:
-            on.overtaken_ms = link.heard_ms  # it should have brought this itself
-        attempt = self._drop(call)
+        expected = self.connection_of.get(call)
+        if (
+            expected is not None
+            and expected is not connection
+            and expected.missed_end_ms <= expected.last_received_ms
+        ):
+            expected.missed_end_ms = connection.last_received_ms  # the release was due on that connection
+        attempt = self._remove(call)
         if attempt is None:
-            if call not in self.far.recent and cause in (NORMAL, CUT):
-                self.far.unknown_end(call, cause != NORMAL)
+            if call not in self.upstream.recently_ended and cause in (NORMAL, TEMPORARY_FAILURE):
+                self.upstream.on_unknown_end(call, cause != NORMAL)
         elif attempt.stands:
             outcome = face.Outcome.SERVED if cause == NORMAL else face.Outcome.CUT
-            self.far.engine.ended(attempt, outcome, load=load)
+            self.upstream.engine.ended(attempt, outcome, load=load)
         elif cause == NORMAL:
-            self.far.engine.spent(attempt)  # it stood: its answer is late or lost
+            self.upstream.engine.spent(attempt)  # it was established: its answer is late or lost
         else:
-            self.far.engine.ended(attempt, ENDS[cause], note, load)
+            self.upstream.engine.ended(attempt, OUTCOME_OF_CAUSE[cause], note, load)
 
 
 class Servers:
-    """The far side of the engine: all setup servers that the list has named."""
+    """The upstream side of the engine: all setup servers that the server list has named."""
 
-    engine: Engine  # set once both are made
+    engine: Engine  # assigned after both are created
 
     def __init__(
         self,
         reactor: object,
         tally: Tally,
         now_ms: Callable[[], float],
-        dial_timeout_ms: float,
-        unknown_end: Callable[[bytes, bool], None],
+        connect_timeout_ms: float,
+        on_unknown_end: Callable[[bytes, bool], None],
         deadlines: Deadlines,
         most_links: float = math.inf,
     ) -> None:
         self.reactor, self.tally, self.now_ms = reactor, tally, now_ms
-        self.most_links = most_links  # connections to all servers, as the descriptors allow
-        self.dial_timeout_s = dial_timeout_ms / 1000.0
-        self.unknown_end, self.deadlines = unknown_end, deadlines
+        self.most_links = most_links  # connections to all servers, limited by file descriptors
+        self.dial_timeout_s = connect_timeout_ms / 1000.0
+        self.on_unknown_end, self.deadlines = on_unknown_end, deadlines
         self.servers: dict[str, Server] = {}
-        self.recent: dict[bytes, float] = {}  # calls lately over here -> when, oldest first
+        self.recently_ended: dict[bytes, float] = {}  # call id -> time of its end, oldest first
 
-    def listed(self, news: face.ListNews, addresses: dict[str, Address]) -> None:
-        """Take news of the list; to be called before the engine is told, so that it can send there."""
-        if news.kind is not face.NewsKind.CHANGES:
+    def listed(self, update: face.ListNews, addresses: dict[str, Address]) -> None:
+        """Applies a server list update; call it before the engine's, so that the engine can send there."""
+        if update.kind is not face.NewsKind.CHANGES:
             for uid in self.servers.keys() - addresses.keys():
                 self._gone(self.servers[uid])
-        for entry in news.entries:
-            held = self.servers.get(entry.server)
-            if held is not None and (
-                entry.online_since_ms > held.since or held.address != addresses[entry.server]
+        for entry in update.entries:
+            server = self.servers.get(entry.server)
+            if server is not None and (
+                entry.online_since_ms > server.since or server.address != addresses[entry.server]
             ):
-                self._gone(held)
-                held.cut()  # the same id, but another process: what stood at the old one is cut
-                held = None
+                self._gone(server)
+                server.drop_calls()  # same uid, but another process: the calls at the old one are lost
+                server = None
             if entry.state is face.ServerState.GONE:
-                if held is not None:
-                    self._gone(held)
+                if server is not None:
+                    self._gone(server)
                 continue
-            if held is None:
-                # Guards against calls that end with a process whose address another has taken: what we have open
-                # there may be the newcomer's, which says nothing of them.
-                for other in [one for one in self.servers.values() if one.address == addresses[entry.server]]:
+            if server is None:
+                # Prevents missing the end of calls whose process has exited when another has taken its address:
+                # the open connections may lead to the new process, which does not know those calls.
+                for other in [
+                    known for known in self.servers.values() if known.address == addresses[entry.server]
+                ]:
                     self._gone(other)
-                    other.cut()
-                    self.tidy(other)
-                held = self.servers[entry.server] = Server(
+                    other.drop_calls()
+                    self.remove_if_unused(other)
+                server = self.servers[entry.server] = Server(
                     self, entry.server, addresses[entry.server], entry.state, entry.online_since_ms
                 )
-                held.dial()
-            held.state = entry.state
+                server.connect()
+            server.state = entry.state
 
     def _gone(self, server: Server) -> None:
         server.state = face.ServerState.GONE
-        waiting, server.waiting = server.waiting, {}
-        for attempt in waiting.values():
+        queued, server.queued = server.queued, {}
+        for attempt in queued.values():
             self.engine.ended(attempt, face.Outcome.NO_CONNECTION)
-        if not server.up:
-            server.cut()
-        self.tidy(server)
+        if not server.active:
+            server.drop_calls()
+        self.remove_if_unused(server)
 
     def look(self, _: object = None) -> None:
-        """Look at all connections, again and again."""
+        """Checks all connections, and schedules the next check."""
         now_ms = self.now_ms()
         for server in list(self.servers.values()):
-            server.look(now_ms)
-        self.deadlines.at(now_ms + LOOK_MS, self.look)
+            server.check_connections(now_ms)
+        self.deadlines.at(now_ms + CHECK_INTERVAL_MS, self.look)
 
-    def room(self) -> bool:
-        """Whether there is a descriptor for a connection that a server can do without.
+    def has_capacity(self) -> bool:
+        """Returns whether a file descriptor is available for an additional connection to a server.
 
-        Guards against running out of them where servers are many: each that has no connection keeps one to come.
+        Prevents running out of descriptors with many servers: one is reserved for each that has no connection.
         """
         used = sum(
-            max(1, len(held.up) + len(held.retired)) + held.under_way() for held in self.servers.values()
+            max(1, len(server.active) + len(server.half_closed)) + server.is_connecting()
+            for server in self.servers.values()
         )
         return used < self.most_links
 
     def listed_count(self) -> int:
-        """Servers in the list: not told to be gone."""
+        """Returns the number of servers on the list, without those reported gone."""
         return sum(server.state is not face.ServerState.GONE for server in self.servers.values())
 
     def avoided(self) -> int:
-        """Listed servers that set-ups can't reach now: their last dial failed, and no connection is up."""
+        """Returns the number of listed servers whose last connect failed and that have no connection."""
         return sum(
-            server.down and not server.up and server.state is not face.ServerState.GONE
+            server.unreachable and not server.active and server.state is not face.ServerState.GONE
             for server in self.servers.values()
         )
 
-    def tidy(self, server: Server) -> None:
-        """A server that has left is forgotten once nothing is open there."""
+    def remove_if_unused(self, server: Server) -> None:
+        """Removes a server that has left the list once it has no calls."""
         if server.state is face.ServerState.GONE and not server.calls:
-            for link in server.links_open() + server.retired:
-                link.transport.loseConnection()
+            for connection in server.open_connections() + server.half_closed:
+                connection.transport.loseConnection()
             if self.servers.get(server.uid) is server:
                 del self.servers[server.uid]
 
-    def remember(self, call: bytes) -> None:
-        """Keep the id of a call that is over here; the oldest are forgotten."""
+    def remember_ended(self, call: bytes) -> None:
+        """Records the id of an ended call, and expires the oldest records."""
         now_ms = self.now_ms()
-        self.recent[call] = now_ms
-        while now_ms - next(iter(self.recent.values())) > RECENT_MS:
-            del self.recent[next(iter(self.recent))]
+        self.recently_ended[call] = now_ms
+        while now_ms - next(iter(self.recently_ended.values())) > RECENTLY_ENDED_MS:
+            del self.recently_ended[next(iter(self.recently_ended))]
 
-    def load_of(self, report: memoryview | None) -> face.Load | None:
-        """A report such as x0:12;x1:40; fields of unknown names are skipped."""
+    def parse_load(self, report: memoryview | None) -> face.Load | None:
+        """Parses a load report such as x0:12;x1:40; fields of unknown names are skipped."""
         if report is None:
             return None
         try:
             return load_named(str(report, "ascii"))
-        except (UnicodeDecodeError, MalformedError) as fault:
-            raise MessageError("report") from fault
+        except (UnicodeDecodeError, MalformedError) as exc:
+            raise MessageError(f"malformed load report: {exc}") from exc
 
-    # The engine's far side.
+    # Implements core.FarSide.
 
     def send(self, attempt: Attempt) -> face.Outcome | None:
         server = self.servers.get(attempt.server)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for what the program talks to: setup servers, the notice board, resolvers."""
+"""Test doubles on loopback for the peers of the program (setup servers, notice board, resolvers), and its launcher."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 from twisted.names import dns
 
 ROOT = Path(__file__).parent.parent
-HOST = f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"  # its ports are this test run's own
-PATIENCE_S = 20.0  # ends a test that hangs; nothing is timed by it
+HOST = f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"  # an address of this test run alone
+PATIENCE_S = 20.0  # ends a test that hangs; no test measures time with it
 
 
-def wait_for(seen: Callable[[], bool]) -> None:
-    """Wait for what must come; the patience only ends a test that hangs."""
-    until = time.monotonic() + PATIENCE_S
-    while not seen():
-        assert time.monotonic() < until
+def wait_for(condition: Callable[[], bool]) -> None:
+    """Waits for a condition; fails after PATIENCE_S."""
+    deadline = time.monotonic() + PATIENCE_S
+    while not condition():
+        assert time.monotonic() < deadline
         time.sleep(0.01)
 
 
 def settings(**changes: object) -> dict:
-    """Settings as a proxy is told them."""
+    """Returns the settings of a proxy, in the format of its configuration file."""
     service = {"gain": 1.0, "late_worth": 0.2, "aim_ms": 1500.0, "deadline_ms": 3000.0}
-    told = {
+    defaults = {
         "balancers": 2,
         "index": 0,
         "services": [{"name": "plain"} | service, {"name": "urgent"} | service | {"gain": 3.0}],
@@ -48,25 +48,25 @@
         "tick_ms": 5.0,
         "load_report": {"fields": ["idle", "circuits"]},
     }
-    return told | changes
+    return defaults | changes
 
 
 def notice(rev: int, *targets: tuple[str, str, str], whole: bool = False) -> dict:
-    """One event of the notice board: (uid, address, state) for each server."""
+    """Returns one event of the notice board, with (uid, address, state) for each server."""
     listed = [
-        {"uid": uid, "endpoint": at, "az": "x", "pod_group": i, "state": state, "boot_ms": 0}
-        for i, (uid, at, state) in enumerate(targets)
+        {"uid": uid, "endpoint": address, "az": "x", "pod_group": i, "state": state, "boot_ms": 0}
+        for i, (uid, address, state) in enumerate(targets)
     ]
     return {"rev": rev, "pool": {"rev": rev, "all": whole, "targets": listed}}
 
 
 class Listener:
-    """Accepts TCP connections and serves each in a thread of its own."""
+    """Accepts TCP connections, and serves each in its own thread."""
 
     def __init__(self, port: int = 0, with_datagrams: bool = False) -> None:
         self.socket = socket.create_server((HOST, port))
         if with_datagrams:
-            # The number that TCP gives may be held over UDP, by a socket bound to all addresses: another is drawn.
+            # A UDP socket bound to all addresses may hold the port that TCP was given: try another port.
             self.datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             while True:
                 try:
@@ -102,7 +102,7 @@
         raise NotImplementedError
 
     def die(self) -> None:
-        """Stop listening, and reset every connection."""
+        """Stops listening, and resets every connection."""
         if self.socket.fileno() < 0:
             return
         self.socket.shutdown(socket.SHUT_RDWR)
@@ -117,7 +117,7 @@
 
 
 class SetupServer(Listener):
-    """Answers set-ups as its behaviour says: answer, full, silent, hold (answer, then nothing)."""
+    """Answers set-ups by its behaviour: answer (and release), full, silent, hold (answer without a release)."""
 
     def __init__(self, behaviour: str = "answer") -> None:
         self.behaviour = behaviour
@@ -129,21 +129,21 @@
         link.sendall(binary(43, bytes(8), (51, self.report())))
         while head := file.read(2):
             body = file.read(struct.unpack("!H", head)[0])
-            told, at = {}, 9
-            while at < len(body):
-                code, size = struct.unpack_from("!BH", body, at)
-                told[code] = body[at + 3 : at + 3 + size]
-                at += 3 + size
-            self.heard.append((body[0], body[1:9], told))
+            fields, offset = {}, 9
+            while offset < len(body):
+                code, size = struct.unpack_from("!BH", body, offset)
+                fields[code] = body[offset + 3 : offset + 3 + size]
+                offset += 3 + size
+            self.heard.append((body[0], body[1:9], fields))
             if body[0] == 1:
-                self.answer(link, body[1:9], told)
+                self.answer(link, body[1:9], fields)
             elif body[0] == 52 and self.behaviour != "silent":
                 link.sendall(binary(53, body[1:9], (61, b"\x01")))
 
     def report(self) -> bytes:
         return b"x0:50;x1:50;novelty:1"
 
-    def answer(self, link: socket.socket, call: bytes, told: dict[int, bytes]) -> None:
+    def answer(self, link: socket.socket, call: bytes, fields: dict[int, bytes]) -> None:
         if self.behaviour in ("answer", "hold"):
             link.sendall(binary(6, call) + binary(9, call, (63, b"v=" + call.hex().encode())))
         if self.behaviour == "answer":
@@ -152,19 +152,23 @@
             link.sendall(binary(12, call, (61, b"\x22"), (47, b"overload")))
 
     def release_all(self) -> None:
-        for kind, call, _ in list(self.heard):
-            if kind == 1:
+        for message_type, call, _ in list(self.heard):
+            if message_type == 1:
                 self.links[-1].sendall(binary(12, call, (61, b"\x10")))
 
 
-def binary(kind: int, call: bytes, *told: tuple[int, bytes]) -> bytes:
-    """One message of the binary wire."""
-    body = bytes((kind,)) + call + b"".join(struct.pack("!BH", c, len(v)) + v for c, v in told)
+def binary(message_type: int, call: bytes, *fields: tuple[int, bytes]) -> bytes:
+    """Encodes one message of the binary protocol."""
+    body = (
+        bytes((message_type,))
+        + call
+        + b"".join(struct.pack("!BH", code, len(value)) + value for code, value in fields)
+    )
     return struct.pack("!H", len(body)) + body
 
 
 class Board(Listener):
-    """Sends each poller what it has not heard of, and comments."""
+    """A notice board: sends each poll the events after its Last-Event-ID, and comments."""
 
     def __init__(self) -> None:
         self.events: list[tuple[int, dict]] = []
@@ -189,7 +193,7 @@
 
 
 class Resolver(Listener):
-    """A DNS server that answers as it is told: one reply, several, or none."""
+    """A DNS server with prepared answers: each query gets one reply, several, or none."""
 
     def __init__(self, *answers: Callable[[dns.Message], list[bytes]]) -> None:
         self.answers = list(answers)
@@ -200,9 +204,9 @@
     def _datagrams(self) -> None:
         while True:
             try:
-                data, asker = self.datagrams.recvfrom(4096)
+                data, sender = self.datagrams.recvfrom(4096)
                 for reply in self.replies(data, over_tcp=False):
-                    self.datagrams.sendto(reply, asker)
+                    self.datagrams.sendto(reply, sender)
             except OSError:
                 return
 
@@ -225,7 +229,7 @@
 
 
 def reply(query: dns.Message, rcode: int = dns.OK, records: int = 1, **changes: object) -> bytes:
-    """A resolver's reply with so many NAPTR records."""
+    """Builds a resolver's reply with the given number of NAPTR records."""
     name = changes.pop("owner", query.queries[0].name.name)
     queries = changes.pop("queries", query.queries)
     message = dns.Message(
@@ -240,7 +244,7 @@
 
 
 def ask(address: tuple[str, int], name: bytes, id_: int = 7, over_tcp: bool = False) -> dns.Message:
-    """Ask the program's ENUM front once; its answer."""
+    """Sends one query to the program's ENUM listener; returns the answer."""
     (message,) = ask_many(address, [(name, id_)], over_tcp)
     return message
 
@@ -251,14 +255,14 @@
     return message.toStr()
 
 
-def ask_many(address: tuple[str, int], asked: list, over_tcp: bool = False, quiet_s: float = 0.0) -> list:
-    """Ask several at once over one socket; all answers, and whatever else comes within quiet_s."""
-    kind = socket.SOCK_STREAM if over_tcp else socket.SOCK_DGRAM
+def ask_many(address: tuple[str, int], queries: list, over_tcp: bool = False, quiet_s: float = 0.0) -> list:
+    """Sends several queries at once over one socket; returns all answers, and any more that arrive within quiet_s."""
+    socket_type = socket.SOCK_STREAM if over_tcp else socket.SOCK_DGRAM
     answers = []
-    with socket.socket(socket.AF_INET, kind) as link:
+    with socket.socket(socket.AF_INET, socket_type) as link:
         link.settimeout(PATIENCE_S)
         link.connect(address)
-        for name, id_ in asked:
+        for name, id_ in queries:
             data = query(name, id_)
             link.sendall(struct.pack("!H", len(data)) + data if over_tcp else data)
         file = link.makefile("rb") if over_tcp else None
@@ -266,19 +270,19 @@
             try:
                 data = file.read(struct.unpack("!H", file.read(2))[0]) if file else link.recv(4096)
             except TimeoutError:
-                if len(answers) < len(asked):
+                if len(answers) < len(queries):
                     raise
                 return answers
             answers.append(dns.Message())
             answers[-1].fromStr(data)
-            if len(answers) >= len(asked):
+            if len(answers) >= len(queries):
                 if not quiet_s:
                     return answers
                 link.settimeout(quiet_s)
 
 
 class Program:
-    """The proxy itself, started as deploy/balancer.toml does but for the listening ports."""
+    """The proxy process, started as by deploy/balancer.toml except for the listening ports."""
 
     def __init__(
         self,
@@ -292,7 +296,9 @@
         self.board = Board()
         known = {
             "rev": 1,
-            "notices": [notice(1, *((u, a, "active") for u, a in servers.items()), whole=True)],
+            "notices": [
+                notice(1, *((uid, address, "active") for uid, address in servers.items()), whole=True)
+            ],
         }
         self.folder = folder
         self.told = {"name": "n0", "listen": f"{HOST}:0", "seed": "5eed", "board": self.board.address}
@@ -331,12 +337,12 @@
         self.log.extend(self.process.stdout)
 
     def configure(self, **changes: object) -> None:
-        """Write its configuration, changed so; it is read at a start and on SIGHUP."""
+        """Writes the configuration with the changes; the process reads it on start and on SIGHUP."""
         (self.folder / "new.json").write_text(json.dumps(self.told | changes))
         (self.folder / "new.json").replace(self.folder / "config.json")
 
     def reload(self, **changes: object) -> str:
-        """SIGHUP with a changed configuration; the line logged of it."""
+        """Sends SIGHUP with a changed configuration; returns the line logged for it."""
         self.configure(**changes)
         before = len(self.log)
         self.process.send_signal(signal.SIGHUP)
@@ -344,22 +350,24 @@
         return next(line for line in self.log[before:] if " reload." in line)
 
     def counts(self) -> dict[str, int]:
-        """The last counters logged; complete once the program has ended."""
+        """Returns the last counters logged; they are final once the program has exited."""
         line = [line for line in self.log if " counts" in line][-1]
-        return {k: int(v) for k, v in (part.split("=") for part in line.split(" counts")[1].split())}
+        return {
+            name: int(count) for name, count in (part.split("=") for part in line.split(" counts")[1].split())
+        }
 
     def call(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
-        """One call on the operators' address: status and body."""
-        link = http.client.HTTPConnection(*self.ops, timeout=PATIENCE_S)
+        """Sends one HTTP request to the operators' address; returns status and body."""
+        connection = http.client.HTTPConnection(*self.ops, timeout=PATIENCE_S)
         try:
-            link.request(method, path, body=body)
-            answer = link.getresponse()
-            return answer.status, answer.read()
+            connection.request(method, path, body=body)
+            response = connection.getresponse()
+            return response.status, response.read()
         finally:
-            link.close()
+            connection.close()
 
     def stop(self) -> int:
-        """SIGTERM, and the exit code."""
+        """Sends SIGTERM; returns the exit code."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
@@ -392,7 +400,7 @@
         self.say("INVITE", id_, b"c=offer", Priority_Class=kind, Expires_Ms=expires, P_Trunk_Info=info)
 
     def hear(self) -> tuple[str, dict[str, str], bytes]:
-        """The next message: start line, headers, body."""
+        """Returns the next message: start line, headers, body."""
         start = self.file.readline().decode().strip()
         headers = {}
         while line := self.file.readline().decode().strip():
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Crossings over sockets: the program is stopped, what crosses is sent in order, and all of it lies unread."""
+"""Message races over sockets: the process is stopped while messages are sent to it in order, all still unread."""
 
 import os
 import signal
@@ -33,7 +33,7 @@
 
 
 class Stopped:
-    """The program does nothing within; what it is sent meanwhile lies unread."""
+    """Stops the process with SIGSTOP in the context; data sent to it meanwhile stays unread in its sockets."""
 
     def __init__(self, program):
         self.pid = program.process.pid
@@ -50,10 +50,10 @@
     return [call.hex() for kind, call, _ in server.heard if kind == 1]
 
 
-def leave(caller, how):
-    if how == "cancel":
+def leave(caller, manner):
+    if manner == "cancel":
         caller.say("CANCEL", FIRST)
-    elif how == "end":
+    elif manner == "end":
         caller.socket.shutdown(socket.SHUT_WR)
     else:
         caller.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -61,53 +61,53 @@
         caller.socket.close()
 
 
-def others_are_served(program, server):
-    """A later set-up has come through; all that was to come of earlier ones has come before it."""
+def set_ups_after_another_call(program, server):
+    """Returns a server's set-ups after a later one was answered: any earlier attempt would have arrived before it."""
     other = Caller(program)
     other.invite(SECOND, dest=1)
     assert other.hear()[0] == "SIP/2.0 200 OK"
     return set_ups(server)
 
 
-@pytest.mark.parametrize("how", ["cancel", "end", "reset"])
-def test_no_further_attempt_for_a_caller_that_left_before_the_answer_was_read(start, how):
+@pytest.mark.parametrize("manner", ["cancel", "end", "reset"])
+def test_no_retry_for_a_caller_that_left_before_the_refusal_was_read(start, manner):
     program, (first, second) = start("silent", "hold")
     caller = Caller(program)
     caller.invite(FIRST)
     wait_for(lambda: set_ups(first) == [FIRST])
     with Stopped(program):
         (link,) = first.links
-        link.sendall(binary(12, bytes.fromhex(FIRST), *FULL))  # read first, as it comes first
-        leave(caller, how)
-    assert others_are_served(program, second) == [SECOND]
+        link.sendall(binary(12, bytes.fromhex(FIRST), *FULL))  # sent first, so read first
+        leave(caller, manner)
+    assert set_ups_after_another_call(program, second) == [SECOND]
 
 
-@pytest.mark.parametrize("how", ["cancel", "end", "reset"])
-def test_no_further_attempt_when_the_wait_after_a_release_ends_with_its_caller_gone(start, how):
-    told = settings(services=[LONG], extra={"guard_ms": GUARD_MS, "allowed_pools": [[0, 1]]})
-    program, (first, second) = start("silent", "hold", settings=told)
+@pytest.mark.parametrize("manner", ["cancel", "end", "reset"])
+def test_no_retry_when_the_caller_has_left_by_the_end_of_the_guard_time(start, manner):
+    guarded = settings(services=[LONG], extra={"guard_ms": GUARD_MS, "allowed_pools": [[0, 1]]})
+    program, (first, second) = start("silent", "hold", settings=guarded)
     caller = Caller(program)
     caller.invite(FIRST, expires=20_000)
     wait_for(lambda: set_ups(first) == [FIRST])
     (link,) = first.links
     link.shutdown(socket.SHUT_RDWR)
-    wait_for(lambda: len(first.links) > 1)  # the program knows that it has gone, and waits
+    wait_for(lambda: len(first.links) > 1)  # the program has noticed the loss, and waits for the guard time
     with Stopped(program):
-        leave(caller, how)
-        time.sleep(1.1 * GUARD_MS / 1000.0)  # what it waited for is due when it goes on
-    assert others_are_served(program, second) == [SECOND]
+        leave(caller, manner)
+        time.sleep(1.1 * GUARD_MS / 1000.0)  # the guard time has passed when the process continues
+    assert set_ups_after_another_call(program, second) == [SECOND]
 
 
-def test_what_a_caller_sends_and_takes_back_while_nothing_is_read_is_sent_nowhere(start):
+def test_a_set_up_withdrawn_before_it_is_read_is_never_sent(start):
     program, (first, second) = start("hold", "hold")
     caller = Caller(program)
     with Stopped(program):
         caller.invite(FIRST)
         leave(caller, "end")
-    assert others_are_served(program, second) == [SECOND] and set_ups(first) == []
+    assert set_ups_after_another_call(program, second) == [SECOND] and set_ups(first) == []
 
 
-def test_an_answer_that_lies_unread_when_its_time_is_up_is_still_one(start):
+def test_an_answer_unread_at_its_deadline_still_counts(start):
     program, (first, _) = start("silent", "hold")
     caller = Caller(program)
     caller.invite(FIRST, expires=2000)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -120,7 +120,7 @@
     day.wait(200)
     link = day.far.servers["s0"]
     first, *_ = day.server.wires
-    link.dial()
+    link.connect()
     day.wait(12)  # the server has taken the new connection, the proxy does not know it yet
     held = next(call for call, wire in day.server.standing.items() if wire is first)
     first.bad = True
@@ -137,21 +137,21 @@
         day.call()
         day.wait(2)
     day.wait(200)
-    assert len(server.up) == 4
-    spare = min(server.up, key=lambda link: link.heard_ms)
+    assert len(server.active) == 4
+    spare = min(server.active, key=lambda link: link.last_received_ms)
     held = [call for call, wire in day.server.standing.items() if wire.protocol is spare]
-    server.dial()
+    server.connect()
     day.wait(25)  # the new connection is up, and says something in 5 ms more
     day.server.release(held[0])
     day.wait(900)
-    assert held[0] in day.over_ms and spare in server.up and len(server.up) == 5
+    assert held[0] in day.over_ms and spare in server.active and len(server.active) == 5
     assert len(day.engine.standing) == 39
     for call in held[1:]:
         day.server.release(call)
     day.wait(900)
-    server.dial()
+    server.connect()
     day.wait(900)
-    assert len(server.up) == 4, "the two on which nothing stands were closed for the newcomer"
+    assert len(server.active) == 4, "the two on which nothing stands were closed for the newcomer"
     assert set(held) <= set(day.over_ms) and day.untold() == {}
 
 
@@ -257,7 +257,7 @@
     for wire in list(day.server.wires):
         wire.end(error.ConnectionLost())
     day.wait(2000)
-    assert len(day.engine.standing) == 12 and day.far.servers["s0"].up
+    assert len(day.engine.standing) == 12 and day.far.servers["s0"].active
     told = face.ListNews(face.NewsKind.CHANGES, (entry("s1", 0),))
     day.far.listed(told, {"s1": ADDRESS["s0"]})
     day.engine.news(told)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,34 +1,34 @@
-"""The parsers under random cuts of valid messages and random garbage, from fixed seeds."""
+"""Message parsers under random fragmentation and garbage (fixed seeds), and how connections fail and recover."""
 
 import json
 import struct
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as fixed
-from hypothesis import strategies as some
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
 from twisted.internet.testing import StringTransport
 
 from leadslip import interface as face
 from leadslip.checks import Tally
 from leadslip.net import enum
-from leadslip.net.board import Events
+from leadslip.net.board import EventStream
 from leadslip.net.clients import Clients
-from leadslip.net.links import MAX_MESSAGE
-from leadslip.net.servers import Server, ServerLink, Servers
+from leadslip.net.links import MAX_MESSAGE_BYTES
+from leadslip.net.servers import Server, ServerConnection, Servers
 from leadslip.readiness import Readiness
 from tests.standins import binary, notice
 from tests.test_core import World
 
 ID = "9b1f03aa5c7e2d41"
-seeded = fixed(derandomize=True, max_examples=200, deadline=None)
+seeded = hypothesis_settings(derandomize=True, max_examples=200, deadline=None)
 
 
 class Transport(StringTransport):
-    """A transport that only remembers; `unread` lies in its socket, and None there is the end of the connection."""
+    """A transport that records writes; `unread` is the data in its socket, where None ends the connection."""
 
     flushed = 0
-    dataBuffer = b""  # noqa: N815 (Twisted's name): what the system did not take
+    dataBuffer = b""  # noqa: N815 (Twisted's name): what the kernel did not take
 
     def __init__(self):
         super().__init__()
@@ -75,14 +75,14 @@
 
 def caller():
     world = World()
-    front = Clients(world.engine, world.tally, 10, Readiness(listening=True))
-    link = front.buildProtocol(None)
+    clients = Clients(world.engine, world.tally, 10, Readiness(listening=True))
+    link = clients.buildProtocol(None)
     link.makeConnection(Transport())
     return world, link
 
 
-class Dials(list):
-    """A reactor that only remembers whom it was asked to connect."""
+class FakeReactor(list):
+    """A reactor that only records the connection attempts."""
 
     def connectTCP(self, host, port, factory, timeout):  # noqa: N802
         self.append(factory)
@@ -90,22 +90,24 @@
 
 def server_link():
     world = World()
-    far = Servers(Dials(), world.tally, world.now_ms, 500.0, lambda call, cause: None, world.deadlines)
-    world.engine.far_side, far.engine = far, world.engine
-    server = far.servers["s0"] = Server(far, "s0", ("127.0.0.1", 1), face.ServerState.READY, 0.0)
-    far.look()
+    servers = Servers(
+        FakeReactor(), world.tally, world.now_ms, 500.0, lambda call, cause: None, world.deadlines
+    )
+    world.engine.far_side, servers.engine = servers, world.engine
+    server = servers.servers["s0"] = Server(servers, "s0", ("127.0.0.1", 1), face.ServerState.READY, 0.0)
+    servers.look()
     return world, up(server)
 
 
 def up(server):
-    link = ServerLink(server)
+    link = ServerConnection(server)
     link.makeConnection(Transport())
     link.dataReceived(binary(43, bytes(8), (51, b"x0:50;x1:50")))
     return link
 
 
 def sent(link):
-    """The set-ups written on a connection."""
+    """Returns the number of set-ups written on a connection."""
     return link.transport.value().count(b"c=offer")
 
 
@@ -116,8 +118,8 @@
 
 
 @seeded
-@given(some.lists(some.integers(0, 900), max_size=12))
-def test_sip_reads_the_same_however_it_is_cut(cuts):
+@given(st.lists(st.integers(0, 900), max_size=12))
+def test_sip_parses_the_same_however_it_is_fragmented(cuts):
     world, link = caller()
     feed(link, b"\r\n\r\n" + INVITE + sip(b"ACK") + sip(b"OPTIONS") + INVITE.replace(b"9b1f", b"0000"), cuts)
     (first, second) = world.sent
@@ -128,42 +130,49 @@
 
 
 @seeded
-@given(some.lists(some.integers(0, 200), max_size=12))
-def test_the_binary_wire_reads_the_same_however_it_is_cut(cuts):
+@given(st.lists(st.integers(0, 200), max_size=12))
+def test_the_binary_protocol_parses_the_same_however_it_is_fragmented(cuts):
     world, link = server_link()
     world.offer(ID)
     call = bytes.fromhex(ID)
-    told = binary(43, bytes(8), (51, b"x0:4;x1:9;odd:1")) + binary(6, call) + binary(16, call, (1, b"?"))
-    feed(link, told + binary(9, call, (63, b"\0sdp")) + binary(12, call, (61, b"\x10"), (99, b"odd")), cuts)
+    messages = binary(43, bytes(8), (51, b"x0:4;x1:9;odd:1")) + binary(6, call) + binary(16, call, (1, b"?"))
+    feed(
+        link, messages + binary(9, call, (63, b"\0sdp")) + binary(12, call, (61, b"\x10"), (99, b"odd")), cuts
+    )
     assert world.told == [("stands", ID, b"\0sdp"), ("over", ID, False)]
     assert world.engine.controller.servers["s0"].free_lines == 4.0
 
 
 @seeded
-@given(some.lists(some.integers(0, 700), max_size=12))
-def test_server_sent_events_read_the_same_however_they_are_cut(cuts):
-    heard = []
+@given(st.lists(st.integers(0, 700), max_size=12))
+def test_server_sent_events_parse_the_same_however_they_are_fragmented(cuts):
+    received = []
 
-    class Told:
-        alive = staticmethod(lambda poll: True)
-        take = staticmethod(lambda id_, data: heard.append((id_, json.loads(data))) or True)
+    class EventRecorder:
+        line_received = staticmethod(lambda poll: True)
+        event_received = staticmethod(lambda id_, data: received.append((id_, json.loads(data))) or True)
 
     events = [notice(i, ("s1", "127.0.0.1:70", "active")) for i in (4, 5)]
     text = "".join(f": hello\r\nid: {e['rev']}\ndata: {json.dumps(e)}\n\n" for e in events)
-    body = Events(Told, 1)
+    body = EventStream(EventRecorder, 1)
     body.makeConnection(StringTransport())
     feed(body, text.encode(), cuts)
-    assert heard == [("4", events[0]), ("5", events[1])]
+    assert received == [("4", events[0]), ("5", events[1])]
 
 
 @seeded
-@given(some.binary(max_size=200), some.integers(0, 400), some.binary(min_size=1, max_size=3), some.booleans())
-def test_garbage_closes_its_own_connection_at_most(junk, at, spoilt, whole):
+@given(
+    st.binary(max_size=200),
+    st.integers(0, 400),
+    st.binary(min_size=1, max_size=3),
+    st.booleans(),
+)
+def test_garbage_closes_at_most_its_own_connection(garbage, position, replacement, message_first):
     for make, valid in ((caller, INVITE), (server_link, binary(9, bytes(8), (63, b"x"), (61, b"\x10")))):
         world, link = make()
         broken = bytearray(valid)
-        broken[at % len(valid) : at % len(valid) + len(spoilt)] = spoilt
-        feed(link, (b"" if whole else junk) + bytes(broken) + junk, [at])
+        broken[position % len(valid) : position % len(valid) + len(replacement)] = replacement
+        feed(link, (b"" if message_first else garbage) + bytes(broken) + garbage, [position])
         closed = world.tally.counts["clients.malformed"] + world.tally.counts["servers.malformed"]
         assert closed <= 1 and link.transport.disconnecting is bool(closed)
         other_world, other = make()
@@ -178,7 +187,7 @@
         INVITE.replace(b"9b1f", b"xyz!"),
         INVITE.replace(b"dest:1", b"dest:one"),
         INVITE.replace(b"Priority-Class: ", b"Priority-Class"),
-        sip(b"INVITE", extra=b"X: " + b"y" * MAX_MESSAGE + b"\r\n"),
+        sip(b"INVITE", extra=b"X: " + b"y" * MAX_MESSAGE_BYTES + b"\r\n"),
         sip(b"INVITE").replace(b"Length: 0", b"Length: 99999"),
         INVITE.replace(b"Length: 12", b"Length: -12"),
         INVITE.replace(b"Content-Length: 12", b"X: 1"),
@@ -194,19 +203,19 @@
     link.dataReceived(INVITE)
     link.dataReceived(data)
     assert link.transport.disconnecting and world.tally.counts["clients.malformed"] == 1
-    assert len(world.sent) == 1, "nothing is sent on of a read that can't be read to its end"
+    assert len(world.sent) == 1, "no request of a read with a malformed message is sent"
     link.connectionLost()
     world.wait(2000)
-    assert world.told == [("give up", ID)], "the calls open on it are settled, and get no answer"
+    assert world.told == [("give up", ID)], "its open calls are cancelled, and get no answer"
 
 
-def test_a_set_up_withdrawn_in_the_same_breath_is_sent_nowhere():
+def test_a_set_up_cancelled_in_the_same_read_is_never_sent():
     world, link = caller()
     link.dataReceived(INVITE + sip(b"CANCEL"))
     assert not world.sent and link.transport.value().startswith(b"SIP/2.0 200 OK") and not link.busy()
 
 
-def test_a_stranger_can_not_withdraw_a_set_up_and_unknown_calls_are_told_so():
+def test_a_caller_can_not_cancel_the_set_up_of_another_and_unknown_calls_get_481():
     world, link = caller()
     link.dataReceived(INVITE)
     other = link.front.buildProtocol(None)
@@ -216,10 +225,10 @@
     world.engine.stood(world.sent[0], b"sdp")
     assert world.told == [] and b"SIP/2.0 200 OK" in link.transport.value()
     other.dataReceived(sip(b"BYE"))
-    assert world.told == [("release", ID)], "what stands may be ended on any connection"
+    assert world.told == [("release", ID)], "an established call may be released on any connection"
 
 
-def enum_askers():
+def enum_listener():
     world = World()
     links = enum.EnumLinks(enum.EnumFront(None, world.tally, world.deadlines), 10)
 
@@ -232,51 +241,51 @@
     return world, make, struct.pack("!H", 40), None
 
 
-def sip_callers():
+def sip_listener():
     world, link = caller()
 
     def make():
-        made = link.front.buildProtocol(None)
-        if made is not None:
-            made.makeConnection(Transport())
-        return made
+        connection = link.front.buildProtocol(None)
+        if connection is not None:
+            connection.makeConnection(Transport())
+        return connection
 
     link.connectionLost()
     return world, make, INVITE[:-1], INVITE
 
 
-@pytest.mark.parametrize("front", [enum_askers, sip_callers])
-def test_who_says_nothing_or_never_finishes_is_closed(front):
-    world, make, half, whole = front()
+@pytest.mark.parametrize("listener", [enum_listener, sip_listener])
+def test_connections_without_a_complete_message_are_closed(listener):
+    world, make, partial, complete = listener()
     silent, unfinished = make(), make()
-    unfinished.dataReceived(half)
+    unfinished.dataReceived(partial)
     world.wait(1900)
     assert not silent.transport.disconnecting and not unfinished.transport.disconnecting
     world.wait(400)
     assert silent.transport.disconnecting and unfinished.transport.disconnecting
-    if whole:
-        asked = make()
-        asked.dataReceived(whole)
+    if complete:
+        served = make()
+        served.dataReceived(complete)
         world.wait(1600)
-        assert not asked.transport.disconnecting and asked.set_ups == {}
+        assert not served.transport.disconnecting and served.set_ups == {}
         world.wait(14_000)
-        assert asked.transport.disconnecting, "one that asked once and stays is not kept for good"
+        assert served.transport.disconnecting, "a connection left idle after one request is closed in the end"
 
 
-@pytest.mark.parametrize("front", [enum_askers, sip_callers])
-def test_at_the_limit_the_silent_go_and_who_is_owed_an_answer_stays(front):
-    world, make, _, whole = front()
+@pytest.mark.parametrize("listener", [enum_listener, sip_listener])
+def test_at_the_limit_silent_connections_are_closed_and_those_awaiting_an_answer_stay(listener):
+    world, make, _, complete = listener()
     first, *rest = [make() for _ in range(10)]
-    if whole:
-        first.dataReceived(whole)
-    late = make()
-    assert late is not None
-    gone = [link for link in (first, *rest) if link.transport.disconnecting]
-    assert gone == [rest[0] if whole else first]
-    if whole:
-        for i, link in enumerate((*rest[1:], late)):
-            link.dataReceived(whole.replace(b"9b1f", b"%04x" % i))
-        assert make() is None, "where all are owed an answer, no more are taken"
+    if complete:
+        first.dataReceived(complete)
+    additional = make()
+    assert additional is not None
+    closed = [link for link in (first, *rest) if link.transport.disconnecting]
+    assert closed == [rest[0] if complete else first]
+    if complete:
+        for i, link in enumerate((*rest[1:], additional)):
+            link.dataReceived(complete.replace(b"9b1f", b"%04x" % i))
+        assert make() is None, "no more are accepted when all await an answer"
 
 
 @pytest.mark.parametrize(
@@ -300,7 +309,7 @@
 
 
 @pytest.mark.parametrize("tail", [b"\0\x40\x09", b"\x30"])
-def test_half_a_message_does_not_keep_a_connection_however_much_comes_of_it(tail):
+def test_a_partial_message_does_not_keep_a_connection_open_although_more_of_it_arrives(tail):
     world, link = server_link()
     world.offer(ID)
     assert sent(link) == 1
@@ -310,19 +319,19 @@
         link.dataReceived(b"x")
     world.wait(100)
     assert link.transport.disconnecting and world.tally.counts["attempts.cut"] == 1
-    assert len(link.server.far.reactor) == 1, "another is dialled at once"
+    assert len(link.server.upstream.reactor) == 1, "another is opened at once"
     world.wait(300)
     again = up(link.server)
     assert world.tally.counts["attempts.cut"] == 1 and not again.transport.disconnecting
 
 
-def test_a_connection_that_stays_open_but_dead_is_left_for_a_new_one():
+def test_an_open_but_dead_connection_is_replaced():
     world, link = server_link()
     world.offer(ID)
     world.wait(510)
-    assert len(link.server.far.reactor) == 1
+    assert len(link.server.upstream.reactor) == 1
     newer = up(link.server)
-    assert not link.transport.disconnecting, "a processor that hangs looks alike"
+    assert not link.transport.disconnecting, "a server that hangs looks the same"
     second = "0" * 16
     world.offer(second)
     assert (sent(link), sent(newer)) == (1, 1)
@@ -330,14 +339,14 @@
     world.wait(100)
     assert not link.transport.disconnecting and link.transport.value().endswith(
         binary(52, bytes(8), (61, b"\0"))
-    ), "a late answer looks alike: it is asked first"
+    ), "a late answer looks the same: the connection is tested first"
     newer.dataReceived(binary(43, bytes(8), (51, b"x0:5;x1:5")))
     world.wait(100)
     assert link.transport.disconnecting and world.tally.counts["attempts.cut"] == 1
     assert world.told == [("stands", second, b"sdp")]
 
 
-def test_a_call_whose_end_comes_before_its_answer_has_run_and_is_not_set_up_again():
+def test_a_call_released_normally_before_its_answer_was_established_and_is_not_retried():
     world, link = server_link()
     world.offer(ID)
     call = bytes.fromhex(ID)
@@ -349,11 +358,11 @@
     assert sent(link) == 1 and world.tally.counts["attempts.cut"] == 1
 
 
-def test_one_spoilt_answer_ends_no_more_than_is_out_on_its_connection():
+def test_a_corrupt_message_ends_only_the_set_ups_in_progress_on_its_connection():
     world, link = server_link()
     for i in range(2):
         world.offer(f"{i:016x}")
-    assert len(link.server.far.reactor) == 1, "a second connection is dialled for the second set-up"
+    assert len(link.server.upstream.reactor) == 1, "a second connection is opened for the second set-up"
     other = up(link.server)
     for i in range(2, 4):
         world.offer(f"{i:016x}")
@@ -364,40 +373,40 @@
     assert world.told == [("stands", f"{2:016x}", b"sdp")]
 
 
-@pytest.mark.parametrize("back", [True, False])
-def test_calls_outlive_a_server_cut_off_for_seconds_but_not_one_that_has_vanished(back):
+@pytest.mark.parametrize("reconnects", [True, False])
+def test_calls_survive_seconds_without_a_network_path_to_the_server_but_not_its_loss(reconnects):
     world, link = server_link()
     world.offer(ID)
     link.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
     for _ in range(8):
         world.wait(500)
-        if link.server.dialling:
-            link.server.dial_failed(refused=False)
+        if link.server.connecting:
+            link.server.connect_failed(refused=False)
     assert link.transport.disconnecting and world.told == [("stands", ID, b"sdp")]
-    if back:
+    if reconnects:
         up(link.server).dataReceived(binary(12, bytes.fromhex(ID), (61, b"\x10")))
         assert world.told[1:] == [("over", ID, False)]
         return
     for _ in range(7):
         world.wait(500)
-        if link.server.dialling:
-            link.server.dial_failed(refused=False)
+        if link.server.connecting:
+            link.server.connect_failed(refused=False)
     assert world.told[1:] == [("over", ID, True)]
 
 
-def test_a_connection_too_many_closes_an_idle_one_and_none_is_dialled_for_that():
+def test_a_connection_over_the_maximum_closes_an_idle_one_and_none_is_opened_for_it():
     world, link = server_link()
     server = link.server
     for _ in range(4):
         up(server)
-    assert len(server.up) == 4 and link.transport.half_closed and not server.far.reactor
+    assert len(server.active) == 4 and link.transport.half_closed and not server.upstream.reactor
     world.wait(200)
-    assert not link.transport.disconnecting, "what is under way on it is still read"
+    assert not link.transport.disconnecting, "messages in flight on it are still read"
     world.wait(250)
     assert link.transport.disconnecting
 
 
-def test_a_connection_that_misses_the_states_told_on_another_is_dead():
+def test_a_connection_that_misses_state_reports_sent_on_another_is_dead():
     world, link = server_link()
     other = up(link.server)
     world.offer(ID)
@@ -408,32 +417,32 @@
         assert not other.transport.disconnecting
     world.wait(400)
     assert link.transport.disconnecting and not other.transport.disconnecting
-    assert world.told == [("stands", ID, b"sdp")], "its calls stand on"
+    assert world.told == [("stands", ID, b"sdp")], "its calls go on"
 
 
-def test_a_connection_reset_when_new_costs_no_set_up():
+def test_a_connection_reset_right_after_opening_loses_no_set_up():
     world, link = server_link()
     link.connectionLost()
     world.offer(ID)
-    reset = ServerLink(link.server)
+    reset = ServerConnection(link.server)
     reset.makeConnection(Transport())
     reset.connectionLost()
-    assert not world.tally.counts["attempts.cut"] and len(link.server.far.reactor) == 2
+    assert not world.tally.counts["attempts.cut"] and len(link.server.upstream.reactor) == 2
     assert sent(up(link.server)) == 1
 
 
-def test_a_release_waits_for_a_connection_and_calls_outlive_one_that_fails():
+def test_a_release_waits_for_a_connection_and_calls_survive_a_failed_connect():
     world, link = server_link()
     request = world.offer(ID)
     link.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
     link.connectionLost()
-    link.server.dial_failed(refused=False)
+    link.server.connect_failed(refused=False)
     world.engine.hang_up(request)
-    assert world.told == [("stands", ID, b"sdp")], "one that does not come up in time proves nothing"
+    assert world.told == [("stands", ID, b"sdp")], "a connect that times out does not prove the calls lost"
     assert binary(12, bytes.fromhex(ID), (61, b"\x10")) in up(link.server).transport.value()
 
 
-def test_a_peer_that_reads_nothing_is_cut_off():
+def test_a_peer_that_stops_reading_is_disconnected():
     world, link = caller()
     link.pauseProducing()
     assert link.say(b"x")
@@ -442,8 +451,8 @@
     assert isinstance(world.tally, Tally) and world.tally.counts["clients.stalled"] == 1
 
 
-def test_the_end_of_a_call_whose_connection_has_gone_goes_to_callers_and_to_more_until_heard():
-    """One that asks whether we are ready and stays is heard last, and nobody takes a release there."""
+def test_the_release_of_a_call_whose_connection_is_lost_goes_to_other_callers_until_acknowledged():
+    """A peer that polls for readiness sends most recently of all, but does not handle releases."""
     world, link = caller()
     link.dataReceived(INVITE)
     world.engine.stood(world.sent[0], b"sdp")
@@ -452,24 +461,24 @@
         other.makeConnection(Transport())
         other.dataReceived(INVITE.replace(b"9b1f", b"000%d" % i) if i < 2 else sip(b"OPTIONS"))
         other.transport.clear()
-    first, second, asks = others
+    first, second, poller = others
     link.connectionLost()
     world.engine.ended(world.sent[0], face.Outcome.SERVED)
 
-    def told():
-        return [one.transport.value().count(b"BYE ") for one in (first, second, asks)]
+    def releases():
+        return [connection.transport.value().count(b"BYE ") for connection in (first, second, poller)]
 
-    assert told() == [0, 1, 0], "the latest that brought a call"
+    assert releases() == [0, 1, 0], "the connection with the most recent set-up"
     world.wait(500)
-    assert told() == [1, 1, 0], "it says nothing of it: the one before, too"
+    assert releases() == [1, 1, 0], "not acknowledged: sent on the one before it, too"
     first.dataReceived(
         b"SIP/2.0 200 OK\r\nCall-ID: %s\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n" % ID.encode()
     )
     world.wait(5000)
-    assert told() == [1, 1, 0] and not link.front.byes, "heard"
+    assert releases() == [1, 1, 0] and not link.front.pending_releases, "acknowledged"
 
 
-def test_the_end_of_a_call_goes_to_any_open_connection_or_to_the_next():
+def test_the_release_of_a_call_without_an_open_connection_goes_to_the_next_one_opened():
     world, link = caller()
     link.dataReceived(INVITE)
     world.engine.stood(world.sent[0], b"sdp")
@@ -484,4 +493,4 @@
     late.connectionLost()
     third = link.front.buildProtocol(None)
     third.makeConnection(Transport())
-    assert third.transport.value() == b"", "heard once, it is not said again"
+    assert third.transport.value() == b"", "once acknowledged, it is not sent again"
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,27 +1,27 @@
-"""Crossings forced one by one: what lies unread in a socket when a decision is made, and what the exit crosses."""
+"""Race conditions, forced one by one: data unread at the time of a decision, and messages that cross the exit."""
 
 import pytest
 
 from leadslip import interface as face
 from leadslip.net.clients import Clients
-from leadslip.net.links import READ, SPARE_MS, STALLED_MS
+from leadslip.net.links import OVERFLOW_TIMEOUT_MS, READ_BYTES, WRITE_STALL_TIMEOUT_MS
 from leadslip.net.servers import Server
 from leadslip.readiness import Readiness
 from tests.standins import binary
 from tests.test_links import ID, INVITE, Transport, server_link, sip, up
 
-OTHER = "0b1f03aa5c7e2d42"
-GONE = None  # the end of a connection, as it lies unread in its socket
+OTHER_ID = "0b1f03aa5c7e2d42"
+END_OF_STREAM = None  # an unread end of the connection in Transport.unread
 
 
-def callers(world, count, most=10, spare=0):
-    """A front before the world's engine, and connections to it."""
-    front = Clients(world.engine, world.tally, most, Readiness(listening=True), spare)
-    return front, [accept(front) for _ in range(count)]
+def callers(world, count, max_connections=10, overflow=0):
+    """Returns the callers' side of the world's engine, and connections to it."""
+    clients = Clients(world.engine, world.tally, max_connections, Readiness(listening=True), overflow)
+    return clients, [accept(clients) for _ in range(count)]
 
 
-def accept(front):
-    link = front.buildProtocol(None)
+def accept(clients):
+    link = clients.buildProtocol(None)
     if link is not None:
         link.makeConnection(Transport())
     return link
@@ -31,23 +31,23 @@
     return INVITE.replace(ID.encode(), id_.encode()).replace(b"dest:1", b"dest:%d" % server)
 
 
-def second_server(far_link):
-    """One more server on the list, with a connection that is up."""
-    far = far_link.server.far
-    server = far.servers["s1"] = Server(far, "s1", ("127.0.0.1", 2), face.ServerState.READY, 0.0)
+def second_server(connection):
+    """Adds a server with an active connection; returns that connection."""
+    servers = connection.server.upstream
+    server = servers.servers["s1"] = Server(servers, "s1", ("127.0.0.1", 2), face.ServerState.READY, 0.0)
     return up(server)
 
 
 def set_up(link, id_=ID):
-    """How many set-ups of a call were written on a connection to a server."""
+    """Returns the number of set-ups of a call written on a connection to a server."""
     return link.transport.value().count(b"\x01" + bytes.fromhex(id_))
 
 
-LEAVES = [[GONE], [sip(b"CANCEL")], [sip(b"OPTIONS") + sip(b"CANCEL")]]
+DEPARTURES = [[END_OF_STREAM], [sip(b"CANCEL")], [sip(b"OPTIONS") + sip(b"CANCEL")]]
 
 
-@pytest.mark.parametrize("unread", LEAVES)
-def test_a_further_attempt_does_not_leave_for_a_caller_whose_leaving_lies_unread(unread):
+@pytest.mark.parametrize("unread", DEPARTURES)
+def test_no_retry_is_sent_when_the_cancel_or_close_of_the_caller_is_unread(unread):
     world, first = server_link()
     second = second_server(first)
     _, (caller,) = callers(world, 1)
@@ -59,50 +59,52 @@
     assert world.tally.counts["requests.cancelled"] == 1
 
 
-@pytest.mark.parametrize("unread", LEAVES)
-def test_a_first_attempt_does_not_leave_for_a_caller_whose_leaving_follows_in_the_socket(unread):
+@pytest.mark.parametrize("unread", DEPARTURES)
+def test_no_first_attempt_is_sent_when_a_cancel_or_close_follows_in_the_socket(unread):
     world, server = server_link()
     _, (caller,) = callers(world, 1)
     caller.transport.unread += unread
     caller.dataReceived(invite())
     assert set_up(server) == 0 and not world.engine.open
-    assert world.tally.counts["requests"] == 0, "it never came to a decision"
+    assert world.tally.counts["requests"] == 0, "the request never reached the engine"
 
 
-def test_what_waits_for_a_dial_is_not_sent_for_a_caller_that_has_left_or_out_of_time():
+def test_a_queued_set_up_is_not_sent_after_its_caller_has_left_or_its_deadline_has_passed():
     world, link = server_link()
     link.connectionLost()
-    _, (left, stays, late) = callers(world, 3)
-    for caller, id_ in ((left, ID), (stays, OTHER), (late, "0" * 16)):
+    _, (departed, present, late) = callers(world, 3)
+    for caller, id_ in ((departed, ID), (present, OTHER_ID), (late, "0" * 16)):
         caller.dataReceived(
             invite(id_).replace(b"Expires-Ms: 1500", b"Expires-Ms: 90") if caller is late else invite(id_)
         )
-    assert len(link.server.waiting) == 3
-    left.transport.unread.append(GONE)
-    world.time.rightNow += 0.1  # the connection comes up in the same turn as the deadline, and is heard first
+    assert len(link.server.queued) == 3
+    departed.transport.unread.append(END_OF_STREAM)
+    world.time.rightNow += (
+        0.1  # the connection opens in the same reactor turn as the deadline, and is processed first
+    )
     newer = up(link.server)
-    assert [set_up(newer, id_) for id_ in (ID, OTHER, "0" * 16)] == [0, 1, 0]
+    assert [set_up(newer, id_) for id_ in (ID, OTHER_ID, "0" * 16)] == [0, 1, 0]
 
 
-def test_one_that_is_ended_while_others_that_waited_are_sent_is_not_sent_itself():
+def test_a_queued_set_up_that_ends_while_the_queue_is_sent_is_not_sent():
     world, link = server_link()
     link.connectionLost()
     _, (first, second) = callers(world, 2)
     first.dataReceived(invite())
-    second.dataReceived(invite(OTHER))
+    second.dataReceived(invite(OTHER_ID))
     catch_up = first.catch_up
-    first.catch_up = lambda: (catch_up(), second.connectionLost())  # the first one's turn ends the second
+    first.catch_up = lambda: (catch_up(), second.connectionLost())  # sending the first ends the second
     newer = up(link.server)
-    assert [set_up(newer, id_) for id_ in (ID, OTHER)] == [1, 0]
+    assert [set_up(newer, id_) for id_ in (ID, OTHER_ID)] == [1, 0]
 
 
-def test_a_set_up_is_handed_to_the_system_in_the_turn_of_its_decision():
+def test_a_set_up_is_flushed_to_the_kernel_in_the_turn_of_its_decision():
     world, link = server_link()
     world.offer(ID)
     assert set_up(link) == 1 and link.transport.flushed == len(link.transport.value())
 
 
-def test_a_flood_on_one_connection_does_not_hold_its_set_ups_back_for_ever():
+def test_a_flood_on_one_connection_does_not_delay_its_set_ups_without_bound():
     world, link = server_link()
     _, (caller,) = callers(world, 1)
     caller.transport.unread += [sip(b"OPTIONS")] * 100
@@ -110,29 +112,29 @@
     assert set_up(link) == 1 and len(caller.transport.unread) > 90
 
 
-def test_what_is_due_waits_until_the_sockets_have_been_read_once():
+def test_expired_deadlines_wait_until_the_sockets_have_been_read_once():
     world, _ = server_link()
-    told = []
-    world.deadlines.at(world.now_ms() + 10.0, lambda _: told.append("due"))
-    ring = world.time.callLater
-    turns = []
-    world.time.callLater = lambda seconds, work: turns.append(seconds) or ring(seconds, work)
+    fired = []
+    world.deadlines.at(world.now_ms() + 10.0, lambda _: fired.append("due"))
+    call_later = world.time.callLater
+    delays = []
+    world.time.callLater = lambda seconds, work: delays.append(seconds) or call_later(seconds, work)
     world.time.advance(0.05)
-    assert turns[0] == 0.0 and told == ["due"], "one more turn of the reactor, and its sockets, lie between"
+    assert delays[0] == 0.0 and fired == ["due"], "one more turn of the reactor reads the sockets first"
 
 
-def test_a_connection_is_not_closed_for_another_under_a_message_that_lies_unread():
+def test_a_connection_with_an_unread_message_is_not_evicted():
     world, server = server_link()
-    front, (spoke, silent) = callers(world, 2, most=2)
-    spoke.transport.unread.append(invite())
-    late = accept(front)
-    assert late is not None and silent.transport.disconnecting and not spoke.transport.disconnecting
-    assert set_up(server) == 1, "it is read, and served"
+    clients, (sender, silent) = callers(world, 2, max_connections=2)
+    sender.transport.unread.append(invite())
+    additional = accept(clients)
+    assert additional is not None and silent.transport.disconnecting and not sender.transport.disconnecting
+    assert set_up(server) == 1, "the message is read, and its set-up is sent"
 
 
-def test_an_idle_connection_is_not_closed_under_a_message_that_lies_unread():
+def test_an_idle_connection_with_an_unread_message_is_not_closed():
     world, server = server_link()
-    front, (caller,) = callers(world, 1)
+    clients, (caller,) = callers(world, 1)
     caller.dataReceived(sip(b"OPTIONS"))
     world.wait(14_900)
     caller.transport.unread.append(invite())
@@ -140,81 +142,83 @@
     assert set_up(server) == 1 and not caller.transport.disconnecting
 
 
-def test_a_connection_closed_for_another_still_brings_the_answer_written_on_it():
+def test_an_evicted_connection_still_delivers_its_answer():
     world, server = server_link()
-    front, (caller,) = callers(world, 1, most=1)
+    clients, (caller,) = callers(world, 1, max_connections=1)
     aborted = []
     caller.transport.abortConnection = lambda: aborted.append(True)
     caller.dataReceived(invite())
     server.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
-    assert accept(front) is None and not aborted, (
-        "it closes once the answer is out, and until then counts as open"
+    assert accept(clients) is None and not aborted, (
+        "it closes once the answer is sent, and counts as open until then"
     )
     assert caller.transport.disconnecting
-    world.wait(STALLED_MS + 300)
-    assert aborted, "one that does not read is not waited for"
+    world.wait(WRITE_STALL_TIMEOUT_MS + 300)
+    assert aborted, "a peer that does not read is aborted"
 
 
-def test_where_all_are_owed_an_answer_a_few_more_are_told_to_come_again():
+def test_when_all_connections_await_an_answer_a_few_more_are_accepted_and_refused():
     world, server = server_link()
-    front, (caller,) = callers(world, 1, most=1, spare=2)
+    clients, (caller,) = callers(world, 1, max_connections=1, overflow=2)
     caller.dataReceived(invite())
-    told = accept(front)
-    told.dataReceived(invite(OTHER) + invite())
-    quiet = accept(front)
-    assert told.transport.value().startswith(b"SIP/2.0 503 ") and told.transport.disconnecting
-    assert b"SIP/2.0 500 " in told.transport.value(), "an id that is open elsewhere stays that one's"
-    assert (set_up(server, OTHER), list(world.engine.open)) == (0, [ID])
-    told.connectionLost()
-    world.wait(SPARE_MS + 300)
-    assert quiet.transport.disconnecting and not caller.transport.disconnecting
+    refused = accept(clients)
+    refused.dataReceived(invite(OTHER_ID) + invite())
+    silent = accept(clients)
+    assert refused.transport.value().startswith(b"SIP/2.0 503 ") and refused.transport.disconnecting
+    assert b"SIP/2.0 500 " in refused.transport.value(), (
+        "a set-up whose id is in use on another connection fails"
+    )
+    assert (set_up(server, OTHER_ID), list(world.engine.open)) == (0, [ID])
+    refused.connectionLost()
+    world.wait(OVERFLOW_TIMEOUT_MS + 300)
+    assert silent.transport.disconnecting and not caller.transport.disconnecting
     assert world.tally.counts["answers.refused"] == 1
 
 
-def test_at_the_end_what_comes_is_refused_and_each_connection_closes_once_its_answers_are_out():
+def test_on_shutdown_new_set_ups_are_refused_and_each_connection_closes_once_its_answers_are_sent():
     world, server = server_link()
-    front, (open_, idle, comes) = callers(world, 3)
-    open_.dataReceived(invite())
-    comes.transport.unread.append(invite(OTHER))
+    clients, (waiting, idle, sending) = callers(world, 3)
+    waiting.dataReceived(invite())
+    sending.transport.unread.append(invite(OTHER_ID))
     world.engine.settle()
-    assert not front.finish(), "what is written is not out yet"
-    assert open_.transport.value().startswith(b"SIP/2.0 500 ")
-    assert comes.transport.value().startswith(b"SIP/2.0 503 ") and set_up(server, OTHER) == 0
-    for link in (open_, idle, comes):
+    assert not clients.finish(), "the answers are not sent yet"
+    assert waiting.transport.value().startswith(b"SIP/2.0 500 ")
+    assert sending.transport.value().startswith(b"SIP/2.0 503 ") and set_up(server, OTHER_ID) == 0
+    for link in (waiting, idle, sending):
         assert link.transport.disconnecting
         link.connectionLost()
-    assert front.finish()
+    assert clients.finish()
 
 
-def test_a_dial_that_finds_no_descriptor_tells_nothing_of_the_server():
+def test_a_connect_without_a_free_descriptor_says_nothing_about_the_server():
     world, link = server_link()
     world.offer(ID)
     link.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
-    world.wait(7000)  # longer than a server may be unheard
-    link.server.dial_impossible()
-    assert ("over", ID, True) not in world.told and not link.server.down
+    world.wait(7000)  # longer than a server may be silent
+    link.server.no_local_socket()
+    assert ("over", ID, True) not in world.told and not link.server.unreachable
 
 
-def test_connections_that_a_server_can_do_without_stop_where_the_descriptors_do():
+def test_additional_connections_to_a_server_stop_at_the_descriptor_limit():
     world, link = server_link()
-    far = link.server.far
-    far.most_links = 1
+    servers = link.server.upstream
+    servers.most_links = 1
     for i in range(3):
         world.offer(f"{i:016x}")
-    assert not far.reactor and len(link.set_ups) == 3
-    far.most_links = 2
+    assert not servers.reactor and len(link.set_ups) == 3
+    servers.most_links = 2
     world.offer(f"{3:016x}")
-    assert len(far.reactor) == 1
+    assert len(servers.reactor) == 1
 
 
-def test_a_class_named_beyond_ascii_is_served():
+def test_a_class_with_a_non_ascii_name_is_served():
     world, server = server_link()
     _, (caller,) = callers(world, 1)
     caller.dataReceived(invite().replace(b"Priority-Class: plain", "Priority-Class: 급보".encode()))
     assert caller.set_ups == {} and caller.transport.value().startswith(b"SIP/2.0 503 "), (
         "not in the settings"
     )
-    (kind,) = [one for one in world.engine.settings.classes if one.name == "plain"]
+    (plain,) = [call_class for call_class in world.engine.settings.classes if call_class.name == "plain"]
     world.engine.adopt(
         face.Settings(gateways=1, index=0, classes=(face.CallClass("급보", 1.0, 0.2, 1500.0, 9000.0),)), 100
     )
@@ -222,69 +226,69 @@
     assert "급보".encode() in server.transport.value()
 
 
-def test_a_release_that_a_stalled_connection_does_not_take_is_told_on_the_next():
+def test_a_release_that_a_stalled_connection_does_not_accept_is_sent_on_the_next():
     world, link = server_link()
     request = world.offer(ID)
     link.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
     link.pauseProducing()
-    world.wait(STALLED_MS + 1)
+    world.wait(WRITE_STALL_TIMEOUT_MS + 1)
     world.engine.hang_up(request)
     link.connectionLost()
     assert binary(12, bytes.fromhex(ID), (61, b"\x10")) in up(link.server).transport.value()
 
 
-def test_a_set_up_does_not_wait_behind_what_the_system_does_not_take():
+def test_a_set_up_does_not_wait_behind_unsent_data():
     world, blocked = server_link()
     other = up(blocked.server)
     blocked.transport.dataBuffer = b"the rest of an earlier one"
     world.offer(ID)
     assert (set_up(blocked), set_up(other)) == (0, 1)
     other.transport.dataBuffer = b"and here"
-    world.offer(OTHER)
-    assert (set_up(blocked, OTHER), set_up(other, OTHER)) == (0, 0)
-    assert world.tally.counts["attempts.no_connection"] == 2, "here, and at the one that has no connection"
+    world.offer(OTHER_ID)
+    assert (set_up(blocked, OTHER_ID), set_up(other, OTHER_ID)) == (0, 0)
+    assert world.tally.counts["attempts.no_connection"] == 2, "here, and at the server without a connection"
 
 
-def test_a_set_up_that_the_system_has_not_taken_goes_no_more_once_its_caller_has_left():
+def test_an_unsent_set_up_is_dropped_with_its_connection_once_its_caller_has_left():
     world, link = server_link()
     request = world.offer(ID)
     link.transport.dataBuffer = b"the rest of it"
     world.engine.cancel(request)
-    assert link.transport.disconnecting and link.server.up == []
+    assert link.transport.disconnecting and link.server.active == []
     assert not link.transport.value().endswith(binary(12, bytes.fromhex(ID), (61, b"\x10")))
 
 
-def test_a_flood_takes_no_more_of_a_turn_than_one_read():
+def test_a_flood_is_limited_to_the_size_of_one_read_per_turn():
     world, _ = server_link()
     _, (caller,) = callers(world, 1)
     ids = iter(range(100_000))
     read = b"".join(invite(f"{next(ids):016x}") for _ in range(100))
     caller.transport.unread += [b"".join(invite(f"{next(ids):016x}") for _ in range(100)) for _ in range(100)]
-    taken = []
-    receive = caller.receive
-    caller.receive = lambda most: taken.append(most) or receive(most)
+    sizes = []
+    read_available = caller.read_available
+    caller.read_available = lambda max_bytes: sizes.append(max_bytes) or read_available(max_bytes)
     caller.dataReceived(read)
-    assert taken[0] == READ - len(read) and all(most > 0 for most in taken) and len(taken) <= 4
-    before = len(taken)
+    assert sizes[0] == READ_BYTES - len(read) and all(size > 0 for size in sizes) and len(sizes) <= 4
+    before = len(sizes)
     last = invite(f"{next(ids):016x}")
-    caller.dataReceived(b"\r\n" * ((READ - len(last)) // 2 + 1) + last)
-    assert len(taken) == before, "a read that was full is all of its turn"
+    caller.dataReceived(b"\r\n" * ((READ_BYTES - len(last)) // 2 + 1) + last)
+    assert len(sizes) == before, "a full read is not followed by another in its turn"
 
 
 ANSWERED = binary(9, bytes.fromhex(ID), (63, b"sdp"))
 
 
-@pytest.mark.parametrize("at", range(len(ANSWERED) + 1))
-def test_an_answer_cut_at_any_byte_is_one_once_it_is_whole_and_none_where_the_connection_ends(at):
+@pytest.mark.parametrize("split", range(len(ANSWERED) + 1))
+def test_an_answer_split_at_any_byte_counts_once_complete_and_not_if_the_connection_ends(split):
     world, link = server_link()
     world.offer(ID)
-    link.dataReceived(ANSWERED[:at])
-    assert world.told == ([("stands", ID, b"sdp")] if at == len(ANSWERED) else [])
-    link.dataReceived(ANSWERED[at:])
+    link.dataReceived(ANSWERED[:split])
+    assert world.told == ([("stands", ID, b"sdp")] if split == len(ANSWERED) else [])
+    link.dataReceived(ANSWERED[split:])
     assert world.told == [("stands", ID, b"sdp")]
     other, broken = server_link()
     other.offer(ID)
-    broken.dataReceived(ANSWERED[:at])
+    broken.dataReceived(ANSWERED[:split])
     broken.connectionLost()
-    whole = at == len(ANSWERED)
-    assert other.tally.counts["attempts.cut"] == (not whole) and len(other.told) == whole
+    complete = split == len(ANSWERED)
+    assert other.tally.counts["attempts.cut"] == (not complete) and len(other.told) == complete
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The program's end and its shortage of descriptors, over sockets: signals that cross what is under way."""
+"""Shutdown and descriptor shortage of the real process, over sockets: signals at inconvenient moments."""
 
 import os
 import resource
@@ -25,7 +25,7 @@
 )
 from tests.test_program import FIRST, SECOND
 
-SHORT = {"name": "plain", "gain": 1.0, "late_worth": 0.2, "aim_ms": 500.0, "deadline_ms": 600.0}
+SHORT_CLASS = {"name": "plain", "gain": 1.0, "late_worth": 0.2, "aim_ms": 500.0, "deadline_ms": 600.0}
 
 
 @pytest.fixture
@@ -48,8 +48,8 @@
     return [call.hex() for kind, call, _ in server.heard if kind == 1]
 
 
-def test_what_comes_after_the_last_answer_is_taken_no_more(start):
-    program, (server, other) = start("silent", "hold", settings=settings(services=[SHORT]))
+def test_no_set_up_is_accepted_after_the_last_answer(start):
+    program, (server, other) = start("silent", "hold", settings=settings(services=[SHORT_CLASS]))
     caller = Caller(program)
     caller.invite(FIRST, expires=5000)  # longer than the process lives
     wait_for(lambda: set_ups(server) == [FIRST])
@@ -58,17 +58,17 @@
     try:
         caller.invite(SECOND, expires=5000, dest=1)
         assert caller.hear()[0] in ("SIP/2.0 503 Service Unavailable", ""), (
-            "refused, or closed before it is taken"
+            "refused, or closed before it is read"
         )
     except (ConnectionResetError, BrokenPipeError):
-        pass  # it crossed the close
+        pass  # the set-up crossed the close
     assert program.process.wait(PATIENCE_S) == 0
     assert set_ups(server) == [FIRST] and set_ups(other) == []
 
 
-def test_an_answer_that_a_caller_is_slow_to_read_is_out_before_the_connection_ends(start):
+def test_answers_to_a_slow_reader_are_sent_before_the_connection_ends(start):
     """Many calls on one connection, whose caller reads nothing until the process has ended."""
-    program, (server,) = start("silent", settings=settings(services=[SHORT]))
+    program, (server,) = start("silent", settings=settings(services=[SHORT_CLASS]))
     caller = Caller(program)
     ids = [f"{i:016x}" for i in range(200)]
     for id_ in ids:
@@ -80,44 +80,44 @@
     while (message := caller.hear())[0]:
         if message[0].startswith("SIP/2.0 "):
             answered.add(message[1]["Call-ID"])
-    assert answered == set(ids), "each has one final answer, and the connection ends in order"
+    assert answered == set(ids), "each set-up gets one final answer, and the connection ends without a reset"
 
 
-def test_signals_that_cross_the_drain_change_nothing_of_its_end(start):
-    program, (server,) = start("silent", settings=settings(services=[SHORT]))
+def test_further_signals_during_the_drain_do_not_change_its_end(start):
+    program, (server,) = start("silent", settings=settings(services=[SHORT_CLASS]))
     caller = Caller(program)
     caller.invite(FIRST, expires=5000)
     wait_for(lambda: set_ups(server))
     program.process.terminate()
     wait_for(lambda: any(" draining" in line for line in program.log))
     program.process.terminate()
-    # Its deadlines are longer than those at the signal, by which the kill may come.
+    # The reloaded deadlines are longer than those at the first SIGTERM, from which the time of SIGKILL counts.
     assert "reload.taken" in program.reload(board=Board().address, settings=settings())
     program.process.terminate()
     assert caller.hear()[0] == "SIP/2.0 500 Server Internal Error"
     assert program.process.wait(PATIENCE_S) == 0
 
 
-def test_the_last_answers_go_by_the_shorter_deadline_of_the_signal_and_of_a_reload_since():
-    told = Readiness(listening=True)
-    told.end(10_000.0, longest_ms=600.0)
-    assert told.last_ms(600.0) == told.last_ms(9000.0) == 11_100.0
-    assert told.last_ms(300.0) == 10_800.0
+def test_the_last_answers_are_due_by_the_shorter_deadline_of_sigterm_and_a_later_reload():
+    readiness = Readiness(listening=True)
+    readiness.end(10_000.0, longest_ms=600.0)
+    assert readiness.last_ms(600.0) == readiness.last_ms(9000.0) == 11_100.0
+    assert readiness.last_ms(300.0) == 10_800.0
     longer = Readiness(listening=True)
     longer.end(10_000.0, longest_ms=9000.0)
-    assert longer.last_ms(9000.0) == 13_500.0, "3 s of it count at the most"
+    assert longer.last_ms(9000.0) == 13_500.0, "at most 3 s of the deadline count"
 
 
-class Mute(Listener):
-    """A board that takes connections and never answers."""
+class UnresponsiveBoard(Listener):
+    """A board that accepts connections and never answers."""
 
     def serve(self, link):
         while link.recv(4096):
             pass
 
 
-class Full:
-    """A board whose queue is full: to dial it is neither refused nor taken."""
+class FullBacklogBoard:
+    """A board whose listen backlog is full: a connect is neither refused nor accepted."""
 
     def __init__(self):
         self.socket = socket.socket()
@@ -130,18 +130,18 @@
             link.connect_ex(self.socket.getsockname())
 
 
-@pytest.mark.parametrize("board", [Mute, Full])
-def test_a_drain_does_not_wait_for_a_board_that_says_nothing_or_is_being_dialled(start, board):
-    mute = board()
-    program, _ = start("answer", board=mute.address, settings=settings(services=[SHORT]))
-    wait_for(lambda: mute.links)
+@pytest.mark.parametrize("board", [UnresponsiveBoard, FullBacklogBoard])
+def test_a_drain_does_not_wait_for_an_unresponsive_board_or_a_connect_to_it(start, board):
+    unresponsive = board()
+    program, _ = start("answer", board=unresponsive.address, settings=settings(services=[SHORT_CLASS]))
+    wait_for(lambda: unresponsive.links)
     caller = Caller(program)
     caller.invite(FIRST)
     assert caller.hear()[0] == "SIP/2.0 200 OK"
 
 
-def test_a_signal_before_it_serves_ends_the_program_in_order(tmp_path):
-    """Held in the reading of its configuration, from a pipe to which nobody writes yet."""
+def test_sigterm_before_serving_exits_cleanly(tmp_path):
+    """The program blocks reading its configuration, from a pipe without data."""
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)
     process = subprocess.Popen(
@@ -151,14 +151,15 @@
         stderr=subprocess.PIPE,
         text=True,
     )
-    with open(pipe, "w") as held:  # returns once the program has opened its end: its signals are hooked
+    # open() returns once the program has opened its end, after installing its signal handlers.
+    with open(pipe, "w") as writer:
         process.send_signal(signal.SIGTERM)
         assert process.wait(PATIENCE_S) == 0 and process.stderr.read() == ""
-        assert not held.closed
+        assert not writer.closed
 
 
 def test_idle_callers_leave_descriptors_for_the_board_the_servers_and_operators(start):
-    """Far more idle callers than descriptors, while the board is down; then it is moved and tells of servers."""
+    """Far more idle callers than descriptors while the board is down; then the board moves and lists new servers."""
     limit = 96
     program, (first,) = start("answer", limits={"sockets": limit}, ops=f"{HOST}:0")
     wait_for(lambda: program.board.polls)
@@ -171,10 +172,12 @@
     for _ in range(3 * limit):
         idle.append(socket.create_connection(program.listen, timeout=PATIENCE_S))
     used = len(os.listdir(f"/proc/{program.process.pid}/fd"))
-    assert used < limit, "some are left while they are all there"
+    assert used < limit, "descriptors are left while all idle callers are connected"
     moved = Board()
     moved.events.append((2, notice(2, ("s1", second.address, "active"))))
-    assert "reload.taken" in program.reload(board=moved.address), "a file can be opened"
+    assert "reload.taken" in program.reload(board=moved.address), (
+        "a descriptor is free to open the configuration file"
+    )
     wait_for(lambda: second.links)
     moved.events.append((3, notice(3, ("s2", third.address, "active"))))
     wait_for(lambda: third.links)
