--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -120,7 +120,7 @@
     world.wait(200)
     server = world.upstream.servers["s0"]
     first, *_ = world.server.wires
-    server.dial()
+    server.connect()
     world.wait(12)  # the server has accepted the new connection, but the proxy does not know this yet
     ended_call = next(call for call, wire in world.server.standing.items() if wire is first)
     first.bad = True
@@ -137,21 +137,21 @@
         world.call()
         world.wait(2)
     world.wait(200)
-    assert len(server.up) == 4
-    least_recent = min(server.up, key=lambda link: link.heard_ms)
+    assert len(server.active) == 4
+    least_recent = min(server.active, key=lambda link: link.last_received_ms)
     calls = [call for call, wire in world.server.standing.items() if wire.protocol is least_recent]
-    server.dial()
+    server.connect()
     world.wait(25)  # the new connection is up, and delivers its first data in another 5 ms
     world.server.release(calls[0])
     world.wait(900)
-    assert calls[0] in world.ended_at_ms and least_recent in server.up and len(server.up) == 5
+    assert calls[0] in world.ended_at_ms and least_recent in server.active and len(server.active) == 5
     assert len(world.engine.standing) == 39
     for call in calls[1:]:
         world.server.release(call)
     world.wait(900)
-    server.dial()
+    server.connect()
     world.wait(900)
-    assert len(server.up) == 4, "the two connections without established calls were closed for the new one"
+    assert len(server.active) == 4, "the two connections without established calls were closed for the new one"
     assert set(calls) <= set(world.ended_at_ms) and world.late_ends() == {}
 
 
@@ -257,7 +257,7 @@
     for wire in list(world.server.wires):
         wire.end(error.ConnectionLost())
     world.wait(2000)
-    assert len(world.engine.standing) == 12 and world.upstream.servers["s0"].up
+    assert len(world.engine.standing) == 12 and world.upstream.servers["s0"].active
     update = face.ListNews(face.NewsKind.CHANGES, (entry("s1", 0),))
     world.upstream.listed(update, {"s1": ADDRESS["s0"]})
     world.engine.news(update)
