--- a/leadslip/config.py
+++ b/leadslip/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults; errors name the faulty key."""
+"""Reads and validates the configuration and fills in its defaults; errors name the offending key."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 Address = tuple[str, int]
 
 REPEATS = {"retryable": face.Repeat.FREE, "dedup": face.Repeat.DEDUPED, "fragile": face.Repeat.ONCE}
-REPORTED = {
+LOAD_FIELDS = {  # name in a load report -> field of Load
     "idle": "free_lines",
     "circuits": "lines",
     "active": "active",
@@ -27,7 +27,7 @@
     "avg_ms": "wait_ms",
     "max_rate": "set_ups_per_s",
     "reduce": "hold_back",
-    # The names on the sockets.
+    # The names that setup servers send on their sockets.
     "x0": "free_lines",
     "x1": "lines",
     "inflight": "active",
@@ -40,67 +40,67 @@
 
 
 class MalformedError(OperatorError):
-    """A value of the configuration makes no sense; the text names its key."""
+    """A configuration value is invalid; the text names its key."""
 
     code, status = "config.malformed", 400
-    action = "Correct the value of the key named; a proxy that runs keeps the configuration it has."
+    action = "Correct the value of the key named; a running proxy keeps its current configuration."
 
-    def within(self, path: str) -> MalformedError:
-        """The same, of a key that stands below a path."""
+    def with_prefix(self, path: str) -> MalformedError:
+        """The same error with a path put before its key."""
         return type(self)(f"{path}{self}")
 
 
 class MissingError(MalformedError):
-    """A key that the configuration must have is not there."""
+    """A required configuration key is missing."""
 
     code = "config.missing"
     action = "Add the key named."
 
 
 class UnknownKeyError(MalformedError):
-    """The configuration has a key that this version does not know."""
+    """A configuration key is unknown to this version."""
 
     code = "config.unknown-key"
-    action = "Remove the key or correct its spelling; if it is of a newer version, upgrade first."
+    action = "Remove the key or correct its spelling; if a newer version introduced it, upgrade first."
 
 
 class BoundsError(MalformedError):
-    """A figure of the configuration is out of its bounds."""
+    """A number in the configuration is outside its permitted range."""
 
     code = "config.bounds"
-    action = "Choose a figure within the bounds named."
+    action = "Choose a number within the range named."
 
 
 class TakenError(MalformedError):
-    """A name or an address is used twice in the configuration."""
+    """A name or an address is used more than once in the configuration."""
 
     code = "config.taken"
     action = "Give one of the two another name or address."
 
 
 class UnreadableError(MalformedError):
-    """A file of the configuration can't be read."""
+    """A configuration file can't be read."""
 
     code = "config.unreadable"
-    action = "See that the file is there, may be read by the proxy's user, and is whole."
+    action = "Check that the file exists, that the proxy's user may read it, and that it is complete."
 
 
 class FixedError(MalformedError):
-    """A key of the configuration can't change while the proxy runs."""
+    """A configuration key can't change while the proxy runs."""
 
     code = "config.fixed"
-    action = "Put the old value back and reload, or restart the proxy with the new one."
+    action = "Restore the old value and reload, or restart the proxy with the new one."
 
 
 class NeedsError(MalformedError):
-    """A part of the configuration needs another that is off."""
+    """A part that is enabled requires another part that is off."""
 
     code = "config.needs"
-    action = "Turn the part named on, or this one off."
+    action = "Enable the part named, or disable this one."
 
 
 def number(fields: Fields, key: str, default: float | None = None) -> float:
-    """The number under a key; without a default the key must be there."""
+    """The finite number under a key, which is required if there is no default."""
     text = fields.get(key)
     if text is None:
         if default is None:
@@ -116,7 +116,7 @@
 
 
 def whole(fields: Fields, key: str, default: int | None = None) -> int:
-    """The whole number under a key."""
+    """The integer under a key, which is required if there is no default."""
     value = number(fields, key, default)
     if value != int(value):
         raise MalformedError(f"{key} is no whole number: {fields[key]}")
@@ -124,43 +124,43 @@
 
 
 def word(fields: Fields, key: str) -> str:
-    """The text under a key, which must be there."""
+    """The text under a required key."""
     if not fields.get(key):
         raise MissingError(f"{key} is missing")
     return fields[key]
 
 
 def flag(fields: Fields, key: str, default: bool = False) -> bool:
-    """The truth under a key: 1, 0, true or false."""
+    """The boolean under a key: 1, 0, true or false."""
     text = fields.get(key)
     if text is None:
         return default
     if text not in ("0", "1", "true", "false"):
-        raise MalformedError(f"{key} is neither 1 nor 0: {text}")
+        raise MalformedError(f"{key} must be 1, 0, true or false: {text}")
     return text in ("1", "true")
 
 
 def known(table: dict, value: object, key: str) -> object:
-    """The meaning of a code word."""
+    """Looks up a keyword in a table; raises MalformedError for one that is not in it."""
     if value not in table:
         raise MalformedError(f"{key} is unknown: {value}")
     return table[value]
 
 
 def settings_of(conf: Fields) -> face.Settings:
-    """The start message's settings in the library's words."""
+    """The library's Settings from the flat settings of a configuration or of the simulator's start message."""
     classes = []
     for i in range(whole(conf, "services.count")):
-        at = f"services.{i}."
+        prefix = f"services.{i}."
         pools = conf.get(f"extra.allowed_pools.{i}")
         classes.append(
             face.CallClass(
-                name=word(conf, at + "name"),
-                worth=number(conf, at + "gain"),
-                late_worth=number(conf, at + "late_worth", 0.0),
-                aim_ms=number(conf, at + "aim_ms"),
-                deadline_ms=number(conf, at + "deadline_ms"),
-                repeat=known(REPEATS, conf.get(at + "idempotency", "retryable"), at + "idempotency"),
+                name=word(conf, prefix + "name"),
+                worth=number(conf, prefix + "gain"),
+                late_worth=number(conf, prefix + "late_worth", 0.0),
+                aim_ms=number(conf, prefix + "aim_ms"),
+                deadline_ms=number(conf, prefix + "deadline_ms"),
+                repeat=known(REPEATS, conf.get(prefix + "idempotency", "retryable"), prefix + "idempotency"),
                 allowed_pools=None if pools is None else tuple(pool_numbers(pools, i)),
             )
         )
@@ -194,37 +194,40 @@
 
 
 def pool_numbers(text: str, i: int) -> Iterable[int]:
-    """The pools that class i may go to."""
-    for part in text.split(","):
-        if part:
-            yield whole({f"extra.allowed_pools.{i}": part}, f"extra.allowed_pools.{i}")
+    """The pools that class i may use."""
+    for item in text.split(","):
+        if item:
+            yield whole({f"extra.allowed_pools.{i}": item}, f"extra.allowed_pools.{i}")
 
 
 def load_of(text: str | None, names: list[str]) -> face.Load | None:
-    """A load report; figures of -1 are untold, figures of unknown names are skipped."""
+    """A load report of comma-separated values: negative ones count as not reported, unknown names are skipped."""
     if not text:
         return None
-    told = {}
-    for name, part in zip(names, text.split(","), strict=False):
-        value = number({"stats": part}, "stats")
-        if name in REPORTED and value >= 0:
-            told[REPORTED[name]] = value
-    return face.Load(**told)
+    values = {}
+    for name, item in zip(names, text.split(","), strict=False):
+        value = number({"stats": item}, "stats")
+        if name in LOAD_FIELDS and value >= 0:
+            values[LOAD_FIELDS[name]] = value
+    return face.Load(**values)
 
 
 def load_named(text: str) -> face.Load:
-    """A load report on the sockets, such as x0:12;x1:40: figures of -1 are untold, unknown names skipped."""
-    told = {}
-    for part in text.split(";"):
-        name, _, value = part.partition(":")
-        if name in REPORTED:
-            figure = number({name: value}, name)
-            if figure >= 0:
-                told[REPORTED[name]] = figure
-    return face.Load(**told)
+    """A load report as setup servers send it, such as x0:12;x1:40: negative values count as not reported.
 
+    Unknown names are skipped.
+    """
+    values = {}
+    for item in text.split(";"):
+        name, _, value_text = item.partition(":")
+        if name in LOAD_FIELDS:
+            value = number({name: value_text}, name)
+            if value >= 0:
+                values[LOAD_FIELDS[name]] = value
+    return face.Load(**values)
 
-# The files of a real signalling proxy, and what the notice board sends in the same form.
+
+# The configuration file of a signalling proxy, and the events of the notice board, which have the same form.
 
 STATES = {
     "active": face.ServerState.READY,
@@ -233,7 +236,7 @@
 }
 
 
-POSITIVE = (
+POSITIVE_KEYS = (
     "balancers",
     "limits.most_tries",
     "limits.dial_timeout_ms",
@@ -246,7 +249,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """One event of the notice board: list news, and where each server listens."""
+    """One event of the notice board: a server list update, and the address of each server in it."""
 
     rev: int
     news: face.ListNews
@@ -255,11 +258,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a signalling proxy is told at its start."""
+    """The configuration of a signalling proxy at its start."""
 
     name: str
     listen: Address
-    ops: Address | None  # the operators' address; None: there is none
+    ops: Address | None  # the operators' address; None: no operators' endpoint
     seed: int
     sockets: int
     board: Address
@@ -268,16 +271,16 @@
     settings: face.Settings
     dial_timeout_ms: float
     most_held: int
-    keys: frozenset[str] = frozenset()  # the keys of the file as written, but for events and classes
-    class_shapes: tuple[frozenset[str], ...] = ()  # the keys of each class of the file
+    keys: frozenset[str] = frozenset()  # the keys written in the file, except those of events and classes
+    class_shapes: tuple[frozenset[str], ...] = ()  # the keys written for each class in the file
 
 
 def flatten(value: object, path: str = "") -> Fields:
-    """Nested JSON settings as the simulator's start message has them: path=value pairs, all text."""
+    """Flattens nested JSON settings to path=value pairs of text, the form of the simulator's start message."""
     if isinstance(value, Mapping):
         pairs: Fields = {}
-        for key, inner in value.items():
-            pairs |= flatten(inner, f"{path}.{key}" if path else str(key))
+        for key, child in value.items():
+            pairs |= flatten(child, f"{path}.{key}" if path else str(key))
         return pairs
     if isinstance(value, list):
         if any(isinstance(item, Mapping | list) for item in value):
@@ -285,27 +288,27 @@
             for i, item in enumerate(value):
                 pairs |= flatten(item, f"{path}.{i}")
             return pairs
-        return {path: ",".join(_plain(item) for item in value)}
-    return {} if value is None else {path: _plain(value)}
+        return {path: ",".join(_text(item) for item in value)}
+    return {} if value is None else {path: _text(value)}
 
 
-def _plain(value: object) -> str:
+def _text(value: object) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def member(where: Mapping, key: str, kind: type | tuple[type, ...], path: str = "") -> object:
-    """A member of a JSON object, which must be there and of the kind."""
+def member(table: Mapping, key: str, types: type | tuple[type, ...], path: str = "") -> object:
+    """The value of a required key of a JSON object; raises MalformedError if it is not of the type."""
     name = f"{path}.{key}" if path else key
-    if key not in where:
+    if key not in table:
         raise MissingError(f"{name} is missing")
-    value = where[key]
-    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise MalformedError(f"{name} makes no sense: {json.dumps(value)[:80]}")
+    value = table[key]
+    if not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
+        raise MalformedError(f"{name} has the wrong type: {json.dumps(value)[:80]}")
     return value
 
 
 def address_of(text: object, key: str) -> Address:
-    """An IP address and a port; names are not resolved, since there may be no DNS."""
+    """Parses IP:port; host names are rejected, since DNS may not be available."""
     host, _, port = str(text).rpartition(":")
     try:
         host = str(ipaddress.ip_address(host.strip("[]")))
@@ -317,69 +320,69 @@
 
 
 def notice_of(event: object, path: str) -> Notice:
-    """One event of the notice board; `boot_ms` is Unix time, as is the clock of the core."""
+    """Parses an event of the notice board; `boot_ms` is Unix time, like the clock of the core."""
     if not isinstance(event, Mapping):
-        raise MalformedError(f"{path} is no object")
+        raise MalformedError(f"{path} must be an object")
     rev = int(member(event, "rev", int, path))
     pool = member(event, "pool", Mapping, path)
     entries, addresses = [], {}
     for i, target in enumerate(member(pool, "targets", list, f"{path}.pool")):
-        at = f"{path}.pool.targets.{i}"
+        target_path = f"{path}.pool.targets.{i}"
         if not isinstance(target, Mapping):
-            raise MalformedError(f"{at} is no object")
-        uid = str(member(target, "uid", str, at))
-        state = known(STATES, member(target, "state", str, at), f"{at}.state")
-        addresses[uid] = address_of(member(target, "endpoint", str, at), f"{at}.endpoint")
-        number_ = target.get("pod_group", -1)
-        since = target.get("boot_ms", 0)
-        fields = {"pod_group": str(number_), "boot_ms": str(since)}
+            raise MalformedError(f"{target_path} must be an object")
+        uid = str(member(target, "uid", str, target_path))
+        state = known(STATES, member(target, "state", str, target_path), f"{target_path}.state")
+        addresses[uid] = address_of(member(target, "endpoint", str, target_path), f"{target_path}.endpoint")
+        pod_group = target.get("pod_group", -1)
+        boot_ms = target.get("boot_ms", 0)
+        fields = {"pod_group": str(pod_group), "boot_ms": str(boot_ms)}
         entries.append(face.ListEntry(uid, whole(fields, "pod_group"), state, number(fields, "boot_ms")))
-    kind = face.NewsKind.WHOLE if pool.get("all") is True else face.NewsKind.CHANGES
-    return Notice(rev, face.ListNews(kind, tuple(entries)), addresses)
+    update_kind = face.NewsKind.WHOLE if pool.get("all") is True else face.NewsKind.CHANGES
+    return Notice(rev, face.ListNews(update_kind, tuple(entries)), addresses)
 
 
-def config_of(told: object) -> Config:
-    """The checked configuration of a signalling proxy."""
-    if not isinstance(told, Mapping):
+def config_of(document: object) -> Config:
+    """Parses and validates the configuration of a signalling proxy. Raises MalformedError."""
+    if not isinstance(document, Mapping):
         raise MalformedError("the configuration is no object")
-    flat = flatten(member(told, "settings", Mapping))
+    flat = flatten(member(document, "settings", Mapping))
     flat.setdefault("services.count", "0")
     try:
         settings = settings_of(flat)
         if whole(flat, "services.count") < 1:
             raise MalformedError("services is empty")
-        for key in POSITIVE + tuple(f"services.{i}.deadline_ms" for i in range(len(settings.classes))):
+        for key in POSITIVE_KEYS + tuple(f"services.{i}.deadline_ms" for i in range(len(settings.classes))):
             if key in flat and not number(flat, key) > 0:
                 raise BoundsError(f"{key} must be above 0: {flat[key]}")
         if settings.cold_fraction > 1:
             raise BoundsError(f"obligations.cold_from must not be above 1: {settings.cold_fraction}")
         dial_timeout_ms = number(flat, "limits.dial_timeout_ms", 500.0)
         most_held = whole(flat, "limits.most_held", 20_000)
-    except MalformedError as fault:
-        raise fault.within("settings.") from fault
-    told_first = member(told, "known", Mapping)
+    except MalformedError as error:
+        raise error.with_prefix("settings.") from error
+    known_state = member(document, "known", Mapping)
     notices = [
         notice_of(event, f"known.notices.{i}")
-        for i, event in enumerate(member(told_first, "notices", list, "known"))
+        for i, event in enumerate(member(known_state, "notices", list, "known"))
     ]
     try:
-        seed = int(str(member(told, "seed", (str, int))), 16)
-    except ValueError as fault:
-        raise MalformedError("seed is no hex number") from fault
-    limits = told.get("limits", {})
+        seed = int(str(member(document, "seed", (str, int))), 16)
+    except ValueError as error:
+        raise MalformedError("seed must be a hexadecimal number") from error
+    limits = document.get("limits", {})
     if not isinstance(limits, Mapping):
-        raise MalformedError("limits is no object")
+        raise MalformedError("limits must be an object")
     sockets = limits.get("sockets", 1024)
     if not isinstance(sockets, int) or sockets < 16:
-        raise MalformedError(f"limits.sockets makes no sense: {sockets!r}")
+        raise MalformedError(f"limits.sockets must be an integer of at least 16: {sockets!r}")
     return Config(
-        name=str(told.get("name", "")),
-        listen=address_of(member(told, "listen", str), "listen"),
-        ops=None if told.get("ops") is None else address_of(told["ops"], "ops"),
+        name=str(document.get("name", "")),
+        listen=address_of(member(document, "listen", str), "listen"),
+        ops=None if document.get("ops") is None else address_of(document["ops"], "ops"),
         seed=seed,
         sockets=sockets,
-        board=address_of(member(told, "board", str), "board"),
-        last_event=int(member(told_first, "rev", int, "known")),
+        board=address_of(member(document, "board", str), "board"),
+        last_event=int(member(known_state, "rev", int, "known")),
         notices=tuple(notices),
         settings=settings,
         dial_timeout_ms=dial_timeout_ms,
@@ -387,91 +390,97 @@
     )
 
 
-def turned_on(told: Mapping, path: str, keys: tuple[str, ...]) -> bool:
-    """Whether a part's file turns it on; raises MalformedError for a key that it does not know."""
-    for key in told:
+def turned_on(table: Mapping, path: str, keys: tuple[str, ...]) -> bool:
+    """Whether the settings file of a part enables it; raises MalformedError for an unknown key."""
+    for key in table:
         if key != "enabled" and key not in keys:
             raise UnknownKeyError(f"{path}.{key} is unknown")
-    enabled = told.get("enabled", False)
+    enabled = table.get("enabled", False)
     if not isinstance(enabled, bool):
-        raise MalformedError(f"{path}.enabled is neither true nor false: {enabled!r}")
+        raise MalformedError(f"{path}.enabled must be true or false: {enabled!r}")
     return enabled
 
 
-def figures_of(told: Mapping, path: str, keys: Mapping[str, tuple]) -> dict:
-    """Figures within their bounds; whole where the default is."""
-    figures = {}
-    for key, (default, least, most) in keys.items():
-        value = told.get(key, default)
-        kinds = int if isinstance(default, int) else (int, float)
-        if isinstance(value, bool) or not isinstance(value, kinds) or not least <= value <= most:
-            raise BoundsError(f"{path}.{key} must lie between {least} and {most}: {value!r}")
-        figures[key] = value
-    return figures
+def figures_of(table: Mapping, path: str, bounds: Mapping[str, tuple]) -> dict:
+    """The numbers of a table, checked against key -> (default, minimum, maximum); integers where the default is one."""
+    numbers = {}
+    for key, (default, minimum, maximum) in bounds.items():
+        value = table.get(key, default)
+        types = int if isinstance(default, int) else (int, float)
+        if isinstance(value, bool) or not isinstance(value, types) or not minimum <= value <= maximum:
+            raise BoundsError(f"{path}.{key} must lie between {minimum} and {maximum}: {value!r}")
+        numbers[key] = value
+    return numbers
 
 
-def optional(environ: Mapping[str, str], variable: str, file_name: str) -> dict:
-    """A file that an environment variable names, or the one under deploy/; nothing where there is none."""
+def read_optional_toml(environ: Mapping[str, str], variable: str, file_name: str) -> dict:
+    """The TOML file that an environment variable names, else `file_name` under deploy/; empty if that is missing."""
     path = environ.get(variable)
     if path is None and not os.path.exists(file_name):
         return {}
     try:
         with open(path or file_name, "rb") as file:
             return tomllib.load(file)
-    except (OSError, ValueError) as fault:
-        raise UnreadableError(f"{variable if path else file_name} can't be read: {fault}") from fault
+    except (OSError, ValueError) as error:
+        raise UnreadableError(f"{variable if path else file_name} can't be read: {error}") from error
 
 
 def read_json(path: str, key: str) -> object:
-    """The JSON in a file; the key says where the path came from."""
+    """Reads a JSON file; errors name the key that the path came from."""
     try:
         with open(path, encoding="utf-8") as file:
             return json.load(file)
-    except (OSError, ValueError) as fault:
-        raise UnreadableError(f"{key} can't be read: {fault}") from fault
+    except (OSError, ValueError) as error:
+        raise UnreadableError(f"{key} can't be read: {error}") from error
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """The configuration that the environment names; NODE_NAME, NODE_LISTEN and NODE_OPS fill gaps in the file."""
+    """Loads the file that NODE_CONFIG names; NODE_NAME, NODE_LISTEN and NODE_OPS supply keys that it lacks."""
     path = environ.get("NODE_CONFIG")
     if not path:
         raise MissingError("NODE_CONFIG is missing")
-    told = read_json(path, "NODE_CONFIG")
-    if not isinstance(told, dict):
-        return config_of(told)
-    keys, class_shapes = shape_of(told)
+    document = read_json(path, "NODE_CONFIG")
+    if not isinstance(document, dict):
+        return config_of(document)
+    keys, class_shapes = written_keys(document)
     for key, variable in (("name", "NODE_NAME"), ("listen", "NODE_LISTEN"), ("ops", "NODE_OPS")):
         if variable in environ:
-            told.setdefault(key, environ[variable])
-    return dataclasses.replace(config_of(told), keys=keys, class_shapes=class_shapes)
+            document.setdefault(key, environ[variable])
+    return dataclasses.replace(config_of(document), keys=keys, class_shapes=class_shapes)
 
 
-PER_CLASS = ("settings.services.", "settings.extra.allowed_pools.")  # keys that go with the classes told
+PER_CLASS_PREFIXES = ("settings.services.", "settings.extra.allowed_pools.")  # of keys that exist per class
 
 
-def shape_of(told: Mapping) -> tuple[frozenset[str], tuple[frozenset[str], ...]]:
-    """The keys of a file as written: all but those of events and of classes; and the keys of each class."""
-    flat = flatten({key: value for key, value in told.items() if key != "known"})
-    keys = frozenset(key for key in flat if not key.startswith(PER_CLASS))
-    settings = told.get("settings")
+def written_keys(document: Mapping) -> tuple[frozenset[str], tuple[frozenset[str], ...]]:
+    """The keys written in a file, except those of events and classes; and the keys written for each class."""
+    flat = flatten({key: value for key, value in document.items() if key != "known"})
+    keys = frozenset(key for key in flat if not key.startswith(PER_CLASS_PREFIXES))
+    settings = document.get("settings")
     services = settings.get("services") if isinstance(settings, Mapping) else None
     listed = services if isinstance(services, list) else ()
-    return keys, tuple(frozenset(flatten(one)) if isinstance(one, Mapping) else frozenset() for one in listed)
+    return keys, tuple(
+        frozenset(flatten(service)) if isinstance(service, Mapping) else frozenset() for service in listed
+    )
 
 
 def reload(running: Config, environ: Mapping[str, str] = os.environ) -> Config:
-    """The configuration read anew for a running proxy, which can't change where it listens, nor its name."""
+    """Reloads the configuration for a running proxy, whose addresses and name can't change."""
     conf = load(environ)
     for key in ("name", "listen", "ops"):
         if getattr(conf, key) != getattr(running, key):
             raise FixedError(f"{key} can't change without a restart: {getattr(conf, key)!r}")
-    # Guards against a file cut or garbled on its way: a default would change the running rules unseen.
+    # Prevents a file truncated or damaged in transfer from changing running rules silently, through a default.
     missing = sorted(running.keys - conf.keys)
     if missing:
-        raise MissingError(f"{missing[0]} is missing: a revision holds every key of the running file")
-    held = frozenset.intersection(*running.class_shapes) if running.class_shapes else frozenset()
-    for i, shape in enumerate(conf.class_shapes):
-        lacking = sorted(held - shape)
-        if lacking:
-            raise MissingError(f"settings.services.{i}.{lacking[0]} is missing: every running class holds it")
+        raise MissingError(
+            f"{missing[0]} is missing: a new revision must contain every key of the running file"
+        )
+    common_keys = frozenset.intersection(*running.class_shapes) if running.class_shapes else frozenset()
+    for i, keys in enumerate(conf.class_shapes):
+        missing_keys = sorted(common_keys - keys)
+        if missing_keys:
+            raise MissingError(
+                f"settings.services.{i}.{missing_keys[0]} is missing: every class of the running file has it"
+            )
     return conf
--- a/leadslip/configure.py
+++ b/leadslip/configure.py
@@ -1,11 +1,11 @@
-"""The configuration tool: writes and checks what a proxy beside each application needs.
+"""The configuration tool: writes and checks the configuration files of sidecar proxies.
 
     python -m leadslip.configure write APPLICATIONS.toml FOLDER
     python -m leadslip.configure check FILE ...
 
-An applications file names what the sidecars share and lists an [[application]] for each; `write` makes a JSON
-configuration and, where they are wanted, files for look-ups, export, logs, store and trunks for each. `check` takes
-such files, one or many.
+An applications file holds the settings that the sidecars share and an [[application]] table for each; `write`
+creates a config.json for each and a TOML file for every part that is configured. `check` validates any number of
+such files.
 """
 
 from __future__ import annotations
@@ -25,152 +25,156 @@
 
 
 class UnwritableError(OperatorError):
-    """A configuration can't be written."""
+    """A configuration file can't be written."""
 
     code = "config.unwritable"
-    action = "See that the folder may be written and has room; what was written whole stays."
+    action = "Check that the folder is writable and has free space; files already written are kept."
 
 
-SHARED = ("board", "settings", "limits", "servers", *parts.NAMES)  # a part has a TOML file beside config.json
-OWN = ("name", "listen", *SHARED)
-ENTRY_KEYS = ("uid", "endpoint", "az", "pod_group")
+SHARED_KEYS = ("board", "settings", "limits", "servers", *parts.NAMES)  # a part has a TOML file of its own
+APPLICATION_KEYS = ("name", "listen", *SHARED_KEYS)
+SERVER_KEYS = ("uid", "endpoint", "az", "pod_group")
 
 
 def read_toml(path: str) -> dict:
-    """A TOML file as nested tables."""
+    """Reads a TOML file as nested tables."""
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
-    except (OSError, ValueError) as fault:
-        raise UnreadableError(f"can't be read: {fault}") from fault
+    except (OSError, ValueError) as error:
+        raise UnreadableError(f"can't be read: {error}") from error
 
 
-def notices_of(servers: object) -> dict:
-    """The servers of an application, as the notice board would have told them at its start."""
+def known_state_of(servers: object) -> dict:
+    """The servers of an application, in the form of a snapshot from the notice board."""
     if not isinstance(servers, list):
-        raise MalformedError("servers is no list")
+        raise MalformedError("servers must be a list")
     targets = []
     for i, server in enumerate(servers):
         if not isinstance(server, Mapping):
-            raise MalformedError(f"servers.{i} is no table")
+            raise MalformedError(f"servers.{i} must be a table")
         for key in server:
-            if key not in ENTRY_KEYS:
+            if key not in SERVER_KEYS:
                 raise UnknownKeyError(f"servers.{i}.{key} is unknown")
         targets.append({"pod_group": i, "az": "", "state": "active", "boot_ms": 0} | dict(server))
     return {"rev": 1, "notices": [{"rev": 1, "pool": {"rev": 1, "all": True, "targets": targets}}]}
 
 
-def applications_of(told: Mapping) -> dict[str, dict]:
-    """The full configuration of each application, checked; the shared part fills its gaps."""
-    for key in told:
-        if key not in (*SHARED, "application"):
+def applications_of(document: Mapping) -> dict[str, dict]:
+    """The complete, validated configuration of each application; shared settings supply keys that it lacks."""
+    for key in document:
+        if key not in (*SHARED_KEYS, "application"):
             raise UnknownKeyError(f"{key} is unknown")
-    listed = told.get("application")
+    listed = document.get("application")
     if not isinstance(listed, list) or not listed:
         raise MissingError("application is missing")
-    done: dict[str, dict] = {}
-    taken: dict[str, str] = {}
-    for i, own in enumerate(listed):
-        at = f"application.{i}"
-        for key in own:
-            if key not in OWN:
-                raise UnknownKeyError(f"{at}.{key} is unknown")
-        name = str(config.member(own, "name", str, at))
-        if not name or name != Path(name).name or name in done:
-            raise TakenError(f"{at}.name is empty, no file name or used twice: {name!r}")
-        merged = {key: value for key, value in told.items() if key != "application"} | own
-        full = {
+    applications: dict[str, dict] = {}
+    owners: dict[str, str] = {}  # address or path -> name of the application that uses it
+    for i, table in enumerate(listed):
+        path = f"application.{i}"
+        for key in table:
+            if key not in APPLICATION_KEYS:
+                raise UnknownKeyError(f"{path}.{key} is unknown")
+        name = str(config.member(table, "name", str, path))
+        if not name or name != Path(name).name or name in applications:
+            raise TakenError(f"{path}.name must be a file name that no other application has: {name!r}")
+        merged = {key: value for key, value in document.items() if key != "application"} | table
+        config_table = {
             key: merged[key] for key in ("name", "listen", "board", "limits", "settings") if key in merged
         }
-        full["seed"] = secrets.token_hex(8)
+        config_table["seed"] = secrets.token_hex(8)
         try:
-            full["known"] = notices_of(merged.get("servers", []))
-            conf = config.config_of(full)
-            around = parts.Around(tuple(kind.name for kind in conf.settings.classes))
+            config_table["known"] = known_state_of(merged.get("servers", []))
+            conf = config.config_of(config_table)
+            around = parts.Around(tuple(call_class.name for call_class in conf.settings.classes))
             for part in parts.NAMES:
                 around.settings[part] = parts.kind(part).settings(merged.get(part, {}), around)
-        except MalformedError as fault:
-            raise fault.within(f"{at} ({name}): ") from fault
-        held = [("listen", conf.listen)]
-        for part, told_of in around.settings.items():
-            held += parts.kind(part).taken(told_of) if told_of is not None else ()
-        for key, where in held:
-            if where in taken:
-                shown = "{}:{}".format(*where) if isinstance(where, tuple) else where
-                raise TakenError(f"{at}.{key} is taken by {taken[where]}: {shown}")
-            taken[where] = name
-        done[name] = {"config": full} | {part: merged.get(part) for part in parts.NAMES}
-    return done
+        except MalformedError as error:
+            raise error.with_prefix(f"{path} ({name}): ") from error
+        exclusive = [("listen", conf.listen)]
+        for part, part_settings in around.settings.items():
+            exclusive += parts.kind(part).taken(part_settings) if part_settings is not None else ()
+        for key, value in exclusive:
+            if value in owners:
+                value_text = "{}:{}".format(*value) if isinstance(value, tuple) else value
+                raise TakenError(f"{path}.{key} is taken by {owners[value]}: {value_text}")
+            owners[value] = name
+        applications[name] = {"config": config_table} | {part: merged.get(part) for part in parts.NAMES}
+    return applications
 
 
 def toml_of(table: Mapping, path: str = "") -> str:
-    """A table as TOML; JSON's strings, numbers, booleans and lists of them are TOML's as well."""
-    plain, below = [], []
+    """Formats a table as TOML; JSON strings, numbers, booleans and lists of them are valid TOML."""
+    lines, subtables = [], []
     for key, value in table.items():
         name = f"{path}{key}"
         if isinstance(value, Mapping):
-            below.append(f"[{name}]\n{toml_of(value, f'{name}.')}")
-        elif isinstance(value, list) and value and all(isinstance(one, Mapping) for one in value):
-            below += [f"[[{name}]]\n{toml_of(one, f'{name}.')}" for one in value]
+            subtables.append(f"[{name}]\n{toml_of(value, f'{name}.')}")
+        elif isinstance(value, list) and value and all(isinstance(item, Mapping) for item in value):
+            subtables += [f"[[{name}]]\n{toml_of(item, f'{name}.')}" for item in value]
         else:
-            plain.append(f"{key} = {json.dumps(value)}\n")
-    return "".join(plain + below)
+            lines.append(f"{key} = {json.dumps(value)}\n")
+    return "".join(lines + subtables)
 
 
 def write(source: str, folder: str) -> list[Path]:
-    """Write the files of all applications, after all have been checked; tells which."""
+    """Writes the files of all applications once all are valid; returns their paths."""
     written = []
-    for name, own in applications_of(read_toml(source)).items():
-        place = Path(folder) / name
-        place.mkdir(parents=True, exist_ok=True)
-        files = {"config.json": json.dumps(own["config"], indent=1) + "\n"}
-        files |= {f"{kind}.toml": toml_of(own[kind]) for kind in parts.NAMES if own[kind]}
+    for name, application in applications_of(read_toml(source)).items():
+        application_folder = Path(folder) / name
+        application_folder.mkdir(parents=True, exist_ok=True)
+        files = {"config.json": json.dumps(application["config"], indent=1) + "\n"}
+        files |= {f"{part}.toml": toml_of(application[part]) for part in parts.NAMES if application[part]}
         for file, text in files.items():
-            draft = place / f".{file}.new"
-            draft.write_text(text, encoding="utf-8")
-            os.replace(draft, place / file)  # whole or not at all
-            written.append(place / file)
+            temporary = application_folder / f".{file}.new"
+            temporary.write_text(text, encoding="utf-8")
+            os.replace(temporary, application_folder / file)  # atomic
+            written.append(application_folder / file)
     return written
 
 
 def check(path: str) -> None:
-    """Check one file, of the kind that its name tells."""
+    """Validates one file; its name says what it holds. Raises MalformedError."""
     name = Path(path).name
     if name.endswith(".json"):
         config.config_of(config.read_json(path, "file"))
     elif name.endswith(".toml") and name[:-5] in parts.NAMES:
-        around = parts.Around(settings=dict.fromkeys(parts.NAMES, True))  # what else is on is not known here
+        around = parts.Around(
+            settings=dict.fromkeys(parts.NAMES, True)
+        )  # which other parts are on is unknown here
         parts.kind(name[:-5]).settings(read_toml(path), around)
     else:
         applications_of(read_toml(path))
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """0 when all is well, 2 when a file makes no sense."""
+    """Runs the tool; returns 0, or 2 if a file is invalid or can't be written."""
     parser = argparse.ArgumentParser(prog="leadslip.configure", description="Write and check configurations.")
-    verbs = parser.add_subparsers(dest="verb", required=True)
-    writing = verbs.add_parser("write", help="write the files of each application")
-    writing.add_argument("source")
-    writing.add_argument("folder")
-    checking = verbs.add_parser("check", help="check files: config.json, enum.toml, otlp.toml, applications")
-    checking.add_argument("files", nargs="+")
-    told = parser.parse_args(arguments)
-    wrong = 0
-    for path in [told.source] if told.verb == "write" else told.files:
+    commands = parser.add_subparsers(dest="verb", required=True)
+    write_parser = commands.add_parser("write", help="write the files of each application")
+    write_parser.add_argument("source")
+    write_parser.add_argument("folder")
+    check_parser = commands.add_parser(
+        "check", help="check files: config.json, enum.toml, otlp.toml, applications"
+    )
+    check_parser.add_argument("files", nargs="+")
+    options = parser.parse_args(arguments)
+    exit_code = 0
+    for path in [options.source] if options.verb == "write" else options.files:
         try:
-            if told.verb == "write":
-                for file in write(path, told.folder):
+            if options.verb == "write":
+                for file in write(path, options.folder):
                     print(f"wrote {file}")
             else:
                 check(path)
-                print(f"{path}: fine")
-        except OperatorError as fault:
-            print(f"{path}: {fault.line()}", file=sys.stderr)
-            wrong = 2
-        except OSError as fault:
-            print(f"{path}: {UnwritableError(str(fault)).line()}", file=sys.stderr)
-            wrong = 2
-    return wrong
+                print(f"{path}: valid")
+        except OperatorError as error:
+            print(f"{path}: {error.line()}", file=sys.stderr)
+            exit_code = 2
+        except OSError as error:
+            print(f"{path}: {UnwritableError(str(error)).line()}", file=sys.stderr)
+            exit_code = 2
+    return exit_code
 
 
 if __name__ == "__main__":
--- a/leadslip/errors.py
+++ b/leadslip/errors.py
@@ -1,8 +1,8 @@
-"""Errors that a person can meet: each of a type of its own, with a stable code and what an operator can do.
+"""The base of errors reported to operators: each type has a stable code and an action to take.
 
-The text of an error tells what happened, its `code` never changes, and its `action` says what to do. The log, the
-operators' address and the command line show all three; docs/operators/errors.md is made from them. Messages of peers
-that are refused and counted are no errors of this kind: nobody is told of one of them.
+The text of an error says what happened, its `code` never changes, and its `action` says what to do. The log, the
+operators' address and the command line show all three; docs/operators/errors.md is generated from the types. Messages
+of peers that are refused and counted are not errors of this kind, as they are not reported one by one.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class OperatorError(Exception):
-    """What every such error has; `status` is the one at the operators' address."""
+    """An error reported to operators; `status` is its HTTP status at the operators' address."""
 
     code: ClassVar[str]
     action: ClassVar[str]
@@ -20,24 +20,24 @@
 
     @classmethod
     def title(cls) -> str:
-        """What an error of this type means, in one line."""
+        """The meaning of this type of error in one line: the first line of its docstring."""
         return (cls.__doc__ or "").strip().split("\n")[0].rstrip(".")
 
     def fields(self) -> dict[str, str]:
-        """What a log's line bears of it."""
+        """The fields of a log event for this error."""
         return {"fault": str(self), "code": self.code, "action": self.action}
 
     def line(self) -> str:
-        """All of it for a person."""
+        """The text, code and action in one line, for the command line."""
         return f"{self} ({self.code}): {self.action}"
 
 
 def all_errors() -> Iterator[type[OperatorError]]:
-    """Every type that has been imported, each before those made of it."""
+    """Every imported subclass of OperatorError, each before its own subclasses."""
 
-    def below(kind: type[OperatorError]) -> Iterator[type[OperatorError]]:
-        for one in kind.__subclasses__():
-            yield one
-            yield from below(one)
+    def subclasses(error_class: type[OperatorError]) -> Iterator[type[OperatorError]]:
+        for subclass in error_class.__subclasses__():
+            yield subclass
+            yield from subclasses(subclass)
 
-    return below(OperatorError)
+    return subclasses(OperatorError)
--- a/leadslip/logs.py
+++ b/leadslip/logs.py
@@ -1,8 +1,8 @@
-"""Logs: events with a name and fields, one line each.
+"""Logging: events with a name and fields, one line each.
 
-Without settings the lines are plain (`1764576000.123 serves address=127.0.0.1:5060`) and cost no library. Where
-deploy/logs.toml asks for `console` or `json` they are made by structlog, which is imported only then: it takes
-some MB of the memory that the platform counts.
+By default the lines are plain (`1764576000.123 serves address=127.0.0.1:5060`) and need no library. Where
+deploy/logs.toml sets `console` or `json`, structlog formats them; it is imported only then, since it takes several MB
+of the memory that the platform accounts to the process.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 
 class Log(Protocol):
-    """Writes one event. A field `level` other than info says how grave it is."""
+    """Writes one event; the field `level` is its severity, info by default."""
 
     def __call__(self, event: str, **fields: object) -> None: ...
 
 
 def silent(event: str, **fields: object) -> None:
-    """Writes nothing."""
+    """A log that discards every event."""
 
 
 def plain_field(value: object) -> str:
-    """A value that reads back as one word: quoted where it holds a space, a quote or a line's end."""
+    """Formats a value as one token: quoted where it is empty or holds a space, a quote, `=` or a line break."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
@@ -36,21 +36,21 @@
 
 
 class Plain:
-    """Lines of time, event and key=value."""
+    """Writes lines of time, event and key=value fields."""
 
     def __init__(self, level: str = "info", stream: TextIO | None = None) -> None:
-        self.least, self.stream = LEVELS[level], stream
+        self.min_level, self.stream = LEVELS[level], stream
 
     def __call__(self, event: str, level: str = "info", **fields: object) -> None:
-        if LEVELS[level] >= self.least:
-            told = "".join(f" {key}={plain_field(value)}" for key, value in fields.items())
-            # Guards against a log that nobody reads any more ending what logs: a drain, a report, a reload.
+        if LEVELS[level] >= self.min_level:
+            fields_text = "".join(f" {key}={plain_field(value)}" for key, value in fields.items())
+            # Prevents a log whose reader is gone from aborting the operation that logs: a drain, a report, a reload.
             with suppress(OSError):
-                print(f"{time.time():.3f} {event}{told}", file=self.stream or sys.stdout, flush=True)
+                print(f"{time.time():.3f} {event}{fields_text}", file=self.stream or sys.stdout, flush=True)
 
 
 class Structured:
-    """Lines by structlog: for a person at a terminal, or JSON for a collector."""
+    """Writes lines by structlog: for a terminal, or JSON for a log collector."""
 
     def __init__(
         self, format_: str, level: str = "info", stream: TextIO | None = None, bound: Mapping | None = None
@@ -60,8 +60,8 @@
         if format_ == "json":
             renderer = structlog.processors.JSONRenderer(default=str)
         else:
-            out = stream or sys.stdout
-            renderer = structlog.dev.ConsoleRenderer(colors=out.isatty())
+            output = stream or sys.stdout
+            renderer = structlog.dev.ConsoleRenderer(colors=output.isatty())
         self.log = structlog.wrap_logger(
             structlog.PrintLogger(stream or sys.stdout),
             processors=[
@@ -79,7 +79,7 @@
 
 
 def open_log(format_: str = "plain", level: str = "info", name: str = "") -> Log:
-    """The log that the configuration asks for."""
+    """The log of the configured format and level; `name` is a field of each structured event."""
     if format_ == "plain":
         return Plain(level)
     return Structured(format_, level, bound={"proxy": name} if name else None)
--- a/leadslip/net/enum.py
+++ b/leadslip/net/enum.py
@@ -1,7 +1,7 @@
-"""ENUM look-ups over DNS (RFC 6116): a front that answers NAPTR queries, and the resolvers it asks.
+"""ENUM look-ups over DNS (RFC 6116): the downstream server for NAPTR queries, and the upstream resolvers.
 
-A query is a request of the engine, an exchange with a resolver is an attempt, and an answer is an outcome.
-A reply passes on as it was read, under the asker's id; only the codec of twisted.names reads it.
+A query is a request of the engine, an exchange with a resolver is an attempt, and a reply is an outcome. A reply is
+forwarded as received, with the id of the client's query; only the codec of twisted.names parses messages.
 """
 
 from __future__ import annotations
@@ -23,12 +23,13 @@
 from leadslip.parts.enum.settings import EnumConfig
 
 HEADER = struct.Struct("!HBBHHHH")
-RESPONSE, AUTHORITATIVE, TRUNCATED, RECURSION_WANTED = 0x80, 0x04, 0x02, 0x01  # in the third byte
-RECURSION_TO_BE_HAD = 0x80  # in the fourth
-OPT = 41  # the record by which an asker tells how long a datagram may be
-LEAST_DATAGRAM, MOST_DATAGRAM = 512, 4096
-DIGITS = re.compile(r"(?:[0-9]\.){1,15}")
-UNREADABLE = (
+# Bits of the header's third byte: QR, AA, TC and RD.
+RESPONSE, AUTHORITATIVE, TRUNCATED, RECURSION_DESIRED = 0x80, 0x04, 0x02, 0x01
+RECURSION_AVAILABLE = 0x80  # RA, in the header's fourth byte
+OPT = 41  # type of the EDNS record, in which a client states the longest datagram that it accepts
+MIN_DATAGRAM, MAX_DATAGRAM = 512, 4096  # bytes
+DIGIT_LABELS = re.compile(r"(?:[0-9]\.){1,15}")
+DECODE_ERRORS = (
     EOFError,
     ValueError,
     KeyError,
@@ -38,31 +39,31 @@
     OverflowError,
     struct.error,
 )
-OUTCOMES = {dns.ESERVER: face.Outcome.ERROR, dns.EREFUSED: face.Outcome.FULL}
-Say = Callable[[bytes], None]
-PORTS_DRAWN = 16  # where the system chooses the port, before it is given up
+OUTCOME_BY_RCODE = {dns.ESERVER: face.Outcome.ERROR, dns.EREFUSED: face.Outcome.FULL}
+SendReply = Callable[[bytes], None]
+MAX_PORT_ATTEMPTS = 16  # where the operating system chooses the port
 
 
-def read(data: bytes) -> dns.Message:
-    """A message by the codec, whose many errors become one."""
+def parse_message(data: bytes) -> dns.Message:
+    """Parses a DNS message; raises MessageError for each of the codec's many errors."""
     message = dns.Message()
     try:
         message.fromStr(data)
-    except UNREADABLE as fault:
-        raise MessageError("dns") from fault
+    except DECODE_ERRORS as decode_error:
+        raise MessageError("dns") from decode_error
     return message
 
 
 def number_of(name: str, suffix: str) -> str | None:
-    """The E.164 number that a name stands for: its digits reversed, dotted, under the suffix."""
+    """The E.164 number that a domain name encodes: its digits reversed, dotted, under the suffix."""
     lower, end = name.lower(), f".{suffix}"
-    if not lower.endswith(end) or not DIGITS.fullmatch(lower[: -len(end)] + "."):
+    if not lower.endswith(end) or not DIGIT_LABELS.fullmatch(lower[: -len(end)] + "."):
         return None
     return "+" + lower[: -len(end)].replace(".", "")[::-1]
 
 
-def named(answers: list, name: bytes) -> bool:
-    """Whether all NAPTR records are of the name asked for, or of one that its aliases lead to."""
+def owners_match(answers: list, name: bytes) -> bool:
+    """Whether every NAPTR record is owned by the name queried or by one that its CNAME records lead to."""
     names = {name.lower()}
     for record in answers:
         if record.type == dns.CNAME and record.name.name.lower() in names:
@@ -70,124 +71,130 @@
     return all(record.name.name.lower() in names for record in answers if record.type == dns.NAPTR)
 
 
-class Asked:
-    """What is kept of a query until its one answer."""
+class ClientQuery:
+    """What is kept of a client's query until its one reply is sent."""
 
-    __slots__ = ("say", "key", "id", "third", "question", "most", "name")
+    __slots__ = ("send_reply", "key", "id", "header_flags", "question", "max_size", "name")
 
-    def __init__(self, say: Say, key: object, data: bytes, message: dns.Message, most: int) -> None:
-        self.say, self.key, self.most = say, key, most
-        self.id, self.third = data[:2], data[2]
+    def __init__(
+        self, send_reply: SendReply, key: object, data: bytes, message: dns.Message, max_size: int
+    ) -> None:
+        self.send_reply, self.key, self.max_size = send_reply, key, max_size
+        self.id, self.header_flags = data[:2], data[2]
         self.name = message.queries[0].name.name
-        asked = dns.Message()
-        asked.queries = message.queries[:1]
-        self.question = asked.toStr()[HEADER.size :]
+        question_message = dns.Message()
+        question_message.queries = message.queries[:1]
+        self.question = question_message.toStr()[HEADER.size :]
 
-    def answer(self, rcode: int, flags: int = 0) -> bytes:
-        """An answer without records."""
-        third = RESPONSE | (self.third & (0x78 | RECURSION_WANTED)) | flags
-        return self.id + bytes((third, RECURSION_TO_BE_HAD | rcode)) + b"\0\1\0\0\0\0\0\0" + self.question
+    def empty_reply(self, rcode: int, extra_flags: int = 0) -> bytes:
+        """A reply without records, with the extra header flags set."""
+        reply_flags = RESPONSE | (self.header_flags & (0x78 | RECURSION_DESIRED)) | extra_flags
+        return (
+            self.id + bytes((reply_flags, RECURSION_AVAILABLE | rcode)) + b"\0\1\0\0\0\0\0\0" + self.question
+        )
 
 
 class EnumFront(protocol.DatagramProtocol):
-    """Takes queries over UDP, and over TCP by its links; every one gets exactly one answer."""
+    """Receives queries over UDP, and over TCP through its connections; sends exactly one reply to each."""
 
-    engine: Engine  # set once both are made
+    engine: Engine  # set once both exist
 
     def __init__(self, conf: EnumConfig, tally: Tally, deadlines: Deadlines) -> None:
         self.conf, self.tally, self.deadlines = conf, tally, deadlines
         self.count = 0
-        self.open: dict[object, Request] = {}
+        self.open_requests: dict[object, Request] = {}
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:
-        def say(answer: bytes) -> None:
+        def send_reply(reply: bytes) -> None:
             if self.transport is not None:
-                self.transport.write(answer, addr)
+                self.transport.write(reply, addr)
 
         try:
-            self.take(data, say, addr, None)
+            self.handle_query(data, send_reply, addr, None)
         except MessageError:
             self.tally.add("enum.malformed")
             if len(data) >= HEADER.size and not data[2] & RESPONSE:
-                # A query whose header alone can be read: told so, else its asker would wait in vain.
-                third = RESPONSE | (data[2] & 0x78)
-                say(data[:2] + bytes((third, dns.EFORMAT)) + b"\0" * 8)
-
-    def take(self, data: bytes, say: Say, asker: object, most: int | None) -> Request | None:
-        """One query: refused at once if it is no ENUM look-up, else a request of the engine."""
-        message = read(data)
+                # Only the header of the query can be read: without a reply its client would wait for its time-out.
+                reply_flags = RESPONSE | (data[2] & 0x78)
+                send_reply(data[:2] + bytes((reply_flags, dns.EFORMAT)) + b"\0" * 8)
+
+    def handle_query(
+        self, data: bytes, send_reply: SendReply, client: object, max_size: int | None
+    ) -> Request | None:
+        """Refuses a query at once if it is no ENUM look-up, else offers it to the engine as a request."""
+        message = parse_message(data)
         if message.answer:
-            raise MessageError("an answer where a query was due")
+            raise MessageError("a response where a query was expected")
         if len(message.queries) != 1:
             raise MessageError("questions")
         query = message.queries[0]
-        if most is None:
-            told = [record.cls for record in message.additional if record.type == OPT]
-            most = min(max([LEAST_DATAGRAM, *told]), MOST_DATAGRAM)
-        key = (asker, message.id, query.name.name.lower(), query.type)
-        asked = Asked(say, key, data, message, most)
+        if max_size is None:
+            sizes = [record.cls for record in message.additional if record.type == OPT]
+            max_size = min(max([MIN_DATAGRAM, *sizes]), MAX_DATAGRAM)
+        key = (client, message.id, query.name.name.lower(), query.type)
+        client_query = ClientQuery(send_reply, key, data, message, max_size)
         number = number_of(query.name.name.decode("ascii", "replace"), self.conf.suffix)
         if message.opCode != dns.OP_QUERY:
-            say(asked.answer(dns.ENOTIMP))
+            send_reply(client_query.empty_reply(dns.ENOTIMP))
         elif number is None or query.cls != dns.IN or query.type != dns.NAPTR:
             self.tally.add("enum.not_served")
-            say(asked.answer(dns.EREFUSED))
-        elif key not in self.open:  # else the same query sent again: it has its answer to come
+            send_reply(client_query.empty_reply(dns.EREFUSED))
+        elif key not in self.open_requests:  # else a retransmission: the reply to the first answers it
             self.count += 1
             valid_until_ms = self.deadlines.clock.now_ms() + self.conf.answer_within_ms
             request = Request(f"{self.count:016x}", "enum", valid_until_ms, self)
-            request.number, request.context = number, asked
+            request.number, request.context = number, client_query
             request.destination = self.count % len(self.conf.resolvers)
-            self.open[key] = request
+            self.open_requests[key] = request
             self.engine.offer(request)
             return request
         return None
 
     def catch_up(self, request: Request) -> None:
-        """Over UDP nobody tells that he leaves."""
-        asker = request.context.key[0]
-        if isinstance(asker, EnumLink):
-            asker.catch_up()
-
-    def gone(self, request: Request) -> None:
-        """The asker has left."""
-        self.open.pop(request.context.key, None)
+        """Reads what already waits on the client's connection; over UDP a client never reports that it leaves."""
+        client = request.context.key[0]
+        if isinstance(client, EnumLink):
+            client.catch_up()
+
+    def client_left(self, request: Request) -> None:
+        """Cancels the request of a client that has disconnected."""
+        self.open_requests.pop(request.context.key, None)
         self.engine.cancel(request)
 
-    # What the engine says.
+    # Callbacks of the engine.
 
     def stands(self, request: Request, payload: object) -> None:
-        asked: Asked = request.context
-        if len(payload) > asked.most:
-            self._answer(request, asked.answer(dns.OK, TRUNCATED))
+        client_query: ClientQuery = request.context
+        if len(payload) > client_query.max_size:
+            self._reply(request, client_query.empty_reply(dns.OK, TRUNCATED))
             return
-        third = RESPONSE | (payload[2] & AUTHORITATIVE) | (asked.third & RECURSION_WANTED)
-        fourth = RECURSION_TO_BE_HAD | (payload[3] & 0x0F)
-        self._answer(request, b"".join((asked.id, bytes((third, fourth)), payload[4:])))
+        third_byte = RESPONSE | (payload[2] & AUTHORITATIVE) | (client_query.header_flags & RECURSION_DESIRED)
+        fourth_byte = RECURSION_AVAILABLE | (payload[3] & 0x0F)
+        self._reply(request, b"".join((client_query.id, bytes((third_byte, fourth_byte)), payload[4:])))
 
     def refused(self, request: Request, pause_ms: float) -> None:
-        self._answer(request, request.context.answer(dns.EREFUSED))
+        self._reply(request, request.context.empty_reply(dns.EREFUSED))
 
     def failed(self, request: Request) -> None:
-        self._answer(request, request.context.answer(dns.ESERVER))
+        self._reply(request, request.context.empty_reply(dns.ESERVER))
 
     def over(self, request: Request, cut: bool) -> None:
-        """A look-up that was answered holds nothing."""
+        """Nothing to release: an answered look-up holds no resources."""
 
-    def _answer(self, request: Request, answer: bytes) -> None:
-        self.open.pop(request.context.key, None)
-        request.context.say(answer)
+    def _reply(self, request: Request, reply: bytes) -> None:
+        self.open_requests.pop(request.context.key, None)
+        request.context.send_reply(reply)
 
 
 class EnumLink(AcceptedLink, SliceReceiver):
-    """One connection from an asker."""
+    """One TCP connection of a client."""
 
     peer_kind = "enum_askers"
 
-    def __init__(self, links: EnumLinks) -> None:
-        self.links, self.front, self.tally = links, links.front, links.front.tally
-        self.now_ms = links.front.deadlines.clock.now_ms
-        self.accepted = links.accepted
+    def __init__(self, factory: EnumLinks) -> None:
+        self.factory, self.front, self.tally = factory, factory.front, factory.front.tally
+        self.now_ms = factory.front.deadlines.clock.now_ms
+        self.accepted = factory.accepted
         self.requests: dict[str, Request] = {}
 
     def busy(self) -> bool:
@@ -195,90 +202,90 @@
 
     def left(self) -> None:
         for request in self.requests.values():
-            self.front.gone(request)
+            self.front.client_left(request)
 
     def malformed(self, fault: MessageError) -> None:
         super().malformed(fault)
         self.accepted.remove(self)
 
     def stringReceived(self, view: memoryview) -> None:
-        answered: list[str] = []
+        replies: list[str] = []
 
-        def say(answer: bytes) -> None:
-            answered.append("")
+        def send_reply(reply: bytes) -> None:
+            replies.append("")
             if self in self.accepted.held:
-                self.say(struct.pack("!H", len(answer)), answer)
+                self.say(struct.pack("!H", len(reply)), reply)
             if request is not None:
                 self.requests.pop(request.id, None)
 
         self.heard()
         request: Request | None = None
-        request = self.front.take(bytes(view), say, self, 0xFFFF)  # the codec wants bytes
-        if request is not None and not answered:
+        request = self.front.handle_query(bytes(view), send_reply, self, 0xFFFF)  # the codec requires bytes
+        if request is not None and not replies:
             self.requests[request.id] = request
 
 
 class EnumLinks(protocol.Factory):
-    """Makes the connections from askers, so many at the most."""
+    """Accepts the TCP connections of clients, up to a limit."""
 
     noisy = False
 
-    def __init__(self, front: EnumFront, most: int) -> None:
+    def __init__(self, front: EnumFront, max_connections: int) -> None:
         self.front = front
-        self.accepted = AcceptedLinks(front.tally, "enum_askers", most, front.deadlines)
+        self.accepted = AcceptedLinks(front.tally, "enum_askers", max_connections, front.deadlines)
 
     def buildProtocol(self, addr: object) -> EnumLink | None:
         return EnumLink(self) if self.accepted.room() else None
 
 
-class ResolverLink(SliceReceiver):
-    """A connection to a resolver, for the exchanges whose datagram came back truncated."""
+class ResolverConnection(SliceReceiver):
+    """A TCP connection to a resolver, for the exchanges whose datagram came back truncated."""
 
     peer_kind = "enum_resolvers"
 
     def __init__(self, resolver: Resolver) -> None:
-        self.resolver, self.tally = resolver, resolver.far.tally
-        self.now_ms = resolver.far.deadlines.clock.now_ms
+        self.resolver, self.tally = resolver, resolver.upstream.tally
+        self.now_ms = resolver.upstream.deadlines.clock.now_ms
 
     def connectionMade(self) -> None:
         super().connectionMade()
         self.resolver.connected(self)
 
     def connectionLost(self, reason: object = None) -> None:
-        self.resolver.lost(self)
+        self.resolver.connection_lost(self)
 
     def stringReceived(self, view: memoryview) -> None:
-        self.resolver.replied(bytes(view), over_tcp=True)
+        self.resolver.reply_received(bytes(view), over_tcp=True)
 
 
-class ResolverLinks(protocol.ClientFactory):
-    """Makes the connections to one resolver."""
+class ResolverConnectionFactory(protocol.ClientFactory):
+    """Makes the TCP connections to one resolver."""
 
     noisy = False
 
     def __init__(self, resolver: Resolver) -> None:
         self.resolver = resolver
 
-    def buildProtocol(self, addr: object) -> ResolverLink:
-        return ResolverLink(self.resolver)
+    def buildProtocol(self, addr: object) -> ResolverConnection:
+        return ResolverConnection(self.resolver)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        self.resolver.dial_failed(reason.check(error.ConnectionRefusedError) is not None)
+        self.resolver.connect_failed(reason.check(error.ConnectionRefusedError) is not None)
 
 
 class Resolver(protocol.DatagramProtocol):
-    """One resolver: its datagram socket, which the kernel ties to its address, and its connection."""
+    """One resolver: a UDP socket connected to its address, and its TCP connection when one is needed."""
 
     noisy = False
 
-    def __init__(self, far: Resolvers, name: str, address: Address) -> None:
-        self.far, self.name, self.address = far, name, address
+    def __init__(self, upstream: Resolvers, name: str, address: Address) -> None:
+        self.upstream, self.name, self.address = upstream, name, address
         self.pending: dict[int, Attempt] = {}
-        self.ids: dict[str, int] = {}  # request -> id of its exchange
-        self.over_tcp: dict[int, bytes] = {}  # exchanges that go on over TCP, and their queries
-        self.link: ResolverLink | None = None
-        self.dialling = False
-        self.links = ResolverLinks(self)
+        self.ids: dict[str, int] = {}  # request id -> message id of its exchange
+        self.tcp_queries: dict[int, bytes] = {}  # message id -> query, for exchanges that continue over TCP
+        self.connection: ResolverConnection | None = None
+        self.connecting = False
+        self.connection_factory = ResolverConnectionFactory(self)
 
     def startProtocol(self) -> None:
         self.transport.connect(*self.address)
@@ -286,7 +293,7 @@
     def send(self, attempt: Attempt) -> face.Outcome | None:
         if self.transport is None:
             return face.Outcome.NO_CONNECTION
-        id_ = secrets.randbelow(0x10000)  # unforeseeable, so that a stranger can't answer
+        id_ = secrets.randbelow(0x10000)  # unpredictable, so that no third party can spoof a reply
         while id_ in self.pending:
             id_ = secrets.randbelow(0x10000)
         self.pending[id_] = attempt
@@ -295,109 +302,117 @@
         return None
 
     def _query(self, id_: int) -> bytes:
-        return HEADER.pack(id_, RECURSION_WANTED, 0, 1, 0, 0, 0) + self.pending[id_].request.context.question
+        return HEADER.pack(id_, RECURSION_DESIRED, 0, 1, 0, 0, 0) + self.pending[id_].request.context.question
 
-    def drop(self, attempt: Attempt) -> None:
-        """The engine has ended an exchange: a late reply finds nothing."""
+    def abandon(self, attempt: Attempt) -> None:
+        """Removes an exchange that has ended; a later reply to it counts as unsolicited."""
         id_ = self.ids.pop(attempt.request.id, None)
         self.pending.pop(id_, None)
-        self.over_tcp.pop(id_, None)
-        self._tidy()
+        self.tcp_queries.pop(id_, None)
+        self._check_connection()
 
     def end(self, id_: int, outcome: face.Outcome) -> None:
         attempt = self.pending.get(id_)
         if attempt is not None:
-            self.drop(attempt)
-            self.far.engine.ended(attempt, outcome)
+            self.abandon(attempt)
+            self.upstream.engine.ended(attempt, outcome)
 
-    # Datagrams.
+    # UDP.
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:
         try:
-            self.replied(data, over_tcp=False)
+            self.reply_received(data, over_tcp=False)
         except MessageError:
-            # A stranger could have sent it: the exchange goes on, and its deadline holds.
-            self.far.tally.add("enum_resolvers.malformed")
+            # A third party may have sent it: the exchange stays open until its own deadline.
+            self.upstream.tally.add("enum_resolvers.malformed")
 
     def connectionRefused(self) -> None:
-        """Nothing listens there: what is out never ran."""
-        for id_ in [id_ for id_ in self.pending if id_ not in self.over_tcp]:
+        """No process listens there: no pending UDP query has been worked on."""
+        for id_ in [id_ for id_ in self.pending if id_ not in self.tcp_queries]:
             self.end(id_, face.Outcome.NO_CONNECTION)
 
-    def replied(self, data: bytes, over_tcp: bool) -> None:
-        """One reply; only one that answers the very question of an open exchange counts."""
-        message = read(data)
+    def reply_received(self, data: bytes, over_tcp: bool) -> None:
+        """Handles a reply; it counts only if it repeats the question of a pending exchange."""
+        message = parse_message(data)
         attempt = self.pending.get(message.id)
-        if attempt is None or not message.answer or over_tcp is not (message.id in self.over_tcp):
-            self.far.tally.add("enum_resolvers.unsolicited")
+        if attempt is None or not message.answer or over_tcp is not (message.id in self.tcp_queries):
+            self.upstream.tally.add("enum_resolvers.unsolicited")
             return
-        asked: Asked = attempt.request.context
+        client_query: ClientQuery = attempt.request.context
         query = message.queries[0] if len(message.queries) == 1 else None
-        same = query is not None and query.name.name.lower() == asked.name.lower()
-        if not same or query.type != dns.NAPTR or query.cls != dns.IN:
-            self.far.tally.add("enum_resolvers.mismatched")
+        same_name = query is not None and query.name.name.lower() == client_query.name.lower()
+        if not same_name or query.type != dns.NAPTR or query.cls != dns.IN:
+            self.upstream.tally.add("enum_resolvers.mismatched")
         elif message.trunc and not over_tcp:
-            self.over_tcp[message.id] = self._query(message.id)
-            self._ask_over_tcp(message.id)
+            self.tcp_queries[message.id] = self._query(message.id)
+            self._query_over_tcp(message.id)
         elif (
-            message.rCode in (dns.OK, dns.ENAME) and not message.trunc and named(message.answers, asked.name)
+            message.rCode in (dns.OK, dns.ENAME)
+            and not message.trunc
+            and owners_match(message.answers, client_query.name)
         ):
-            self.drop(attempt)
-            self.far.engine.stood(attempt, memoryview(data))
-            self.far.engine.ended(attempt, face.Outcome.SERVED)
+            self.abandon(attempt)
+            self.upstream.engine.stood(attempt, memoryview(data))
+            self.upstream.engine.ended(attempt, face.Outcome.SERVED)
         else:
-            self.end(message.id, OUTCOMES.get(message.rCode, face.Outcome.ERROR))
+            self.end(message.id, OUTCOME_BY_RCODE.get(message.rCode, face.Outcome.ERROR))
 
-    # The connection.
+    # TCP.
 
-    def _ask_over_tcp(self, id_: int) -> None:
-        self.far.tally.add("enum_resolvers.truncated")
-        if self.link is not None:
-            self.link.say(struct.pack("!H", len(self.over_tcp[id_])), self.over_tcp[id_])
+    def _query_over_tcp(self, id_: int) -> None:
+        self.upstream.tally.add("enum_resolvers.truncated")
+        if self.connection is not None:
+            self.connection.say(struct.pack("!H", len(self.tcp_queries[id_])), self.tcp_queries[id_])
         else:
-            self._dial()
+            self._connect()
 
-    def _dial(self) -> None:
-        if not self.dialling:
-            self.dialling = True
+    def _connect(self) -> None:
+        if not self.connecting:
+            self.connecting = True
             host, port = self.address
-            self.far.reactor.connectTCP(host, port, self.links, timeout=self.far.attempt_ms / 1000.0)
+            self.upstream.reactor.connectTCP(
+                host, port, self.connection_factory, timeout=self.upstream.attempt_ms / 1000.0
+            )
 
-    def dial_failed(self, refused: bool) -> None:
-        self.dialling = False
-        for id_ in list(self.over_tcp):
+    def connect_failed(self, refused: bool) -> None:
+        self.connecting = False
+        for id_ in list(self.tcp_queries):
             self.end(id_, face.Outcome.ERROR if refused else face.Outcome.CUT)
 
-    def connected(self, link: ResolverLink) -> None:
-        self.dialling, self.link = False, link
-        for query in self.over_tcp.values():
-            link.say(struct.pack("!H", len(query)), query)
-        self._tidy()
+    def connected(self, connection: ResolverConnection) -> None:
+        self.connecting, self.connection = False, connection
+        for query in self.tcp_queries.values():
+            connection.say(struct.pack("!H", len(query)), query)
+        self._check_connection()
 
-    def lost(self, link: ResolverLink) -> None:
-        if self.link is link:
-            self.link = None
-            for id_ in list(self.over_tcp):
+    def connection_lost(self, connection: ResolverConnection) -> None:
+        if self.connection is connection:
+            self.connection = None
+            for id_ in list(self.tcp_queries):
                 self.end(id_, face.Outcome.CUT)
 
-    def _tidy(self) -> None:
-        """A connection without an exchange is closed: truncated replies are few."""
-        link = self.link
-        if link is not None and link.partial_ms and link.now_ms() - link.partial_ms > self.far.attempt_ms / 2:
-            # Guards against half a reply that never ends: it would hold up all that come after it.
-            self.link = None
-            link.malformed(MessageError("unfinished"))
-            if self.over_tcp:
-                self._dial()  # they are asked again there
-        elif link is not None and not self.over_tcp:
-            self.link = None
-            link.transport.loseConnection()
+    def _check_connection(self) -> None:
+        """Replaces a connection with an unfinished reply; closes an unused one, as truncated replies are rare."""
+        connection = self.connection
+        if (
+            connection is not None
+            and connection.partial_ms
+            and connection.now_ms() - connection.partial_ms > self.upstream.attempt_ms / 2
+        ):
+            # Prevents a reply that is never finished from blocking all replies after it.
+            self.connection = None
+            connection.malformed(MessageError("unfinished"))
+            if self.tcp_queries:
+                self._connect()  # the remaining queries are sent again on the new connection
+        elif connection is not None and not self.tcp_queries:
+            self.connection = None
+            connection.transport.loseConnection()
 
 
 class Resolvers:
-    """The far side of the engine for look-ups."""
+    """The engine's upstream side for look-ups."""
 
-    engine: Engine  # set once both are made
+    engine: Engine  # set once both exist
 
     def __init__(self, reactor: object, conf: EnumConfig, tally: Tally, deadlines: Deadlines) -> None:
         self.reactor, self.tally, self.deadlines = reactor, tally, deadlines
@@ -408,7 +423,7 @@
         }
 
     def start(self) -> None:
-        """Open a socket for each resolver, and tell the engine of them."""
+        """Opens a socket for each resolver and passes their list to the engine."""
         for resolver in self.resolvers.values():
             self.reactor.listenUDP(0, resolver)
         entries = [face.ListEntry(name, i, face.ServerState.READY) for i, name in enumerate(self.resolvers)]
@@ -418,7 +433,7 @@
         return self.resolvers[attempt.server].send(attempt)
 
     def give_up(self, attempt: Attempt) -> None:
-        self.resolvers[attempt.server].drop(attempt)
+        self.resolvers[attempt.server].abandon(attempt)
 
     release = give_up
 
@@ -432,7 +447,7 @@
     log: Log,
     watcher: Watcher | None = None,
 ) -> Engine:
-    """The whole path: askers, engine, resolvers; tells the engine, which drains like any other."""
+    """Starts the look-up service: clients, engine, resolvers. Returns the engine, which drains like any other."""
     front = EnumFront(conf, tally, deadlines)
     resolvers = Resolvers(reactor, conf, tally, deadlines)
     engine = Engine(
@@ -455,16 +470,16 @@
 
 
 def _listen(reactor: object, conf: EnumConfig, front: EnumFront) -> int:
-    """Listen over TCP and UDP on one port; where the system chooses it, one that is free for both."""
+    """Listens over TCP and UDP on one port; where the system chooses it, on one that is free for both."""
     host, port = conf.listen
-    for left in reversed(range(1 if port else PORTS_DRAWN)):
+    for attempts_left in reversed(range(1 if port else MAX_PORT_ATTEMPTS)):
         tcp = reactor.listenTCP(port, EnumLinks(front, conf.most_connections), interface=host)
-        given = tcp.getHost().port
+        bound_port = tcp.getHost().port
         try:
-            reactor.listenUDP(given, front, interface=host, maxPacketSize=MOST_DATAGRAM)
+            reactor.listenUDP(bound_port, front, interface=host, maxPacketSize=MAX_DATAGRAM)
             break
         except error.CannotListenError:
             tcp.stopListening()
-            if not left:
+            if not attempts_left:
                 raise
-    return given
+    return bound_port
--- a/leadslip/net/otlp.py
+++ b/leadslip/net/otlp.py
@@ -1,7 +1,7 @@
-"""OpenTelemetry export: OTLP over HTTP, protobuf, by Twisted's client; metrics and traces.
+"""OpenTelemetry export of metrics and traces: OTLP over HTTP with protobuf bodies, by Twisted's HTTP client.
 
-Off unless deploy/otlp.toml turns it on. Spans wait in a bounded queue and what does not fit is counted; a
-collector that is dead or slow costs one request at a time and delays no call.
+Off unless deploy/otlp.toml enables it. Spans wait in a bounded queue, and spans dropped from it are counted. A
+collector that is down or slow occupies one export request of each kind at a time and delays no call.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from leadslip.parts.otlp.settings import OtlpConfig
 
 SCOPE = InstrumentationScope(name="leadslip")
-NS = 1_000_000  # nanoseconds of a millisecond
+NS_PER_MS = 1_000_000
 
 
 def attribute(key: str, value: str | int) -> KeyValue:
-    """One attribute."""
-    told = AnyValue(int_value=value) if isinstance(value, int) else AnyValue(string_value=value)
-    return KeyValue(key=key, value=told)
+    """An attribute of a span or of the resource."""
+    any_value = AnyValue(int_value=value) if isinstance(value, int) else AnyValue(string_value=value)
+    return KeyValue(key=key, value=any_value)
 
 
-class Watch:
-    """The watcher of one engine; tells the exporter in the words of its protocol."""
+class SpanObserver:
+    """Observes one engine and passes a span of each attempt and each request to the exporter."""
 
     def __init__(self, exporter: Exporter, protocol: str, name: str) -> None:
         self.exporter, self.protocol, self.name = exporter, protocol, name
@@ -48,33 +48,38 @@
         span = self._span(trace, Span.SPAN_KIND_CLIENT, attempt.sent_ms, now_ms, outcome.value, "served")
         span.span_id, span.parent_span_id = secrets.token_bytes(8), root
         span.attributes.append(attribute("server.address", attempt.server))
-        self.exporter.keep(span)
+        self.exporter.add_span(span)
 
     def request_answered(self, request: Request, answer: str, now_ms: float) -> None:
         trace, root = self._ids(request)
         span = self._span(trace, Span.SPAN_KIND_SERVER, request.taken_ms, now_ms, answer, "stands")
         span.span_id = root
         span.attributes.append(attribute("leadslip.class", request.call_class))
-        self.exporter.keep(span)
+        self.exporter.add_span(span)
 
     def _ids(self, request: Request) -> tuple[bytes, bytes]:
-        """The ids of a request's trace and root span: drawn from what is its own, so that none are kept."""
-        told = f"{self.protocol} {request.id} {request.taken_ms}".encode()
-        drawn = hashlib.blake2b(told, digest_size=24, key=self.exporter.salt).digest()
-        return drawn[:16], drawn[16:]
-
-    def _span(self, trace: bytes, kind: int, start_ms: float, end_ms: float, result: str, good: str) -> Span:
+        """The ids of a request's trace and root span, hashed from the request so that none need be stored."""
+        identity = f"{self.protocol} {request.id} {request.taken_ms}".encode()
+        digest = hashlib.blake2b(identity, digest_size=24, key=self.exporter.salt).digest()
+        return digest[:16], digest[16:]
+
+    def _span(
+        self, trace: bytes, kind: int, start_ms: float, end_ms: float, result: str, success: str
+    ) -> Span:
         span = Span(trace_id=trace, name=self.name, kind=kind)
-        span.start_time_unix_nano, span.end_time_unix_nano = int(start_ms) * NS, int(end_ms) * NS
+        span.start_time_unix_nano, span.end_time_unix_nano = (
+            int(start_ms) * NS_PER_MS,
+            int(end_ms) * NS_PER_MS,
+        )
         span.attributes.append(attribute("network.protocol.name", self.protocol))
-        if result != good:
+        if result != success:
             span.status.code = Status.STATUS_CODE_ERROR
             span.attributes.append(attribute("error.type", result))
         return span
 
 
 class Exporter:
-    """Keeps what engines tell, and sends it every interval."""
+    """Queues the spans of the engines and exports them, with the counters, at every interval."""
 
     def __init__(
         self, reactor: object, conf: OtlpConfig, name: str, deadlines: Deadlines, tally: Tally
@@ -88,14 +93,14 @@
         )
         self.salt = secrets.token_bytes(16)
         self.spans: deque[Span] = deque()
-        self.asking: dict[str, defer.Deferred] = {}
-        self.started_ns = int(deadlines.clock.now_ms()) * NS
+        self.in_flight: dict[str, defer.Deferred] = {}
+        self.started_ns = int(deadlines.clock.now_ms()) * NS_PER_MS
 
     def start(self) -> None:
-        """Begin to export."""
+        """Schedules the next export."""
         self.deadlines.at(self.deadlines.clock.now_ms() + self.conf.interval_ms, self._export)
 
-    def keep(self, span: Span) -> None:
+    def add_span(self, span: Span) -> None:
         if len(self.spans) >= self.conf.most_spans:
             self.tally.add("otlp.dropped_spans")
             return
@@ -106,20 +111,20 @@
         self.start()
 
     def flush(self) -> None:
-        """Send what is there, unless the last of its kind is still under way."""
-        if "metrics" not in self.asking:
+        """Exports metrics and a batch of spans, each unless its previous request is still in progress."""
+        if "metrics" not in self.in_flight:
             self._send("metrics", self._metrics().SerializeToString())
-        if "traces" not in self.asking and self.spans:
+        if "traces" not in self.in_flight and self.spans:
             batch = [self.spans.popleft() for _ in range(min(len(self.spans), self.conf.most_batch))]
-            told = ExportTraceServiceRequest()
-            resource = told.resource_spans.add(resource=self.resource)
+            export = ExportTraceServiceRequest()
+            resource = export.resource_spans.add(resource=self.resource)
             resource.scope_spans.add(scope=SCOPE).spans.extend(batch)
-            self._send("traces", told.SerializeToString(), len(batch))
+            self._send("traces", export.SerializeToString(), len(batch))
 
     def _metrics(self) -> ExportMetricsServiceRequest:
-        told = ExportMetricsServiceRequest()
-        metrics = told.resource_metrics.add(resource=self.resource).scope_metrics.add(scope=SCOPE).metrics
-        now_ns = int(self.deadlines.clock.now_ms()) * NS
+        export = ExportMetricsServiceRequest()
+        metrics = export.resource_metrics.add(resource=self.resource).scope_metrics.add(scope=SCOPE).metrics
+        now_ns = int(self.deadlines.clock.now_ms()) * NS_PER_MS
         for name, count in sorted(self.tally.counts.items()):
             metric = metrics.add(name="leadslip." + name.replace(" ", "_"), unit="1")
             metric.sum.is_monotonic = True
@@ -127,31 +132,31 @@
             metric.sum.data_points.add(
                 as_int=count, start_time_unix_nano=self.started_ns, time_unix_nano=now_ns
             )
-        return told
+        return export
 
     def _send(self, kind: str, body: bytes, spans: int = 0) -> None:
-        asking = self.agent.request(
+        request = self.agent.request(
             b"POST",
             (self.base + kind).encode(),
             Headers({"Content-Type": ["application/x-protobuf"]}),
             FileBodyProducer(BytesIO(body)),
         )
-        self.asking[kind] = asking
-        watch = self.deadlines.at(
-            self.deadlines.clock.now_ms() + self.conf.timeout_ms, lambda of: of.cancel(), asking
+        self.in_flight[kind] = request
+        timeout = self.deadlines.at(
+            self.deadlines.clock.now_ms() + self.conf.timeout_ms, lambda pending: pending.cancel(), request
         )
 
-        def begun(response: object) -> defer.Deferred:
+        def check_status(response: object) -> defer.Deferred:
             if response.code // 100 != 2:
                 raise ValueError(response.code)
             return readBody(response)
 
-        def ended(result: object) -> None:
-            self.deadlines.cancel(watch)
-            del self.asking[kind]
+        def finished(result: object) -> None:
+            self.deadlines.cancel(timeout)
+            del self.in_flight[kind]
             if isinstance(result, Failure):
                 self.tally.add("otlp.failed_exports")
                 self.tally.add("otlp.dropped_spans", spans)
 
-        asking.addCallback(begun)
-        asking.addBoth(ended)
+        request.addCallback(check_status)
+        request.addBoth(finished)
--- a/leadslip/net/peers.py
+++ b/leadslip/net/peers.py
@@ -1,8 +1,9 @@
-"""Members of the fleet: datagrams over UDP, what does not fit over TCP, at one number. Off unless configured.
+"""The fleet transport: UDP datagrams, and TCP for what exceeds one, on one port number. Off unless configured.
 
-Brings what arrives to the View and sends what it gives; decides nothing. Others are reached at the address that they
-advertise and never at a datagram's source; outgoing connections leave from the IP of `listen`. Time is the system's
-CLOCK_BOOTTIME, which goes on while a process or a machine is stopped and knows no jumps.
+Passes received messages to the View and sends the messages that it queues; takes no decisions. Other members are
+reached at the address that they advertise, never at a datagram's source; outbound connections leave from the IP
+address of `listen`. Time is the system's CLOCK_BOOTTIME, which goes on while a process or a machine is suspended and
+does not jump.
 """
 
 from __future__ import annotations
@@ -27,25 +28,25 @@
     from leadslip.parts.fleet.settings import FleetConfig
 
 CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-SESSION_MS = 3000.0  # a comparison takes so long at the most
-MOST_TAKEN, MOST_MADE = 16, 2  # comparisons under way that others began, and that we began
-MOST_ASK = 16 * 1024  # bytes of a frame, until its sender has shown that it holds the key
-MOST_CARRYING = 8  # connections under way that bring messages of other parts to others
-MOST_WAITING = 4 << 20  # bytes of such messages that may wait for one member
-MOST_BATCH = 1 << 20  # bytes of them that one connection brings
-CARRIED_ROOM = wire.MOST_DATAGRAM - wire.SEAL_SIZE - 60  # bytes of such a message that go as a datagram
-RECEIVE_BUFFER = 1 << 20  # bytes of datagrams that may wait while this process is busy or stopped
+SESSION_TIMEOUT_MS = 3000.0  # from connecting to the end of a session
+MAX_INBOUND_SESSIONS, MAX_OUTBOUND_SESSIONS = 16, 2  # anti-entropy sessions at a time
+MAX_UNVERIFIED_FRAME = 16 * 1024  # bytes of a frame, until its sender has shown that it holds the key
+MAX_DELIVERY_CONNECTIONS = 8  # outbound connections at a time that deliver messages of parts
+MAX_QUEUED_BYTES = 4 << 20  # of messages of parts that wait for one member
+MAX_DELIVERY_BYTES = 1 << 20  # of messages of parts that one connection delivers
+MAX_DATAGRAM_BODY = wire.MOST_DATAGRAM - wire.SEAL_SIZE - 60  # bytes of a part's message sent as a datagram
+RECEIVE_BUFFER_BYTES = 1 << 20  # holds datagrams while this process is busy or stopped
 
 
 class FleetClock:
-    """Milliseconds since the machine started, stopped time and all."""
+    """Milliseconds since the machine started, including time spent suspended."""
 
     def now_ms(self) -> float:
         return time.clock_gettime(CLOCK) * 1000.0
 
 
 class PeerDatagrams(protocol.DatagramProtocol):
-    """The one UDP port."""
+    """The UDP port of this member."""
 
     noisy = False
 
@@ -56,141 +57,141 @@
         if len(datagram) > wire.MOST_DATAGRAM:
             self.peers.tally.add("fleet.refused.long")
         else:
-            self.peers.arrived(datagram)
+            self.peers.datagram_received(datagram)
 
     def connectionRefused(self) -> None:
-        """Nobody listens there; the probe's time tells."""
+        """Ignored: if no process listens there, the probe's time-out shows it."""
 
 
-class PeerLink(Int32StringReceiver):
-    """One comparison: Hello, SyncAsk, SyncTable and SyncTable, each a sealed frame; a fault ends it."""
+class PeerSession(Int32StringReceiver):
+    """A TCP session between members: Hello, SyncAsk, SyncTable, SyncTable, each a sealed frame; an error ends it."""
 
-    MAX_LENGTH = MOST_ASK
+    MAX_LENGTH = MAX_UNVERIFIED_FRAME
 
     def __init__(self, peers: Peers) -> None:
         self.peers = peers
-        self.moved = 0  # bytes, both ways
+        self.transferred_bytes = 0  # in both directions
         self.token = random.SystemRandom().getrandbits(63)
-        self.overdue = None
+        self.timeout = None
 
     def connectionMade(self) -> None:
         deadlines = self.peers.deadlines
-        self.transport.setTcpNoDelay(True)  # else a second frame waits for the first to be acknowledged
-        self.overdue = deadlines.at(deadlines.clock.now_ms() + SESSION_MS, self.too_late)
-        self.begin()
+        self.transport.setTcpNoDelay(True)  # else a second frame waits for the acknowledgement of the first
+        self.timeout = deadlines.at(deadlines.clock.now_ms() + SESSION_TIMEOUT_MS, self.timed_out)
+        self.on_connected()
 
-    def begin(self) -> None:
-        """The connection is up."""
+    def on_connected(self) -> None:
+        """Called when the connection is established."""
 
-    def too_late(self, _: object = None) -> None:
+    def timed_out(self, _: object = None) -> None:
         self.peers.tally.add("fleet.sessions_late")
         self.transport.abortConnection()
 
     def connectionLost(self, reason: object = None) -> None:
-        self.peers.deadlines.cancel(self.overdue)
-        self.peers.ended(self)
+        self.peers.deadlines.cancel(self.timeout)
+        self.peers.session_ended(self)
 
     def lengthLimitExceeded(self, length: int) -> None:
         self.peers.tally.add("fleet.refused.long")
         self.transport.abortConnection()
 
-    def say(self, message: wire.Any) -> None:
+    def send_message(self, message: wire.Any) -> None:
         peers = self.peers
         version = peers.view.version_for(message.to)
         data = peers.seal.close(wire.frame(message, version), version)
-        self.moved += len(data)
+        self.transferred_bytes += len(data)
         self.sendString(data)
 
     def stringReceived(self, string: bytes) -> None:
         try:
-            self.moved += len(string)
+            self.transferred_bytes += len(string)
             message = wire.unframe(self.peers.seal.open(string), string[0])
-            self.told(message, self.peers.clock.now_ms())
-        except wire.WireError as fault:
-            self.peers.tally.add(f"fleet.refused.{fault}")
+            self.message_received(message, self.peers.clock.now_ms())
+        except wire.WireError as wire_error:
+            self.peers.tally.add(f"fleet.refused.{wire_error}")
             self.transport.abortConnection()
             return
         self.peers.flush()
 
-    def told(self, message: wire.Any, now_ms: float) -> None:
+    def message_received(self, message: wire.Any, now_ms: float) -> None:
         raise NotImplementedError
 
 
-class TakenLink(PeerLink):
-    """One that another began."""
+class InboundSession(PeerSession):
+    """A session that another member opened: an anti-entropy session, or one that delivers messages of parts."""
 
-    def begin(self) -> None:
-        self.say(self.peers.view.hello(self.token))
+    def on_connected(self) -> None:
+        self.send_message(self.peers.view.hello(self.token))
 
-    def told(self, message: wire.Any, now_ms: float) -> None:
+    def message_received(self, message: wire.Any, now_ms: float) -> None:
         if getattr(message, "token", None) != self.token:
             raise wire.WireError("token")
-        self.MAX_LENGTH = wire.MOST_FRAME  # who repeats our token under the key is a member
+        self.MAX_LENGTH = wire.MOST_FRAME  # a sender that repeats our token, signed, is a member
         if isinstance(message, wire.SyncAsk):
-            self.say(self.peers.view.answer(now_ms, message))
+            self.send_message(self.peers.view.answer(now_ms, message))
         elif isinstance(message, wire.SyncTable):
             self.peers.view.given(now_ms, message)
             self.transport.loseConnection()
         elif isinstance(message, wire.Carried):
-            self.peers.carried(now_ms, message)
+            self.peers.part_message_received(now_ms, message)
         else:
             raise wire.WireError("misplaced")
 
 
-class MadeLink(PeerLink):
-    """One that we began."""
+class OutboundSession(PeerSession):
+    """An anti-entropy session that this member opened."""
 
-    asked = 0  # the taker's token, once it has told it
+    peer_token = 0  # from the peer's Hello; 0 until that arrives
 
-    def told(self, message: wire.Any, now_ms: float) -> None:
-        if isinstance(message, wire.Hello) and not self.asked:
-            self.asked = message.token
+    def message_received(self, message: wire.Any, now_ms: float) -> None:
+        if isinstance(message, wire.Hello) and not self.peer_token:
+            self.peer_token = message.token
             self.MAX_LENGTH = wire.MOST_FRAME
-            self.say(self.peers.view.ask(now_ms, message, self.token))
+            self.send_message(self.peers.view.ask(now_ms, message, self.token))
         elif isinstance(message, wire.SyncTable) and message.token == self.token:
-            self.say(self.peers.view.compared(now_ms, message, self.asked))
-            self.peers.view.spent(self.moved)
+            self.send_message(self.peers.view.compared(now_ms, message, self.peer_token))
+            self.peers.view.spent(self.transferred_bytes)
         else:
             raise wire.WireError("misplaced")
 
 
-class CarryLink(PeerLink):
-    """One that brings messages of other parts to a member; its taker's Hello is waited for, and nothing else."""
+class DeliverySession(PeerSession):
+    """Delivers queued messages of parts to a member: waits for the peer's Hello and expects nothing else."""
 
     def __init__(self, peers: Peers, run: int) -> None:
         super().__init__(peers)
         self.run = run
 
-    def told(self, message: wire.Any, now_ms: float) -> None:
+    def message_received(self, message: wire.Any, now_ms: float) -> None:
         if not isinstance(message, wire.Hello):
             raise wire.WireError("misplaced")
-        waiting, size = self.peers.outbox.get(self.run), 0
-        while waiting is not None and waiting.messages and size < MOST_BATCH:
-            part, body = waiting.next()
-            size += len(body)
+        queue, sent_bytes = self.peers.queues.get(self.run), 0
+        while queue is not None and queue.messages and sent_bytes < MAX_DELIVERY_BYTES:
+            part, body = queue.pop()
+            sent_bytes += len(body)
             view = self.peers.view
-            self.say(wire.Carried(next(view.counts), view.run, self.run, message.token, part, body))
+            self.send_message(wire.Carried(next(view.counts), view.run, self.run, message.token, part, body))
         self.transport.loseConnection()
 
 
-class CarryLinks(protocol.ClientFactory):
-    """Begins one of them."""
+class DeliverySessionFactory(protocol.ClientFactory):
+    """Opens one delivery session."""
 
     noisy = False
 
     def __init__(self, peers: Peers, run: int) -> None:
         self.peers, self.run = peers, run
 
-    def buildProtocol(self, addr: object) -> CarryLink:
-        return CarryLink(self.peers, self.run)
+    def buildProtocol(self, addr: object) -> DeliverySession:
+        return DeliverySession(self.peers, self.run)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        self.peers.carrying.discard(self.run)
-        self.peers.outbox.pop(self.run, None)  # lost, as datagrams are: each part sends anew what matters
+        self.peers.delivering.discard(self.run)
+        self.peers.queues.pop(self.run, None)  # lost like datagrams: each part retransmits what it needs
 
 
-class Waiting:
-    """Messages of other parts that wait for a connection to one member."""
+class MessageQueue:
+    """Messages of parts that wait for a connection to one member."""
 
     __slots__ = ("messages", "size")
 
@@ -198,114 +199,114 @@
         self.messages: deque[tuple[str, bytes]] = deque()
         self.size = 0
 
-    def next(self) -> tuple[str, bytes]:
+    def pop(self) -> tuple[str, bytes]:
         part, body = self.messages.popleft()
         self.size -= len(body)
         return part, body
 
 
-class Party(Protocol):
-    """A part of the fleet whose messages are carried here; no I/O. It gives messages in `out`, each for a run."""
+class MessagingPart(Protocol):
+    """A part whose messages the fleet transport sends. It does no I/O: it puts (run, body) pairs into `out`."""
 
     out: list[tuple[int, bytes]]
     wake_ms: float
 
     def received(self, now_ms: float, run: int, body: bytes) -> None:
-        """A member's message, signed and of a run that lives; what it holds is still to be checked."""
+        """Handles a message, signed by a live member's run; the body is not validated yet."""
 
     def due(self, now_ms: float) -> None:
-        """Do what is due; to be called at wake_ms, and no harm if sooner or later."""
+        """Does the work that is due; called at wake_ms, harmless if earlier or later."""
 
 
-class Carrier:
-    """Brings one part's messages, and wakes it."""
+class PartTransport:
+    """Sends and receives the messages of one part, and runs its timer."""
 
-    def __init__(self, peers: Peers, name: str, party: Party, after: Callable[[], None]) -> None:
-        self.peers, self.name, self.party, self.after = peers, name, party, after
-        self.wake = None
+    def __init__(self, peers: Peers, name: str, part: MessagingPart, after_work: Callable[[], None]) -> None:
+        self.peers, self.name, self.part, self.after_work = peers, name, part, after_work
+        self.timer = None
 
-    def arrived(self, now_ms: float, run: int, body: bytes) -> None:
-        self.party.received(now_ms, run, body)
+    def message_received(self, now_ms: float, run: int, body: bytes) -> None:
+        self.part.received(now_ms, run, body)
         self.flush()
 
-    def due(self, _: object = None) -> None:
-        self.wake = None
+    def timer_fired(self, _: object = None) -> None:
+        self.timer = None
         if not self.peers.stopped:
-            self.party.due(self.peers.clock.now_ms())
+            self.part.due(self.peers.clock.now_ms())
             self.flush()
 
     def flush(self) -> None:
-        """Send what it gives, and be woken when it asks."""
-        party, peers = self.party, self.peers
+        """Sends what the part has queued and sets its timer."""
+        part, peers = self.part, self.peers
         if peers.stopped:
             return
-        out, party.out = party.out, []
+        out, part.out = part.out, []
         for run, body in out:
-            peers.carry(self.name, run, body)
-        self.after()
-        if self.wake is None or self.wake.work is None or party.wake_ms < self.wake.due_ms:
-            peers.deadlines.cancel(self.wake)
-            self.wake = peers.deadlines.at(party.wake_ms, self.due)
+            peers.send_part_message(self.name, run, body)
+        self.after_work()
+        if self.timer is None or self.timer.work is None or part.wake_ms < self.timer.due_ms:
+            peers.deadlines.cancel(self.timer)
+            self.timer = peers.deadlines.at(part.wake_ms, self.timer_fired)
 
 
-class TakenLinks(protocol.Factory):
-    """Takes comparisons, so many at a time."""
+class InboundSessionFactory(protocol.Factory):
+    """Accepts sessions, up to a limit."""
 
     noisy = False
 
     def __init__(self, peers: Peers) -> None:
         self.peers = peers
 
-    def buildProtocol(self, addr: object) -> TakenLink | None:
-        if len(self.peers.taken) >= MOST_TAKEN:
+    def buildProtocol(self, addr: object) -> InboundSession | None:
+        if len(self.peers.inbound) >= MAX_INBOUND_SESSIONS:
             self.peers.tally.add("fleet.sessions_refused")
             return None
-        link = TakenLink(self.peers)
-        self.peers.taken.add(link)
-        return link
+        session = InboundSession(self.peers)
+        self.peers.inbound.add(session)
+        return session
 
 
-class MadeLinks(protocol.ClientFactory):
-    """Begins one comparison."""
+class OutboundSessionFactory(protocol.ClientFactory):
+    """Opens one anti-entropy session."""
 
     noisy = False
 
     def __init__(self, peers: Peers) -> None:
         self.peers = peers
 
-    def buildProtocol(self, addr: object) -> MadeLink:
-        return MadeLink(self.peers)
+    def buildProtocol(self, addr: object) -> OutboundSession:
+        return OutboundSession(self.peers)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:
-        self.peers.making -= 1
+        self.peers.outbound_count -= 1
 
 
 class Peers:
-    """The transport of one member, and its view."""
+    """The fleet transport of one member, and its view of the fleet."""
 
     def __init__(self, reactor: object, conf: FleetConfig, name: str, tally: Tally, log: Log) -> None:
         self.reactor, self.conf, self.name, self.tally, self.log = reactor, conf, name, tally, log
         self.clock = FleetClock()
-        # Guards against a Unix clock that jumps: the reactor's timers would wait out an hour that never was. Timers
-        # set before would go by the other clock: this is made before there are any.
+        # Prevents a jump of the Unix clock from delaying the reactor's timers, by an hour if it is set back by one.
+        # Timers set earlier would go by the other clock, so this object is made before any timer is set.
         reactor.seconds = lambda: time.clock_gettime(CLOCK)
         self.deadlines = Deadlines(self.clock, reactor)
-        self.seal = wire.Seal(conf.keys)  # refuses bad ones before anything is bound
+        self.seal = wire.Seal(conf.keys)  # raises for invalid keys before any port is bound
         self.draw = random.SystemRandom()
-        self.taken: set[PeerLink] = set()
-        self.making = 0
-        self.parts: dict[str, Carrier] = {}  # that messages are carried for, by name
-        self.outbox: dict[int, Waiting] = {}
-        self.carrying: set[int] = set()
-        self.wake = None
+        self.inbound: set[PeerSession] = set()
+        self.outbound_count = 0  # anti-entropy sessions that this member has open
+        self.parts: dict[str, PartTransport] = {}  # by the part's name
+        self.queues: dict[int, MessageQueue] = {}  # by the run of the receiving member
+        self.delivering: set[int] = set()  # runs to which a delivery session is open
+        self.timer = None
         self.stopped = False
         self.datagrams = self.port = self.view = None
-        self.history: Callable[..., None] | None = None  # where a drill wants written what was done
+        self.history: Callable[..., None] | None = None  # records events of a fault-injection run
 
-    def start(self, facts: Callable[[], dict[str, str | int]]) -> None:
-        """Bind both, TCP first, and join, `facts` telling of this member.
+    def start(self, metadata: Callable[[], dict[str, str | int]]) -> None:
+        """Binds the TCP and the UDP port and joins the fleet; `metadata` returns this member's metadata.
 
-        Raises CannotListenError where the address can't be had.
+        Raises CannotListenError where the address is not available.
         """
         host, number = self.conf.listen
         advertise = self.conf.advertise
@@ -314,37 +315,37 @@
         except error.CannotListenError:
             if advertise != self.conf.listen:
                 raise
-            # Another run of this proxy holds it, as during an upgrade: two runs are two members.
+            # Another process of this proxy holds the port, as during an upgrade: each run is a member of its own.
             self._bind(host, 0)
-        bound = self.port.getHost().port
+        bound_port = self.port.getHost().port
         if advertise == self.conf.listen:
-            advertise = (host, bound)
-        me = Me(self.name, "{}:{}".format(*advertise), self.conf.zone, facts())
-        self.facts = facts
+            advertise = (host, bound_port)
+        me = Me(self.name, "{}:{}".format(*advertise), self.conf.zone, metadata())
+        self.metadata = metadata
         seeds = tuple("{}:{}".format(*seed) for seed in self.conf.seeds)
-        kind = View
+        view_class = View
         if self.conf.broken:
             from leadslip.drill.broken import KINDS
 
-            kind = KINDS.get(self.conf.broken, View)
-        # The view draws from a generator of its own; only its seed comes from the system.
+            view_class = KINDS.get(self.conf.broken, View)
+        # The view has a pseudo-random generator of its own; only its seed comes from the system's.
         draw = random.Random(self.draw.getrandbits(64))
-        self.view = kind(me, seeds, draw, self.tally, Pace(), self.conf.most_members)
+        self.view = view_class(me, seeds, draw, self.tally, Pace(), self.conf.most_members)
         self.seal = wire.Seal(self.conf.keys, self.view.speaks)
         if self.conf.history:
             from leadslip.fleet import history
 
-            keep = history.to_file(self.conf.history)
-            history.follow(self.view, keep)
-            self.history = lambda **told: keep(told)
+            record = history.to_file(self.conf.history)
+            history.follow(self.view, record)
+            self.history = lambda **event: record(event)
         self.view.start(self.clock.now_ms())
         self.flush()
         self.log("fleet.serves", address=me.address, run=f"{self.view.run:016x}")
 
     def _bind(self, host: str, number: int) -> None:
-        """One number for both; a number that the system drew may be taken over UDP, then another is drawn."""
-        for left in range(8, 0, -1):
-            port = self.reactor.listenTCP(number, TakenLinks(self), backlog=64, interface=host)
+        """Binds TCP and UDP to one port; one that the system chose may be in use for UDP, then chooses another."""
+        for attempts_left in range(8, 0, -1):
+            port = self.reactor.listenTCP(number, InboundSessionFactory(self), backlog=64, interface=host)
             try:
                 self.datagrams = PeerDatagrams(self)
                 self.udp = self.reactor.listenUDP(
@@ -352,93 +353,95 @@
                 )
             except error.CannotListenError:
                 port.stopListening()
-                if number or left == 1:
+                if number or attempts_left == 1:
                     raise
                 continue
-            self.udp.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+            self.udp.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             self.port = port
             return
 
-    def arrived(self, datagram: bytes) -> None:
-        """One datagram: nothing of it counts before its seal does."""
+    def datagram_received(self, datagram: bytes) -> None:
+        """Handles a datagram; nothing in it is used before its seal is verified."""
         try:
             message = wire.decode(self.seal.open(datagram))
-        except wire.WireError as fault:
-            self.tally.add(f"fleet.refused.{fault}")
+        except wire.WireError as wire_error:
+            self.tally.add(f"fleet.refused.{wire_error}")
             return
         if self.stopped:
             return
         now_ms = self.clock.now_ms()
         if isinstance(message, wire.Carried):
             if self.view.heard.fresh(message.run, message.count):
-                self.carried(now_ms, message)
+                self.part_message_received(now_ms, message)
             else:
                 self.tally.add("fleet.replayed")
             return
         self.view.received(now_ms, message)
         self.flush()
 
-    def carried(self, now_ms: float, message: wire.Carried) -> None:
-        """A message for another part: only for the life we live, and of one that we hold alive."""
-        part, held = self.parts.get(message.part), self.view.table.get(message.run)
+    def part_message_received(self, now_ms: float, message: wire.Carried) -> None:
+        """Passes a message to its part, if it is addressed to this run and comes from the run of a live member."""
+        part, sender = self.parts.get(message.part), self.view.table.get(message.run)
         if part is None or message.to != self.view.run:
             self.tally.add("fleet.for_another")
-        elif held is None or not held.live or held.run != message.run:
+        elif sender is None or not sender.live or sender.run != message.run:
             self.tally.add("fleet.of_no_member")
         else:
-            part.arrived(now_ms, message.run, message.body)
-
-    def join(self, name: str, party: Party, after: Callable[[], None]) -> Carrier:
-        """Carry a part's messages from here on; `after` is called whenever it has had something to do."""
-        held = self.parts[name] = Carrier(self, name, party, after)
-        held.due()
-        return held
-
-    def carry(self, part: str, run: int, body: bytes) -> None:
-        """Bring another part's message to a member: as a datagram where it fits, else over TCP. It may be lost."""
-        held = self.view.table.get(run)
-        if self.stopped or held is None or not held.live or self.view.version_for(run) < 3:
+            part.message_received(now_ms, message.run, message.body)
+
+    def join(self, name: str, part: MessagingPart, after_work: Callable[[], None]) -> PartTransport:
+        """Sends and receives a part's messages from now on; `after_work` is called each time it may have worked."""
+        transport = self.parts[name] = PartTransport(self, name, part, after_work)
+        transport.timer_fired()
+        return transport
+
+    def send_part_message(self, part: str, run: int, body: bytes) -> None:
+        """Sends a part's message to a member, as a datagram where it fits, else over TCP. It may be lost."""
+        receiver = self.view.table.get(run)
+        if self.stopped or receiver is None or not receiver.live or self.view.version_for(run) < 3:
             self.tally.add("fleet.unsent")
             return
-        if len(body) <= CARRIED_ROOM:
-            self._send(held.address, wire.Carried(next(self.view.counts), self.view.run, run, 0, part, body))
+        if len(body) <= MAX_DATAGRAM_BODY:
+            self._send(
+                receiver.address, wire.Carried(next(self.view.counts), self.view.run, run, 0, part, body)
+            )
             return
-        waiting = self.outbox.setdefault(run, Waiting())
-        if waiting.size + len(body) > MOST_WAITING:
+        queue = self.queues.setdefault(run, MessageQueue())
+        if queue.size + len(body) > MAX_QUEUED_BYTES:
             self.tally.add("fleet.unsent")
             return
-        waiting.messages.append((part, body))
-        waiting.size += len(body)
-        self._bring()
-
-    def _bring(self) -> None:
-        """Connect to those for whom messages wait, one connection to each and so many at a time."""
-        for run in list(self.outbox):
-            held = self.view.table.get(run)
-            if held is None or not held.live or not self.outbox[run].messages:
-                del self.outbox[run]
-            elif run not in self.carrying and len(self.carrying) < MOST_CARRYING:
-                self.carrying.add(run)
-                self._connect(held.address, CarryLinks(self, run))
+        queue.messages.append((part, body))
+        queue.size += len(body)
+        self._deliver_queued()
+
+    def _deliver_queued(self) -> None:
+        """Opens delivery sessions to the members with queued messages, one to each, up to the limit in total."""
+        for run in list(self.queues):
+            receiver = self.view.table.get(run)
+            if receiver is None or not receiver.live or not self.queues[run].messages:
+                del self.queues[run]
+            elif run not in self.delivering and len(self.delivering) < MAX_DELIVERY_CONNECTIONS:
+                self.delivering.add(run)
+                self._connect(receiver.address, DeliverySessionFactory(self, run))
 
     def flush(self) -> None:
-        """Send what the view gives, and be woken when it asks."""
+        """Sends what the view and the parts have queued and sets their timers."""
         if self.stopped:
             return
         out, self.view.out = self.view.out, []
-        for one in out:
-            if isinstance(one, Compare):
-                self._compare(one.address)
+        for item in out:
+            if isinstance(item, Compare):
+                self._open_sync(item.address)
             else:
-                self._send(one.address, one.message)
-        if self.wake is None or self.wake.work is None or self.view.wake_ms < self.wake.due_ms:
-            self.deadlines.cancel(self.wake)
-            self.wake = self.deadlines.at(self.view.wake_ms, self._due)
+                self._send(item.address, item.message)
+        if self.timer is None or self.timer.work is None or self.view.wake_ms < self.timer.due_ms:
+            self.deadlines.cancel(self.timer)
+            self.timer = self.deadlines.at(self.view.wake_ms, self._timer_fired)
         for part in self.parts.values():
             part.flush()
 
-    def _due(self, _: object = None) -> None:
-        self.wake = None
+    def _timer_fired(self, _: object = None) -> None:
+        self.timer = None
         if not self.stopped:
             self.view.due(self.clock.now_ms())
             self.flush()
@@ -450,52 +453,54 @@
         host, _, port = address.rpartition(":")
         try:
             self.datagrams.transport.write(data, (host, int(port)))
-        except (OSError, ValueError):  # no way there, or no room: lost, as datagrams are
+        except (OSError, ValueError):  # no route or a full buffer: lost like any datagram
             self.tally.add("fleet.unsent")
 
-    def _compare(self, address: str) -> None:
-        if self.making >= MOST_MADE:
+    def _open_sync(self, address: str) -> None:
+        if self.outbound_count >= MAX_OUTBOUND_SESSIONS:
             self.tally.add("fleet.sessions_waiting")
             return
-        self.making += 1
-        self._connect(address, MadeLinks(self))
+        self.outbound_count += 1
+        self._connect(address, OutboundSessionFactory(self))
 
     def _connect(self, address: str, factory: protocol.ClientFactory) -> None:
         host, _, port = address.rpartition(":")
-        bind = self.conf.listen[0], 0
-        self.reactor.connectTCP(host, int(port), factory, timeout=SESSION_MS / 1000.0, bindAddress=bind)
-
-    def ended(self, link: PeerLink) -> None:
-        """A comparison is over."""
-        if link in self.taken:
-            self.taken.discard(link)
-        elif isinstance(link, CarryLink):
-            self.carrying.discard(link.run)
+        bind_address = self.conf.listen[0], 0
+        self.reactor.connectTCP(
+            host, int(port), factory, timeout=SESSION_TIMEOUT_MS / 1000.0, bindAddress=bind_address
+        )
+
+    def session_ended(self, session: PeerSession) -> None:
+        """Removes a session whose connection has closed."""
+        if session in self.inbound:
+            self.inbound.discard(session)
+        elif isinstance(session, DeliverySession):
+            self.delivering.discard(session.run)
             if not self.stopped:
-                self._bring()
+                self._deliver_queued()
         else:
-            self.making -= 1
+            self.outbound_count -= 1
 
     def tell_facts(self) -> None:
-        """Spread what is to be told of this member, if it has changed."""
+        """Disseminates this member's metadata if it has changed."""
         if self.view is not None and not self.stopped:
-            self.view.change_facts(self.clock.now_ms(), self.facts())
+            self.view.change_facts(self.clock.now_ms(), self.metadata())
             self.flush()
 
     def rekey(self, keys: tuple[bytes, ...]) -> None:
-        """Sign with the first of these keys from now on, and take them all."""
+        """Signs with the first of these keys from now on, and accepts all of them."""
         self.seal = wire.Seal(keys, self.seal.speaks)
 
     def stop(self) -> None:
-        """Leave in good order."""
+        """Leaves the fleet and closes the ports."""
         if self.view is None or self.stopped:
             return
         for part in list(self.parts.values()):
-            part.due()  # what has happened last goes out before we leave
+            part.timer_fired()  # sends the parts' last messages before this member leaves
         self.view.leave(self.clock.now_ms())
         self.flush()
         self.stopped = True
-        self.deadlines.cancel(self.wake)
+        self.deadlines.cancel(self.timer)
         self.port.stopListening()
-        for link in list(self.taken):
-            link.transport.loseConnection()
+        for session in list(self.inbound):
+            session.transport.loseConnection()
--- a/leadslip/operators.py
+++ b/leadslip/operators.py
@@ -1,4 +1,4 @@
-"""What the operators' address is made of: calls by name, what is asked of one, what it answers. No I/O."""
+"""The types of the operators' endpoints: handlers by path and method, requests and answers. Pure: does no I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Answer(NamedTuple):
-    """What a call of an operator is answered."""
+    """The HTTP answer to an operator's request."""
 
     status: int
     body: bytes
@@ -18,9 +18,9 @@
 
 
 class Asked(NamedTuple):
-    """One call of an operator: what stands behind its name in the path, its query, its body, and where to answer later.
+    """A request of an operator: the path below the endpoint's name, the query, the body, and a callback.
 
-    A call that can't answer yet gives None and answers by `reply`, once.
+    A handler that can't answer yet returns None and calls `reply` once, later.
     """
 
     path: tuple[str, ...] = ()
@@ -29,33 +29,33 @@
     reply: Callable[[Answer], None] = lambda answer: None
 
 
-Call = Callable[[Asked], Answer | None]
+Handler = Callable[[Asked], Answer | None]
 
 
 class Verbs(NamedTuple):
-    """What one name takes, by method; whether there are names below it, and the most bytes of a body."""
+    """One endpoint: its handlers by HTTP method, whether it accepts a longer path, and the maximum body in bytes."""
 
-    methods: Mapping[bytes, Call]
+    methods: Mapping[bytes, Handler]
     below: bool = False
     most_body: int = 1024
 
 
-Calls = dict[bytes, Verbs]  # name below /control -> what it takes
+Calls = dict[bytes, Verbs]  # name below /control -> endpoint
 
 
-def as_json(told: object, status: int = 200) -> Answer:
-    """An answer in JSON."""
-    return Answer(status, json.dumps(told).encode() + b"\n", b"application/json")
+def as_json(value: object, status: int = 200) -> Answer:
+    """A JSON answer."""
+    return Answer(status, json.dumps(value).encode() + b"\n", b"application/json")
 
 
-def problem(fault: OperatorError) -> Answer:
-    """An error as operators' programs read it: a problem of RFC 9457, with its code and what to do beside it."""
-    told = {
-        "type": f"urn:leadslip:error:{fault.code}",
-        "title": fault.title(),
-        "status": fault.status,
-        "detail": str(fault),
-        "code": fault.code,
-        "action": fault.action,
+def problem(error: OperatorError) -> Answer:
+    """The answer for an error: a JSON problem (RFC 9457) with the extension members `code` and `action`."""
+    body = {
+        "type": f"urn:leadslip:error:{error.code}",
+        "title": error.title(),
+        "status": error.status,
+        "detail": str(error),
+        "code": error.code,
+        "action": error.action,
     }
-    return Answer(fault.status, json.dumps(told).encode() + b"\n", b"application/problem+json")
+    return Answer(error.status, json.dumps(body).encode() + b"\n", b"application/problem+json")
--- a/leadslip/parts/enum/__init__.py
+++ b/leadslip/parts/enum/__init__.py
@@ -1,1 +1,1 @@
-"""ENUM look-ups: a second front, over DNS (net/enum.py)."""
+"""The part that answers ENUM look-ups over DNS (net/enum.py)."""
--- a/leadslip/parts/enum/part.py
+++ b/leadslip/parts/enum/part.py
@@ -1,4 +1,4 @@
-"""The ENUM front, wired into a proxy with an engine of its own."""
+"""Wires ENUM look-ups, with an engine of their own, into a running proxy."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Enum(Part):
-    """The front and its engine."""
+    """The DNS server for ENUM look-ups, and its engine."""
 
     def start(self) -> None:
         node = self.node
--- a/leadslip/parts/enum/settings.py
+++ b/leadslip/parts/enum/settings.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EnumConfig:
-    """The second front, for ENUM look-ups over DNS."""
+    """Settings of the DNS server for ENUM look-ups and of its upstream resolvers."""
 
     listen: Address
     resolvers: tuple[Address, ...]
@@ -24,7 +24,7 @@
     settings: face.Settings
 
 
-ENUM_KEYS = {  # key -> (default, least, most)
+ENUM_KEYS = {  # key -> (default, minimum, maximum)
     "answer_within_ms": (1500.0, 50.0, 60_000.0),
     "attempt_ms": (400.0, 10.0, 60_000.0),
     "most_attempts": (3, 1, 16),
@@ -34,26 +34,28 @@
 
 
 def settings(told: Mapping, around: Around | None = None) -> EnumConfig | None:
-    """The checked configuration of the ENUM front; None where it is not turned on."""
+    """The validated settings of ENUM look-ups; None where they are off. Raises MalformedError."""
     if not turned_on(told, "enum", ("listen", "resolvers", "suffix", *ENUM_KEYS)):
         return None
-    figures = figures_of(told, "enum", ENUM_KEYS)
+    numbers = figures_of(told, "enum", ENUM_KEYS)
     listed = member(told, "resolvers", list, "enum")
     if not listed:
         raise MalformedError("enum.resolvers is empty")
     resolvers = tuple(address_of(text, f"enum.resolvers.{i}") for i, text in enumerate(listed))
     if len(set(resolvers)) < len(resolvers):
-        raise TakenError("enum.resolvers names one twice")
+        raise TakenError("enum.resolvers lists an address more than once")
     suffix = str(told.get("suffix", "e164.arpa")).strip(".").lower()
     if not suffix or not all(0 < len(label) < 64 for label in suffix.split(".")):
-        raise MalformedError(f"enum.suffix is no domain: {suffix!r}")
-    wait_ms = figures["answer_within_ms"]
+        raise MalformedError(
+            f"enum.suffix must be a domain name, with labels of 1 to 63 characters: {suffix!r}"
+        )
+    wait_ms = numbers["answer_within_ms"]
     lookup = face.CallClass("enum", worth=1.0, late_worth=0.0, aim_ms=wait_ms, deadline_ms=wait_ms)
     settings = face.Settings(
         gateways=1,
         index=0,
         classes=(lookup,),
-        max_attempts=figures["most_attempts"],
+        max_attempts=numbers["most_attempts"],
         may_withdraw=True,
         tick_ms=5.0,
     )
@@ -62,15 +64,15 @@
         resolvers=resolvers,
         suffix=suffix,
         answer_within_ms=wait_ms,
-        attempt_ms=figures["attempt_ms"],
-        most_held=figures["most_held"],
-        most_connections=figures["most_connections"],
+        attempt_ms=numbers["attempt_ms"],
+        most_held=numbers["most_held"],
+        most_connections=numbers["most_connections"],
         settings=settings,
     )
 
 
 class EnumSettings(Kind):
-    """What the file of this part may say."""
+    """Describes the settings file of ENUM look-ups."""
 
     name, variable, lasting = "enum", "LEADSLIP_ENUM", "enum"
     settings = staticmethod(settings)
--- a/leadslip/parts/logs/__init__.py
+++ b/leadslip/parts/logs/__init__.py
@@ -1,1 +1,1 @@
-"""How events are written (logs.py); never off."""
+"""The part that configures logging (logs.py); always on."""
--- a/leadslip/parts/logs/part.py
+++ b/leadslip/parts/logs/part.py
@@ -1,4 +1,4 @@
-"""How events are written: nothing to wire, the log is there before the proxy."""
+"""Logging has nothing to wire: the log is opened before the proxy is created."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Logs(Part):
-    """Needs no wiring: the log is there before the proxy."""
+    """Adds nothing to the proxy, whose log is opened before it is created."""
 
 
 PART = Logs
--- a/leadslip/parts/logs/settings.py
+++ b/leadslip/parts/logs/settings.py
@@ -1,4 +1,4 @@
-"""Settings of how events are written (logs.py); never off."""
+"""Settings of logging (logs.py), which is always on."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogsConfig:
-    """How events are written."""
+    """The format and the minimum level of the log."""
 
     format: str = "plain"
     level: str = "info"
@@ -21,7 +21,7 @@
 
 
 def settings(told: Mapping, around: Around | None = None) -> LogsConfig:
-    """The checked configuration of the log; plain lines where nothing is said."""
+    """The validated settings of the log; plain lines of level info by default. Raises MalformedError."""
     for key in told:
         if key not in ("format", "level"):
             raise UnknownKeyError(f"logs.{key} is unknown")
@@ -34,7 +34,7 @@
 
 
 class LogsSettings(Kind):
-    """What the file of this part may say."""
+    """Describes the settings file of logging."""
 
     name, variable, lasting = "logs", "LEADSLIP_LOGS", "logs"
     settings = staticmethod(settings)
--- a/leadslip/parts/otlp/__init__.py
+++ b/leadslip/parts/otlp/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics and traces to an OpenTelemetry collector (net/otlp.py)."""
+"""The part that exports metrics and traces to an OpenTelemetry collector (net/otlp.py)."""
--- a/leadslip/parts/otlp/settings.py
+++ b/leadslip/parts/otlp/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the export of metrics and traces (net/otlp.py)."""
+"""Settings of the OTLP export of metrics and traces (net/otlp.py)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OtlpConfig:
-    """The export of metrics and traces."""
+    """Settings of the OTLP export; most_spans and most_batch bound the queue and one request."""
 
     collector: Address
     interval_ms: float
@@ -20,7 +20,7 @@
     most_batch: int
 
 
-OTLP_KEYS = {  # key -> (default, least, most)
+OTLP_KEYS = {  # key -> (default, minimum, maximum)
     "interval_ms": (5000.0, 10.0, 600_000.0),
     "timeout_ms": (3000.0, 10.0, 60_000.0),
     "most_spans": (4096, 1, 100_000),
@@ -29,15 +29,15 @@
 
 
 def settings(told: Mapping, around: Around | None = None) -> OtlpConfig | None:
-    """The checked configuration of the OTLP export; None where it is not turned on."""
+    """The validated settings of the OTLP export; None where it is off. Raises MalformedError."""
     if not turned_on(told, "otlp", ("collector", *OTLP_KEYS)):
         return None
-    figures = figures_of(told, "otlp", OTLP_KEYS)
-    return OtlpConfig(address_of(member(told, "collector", str, "otlp"), "otlp.collector"), **figures)
+    numbers = figures_of(told, "otlp", OTLP_KEYS)
+    return OtlpConfig(address_of(member(told, "collector", str, "otlp"), "otlp.collector"), **numbers)
 
 
 class OtlpSettings(Kind):
-    """What the file of this part may say."""
+    """Describes the settings file of the OTLP export."""
 
     name, variable, lasting = "otlp", "LEADSLIP_OTLP", "otlp"
     settings = staticmethod(settings)
--- a/leadslip/parts/part.py
+++ b/leadslip/parts/part.py
@@ -1,4 +1,4 @@
-"""One part of a running proxy: what it may add, and what it is told."""
+"""The base of the optional parts of a running proxy: what a part may add, and its life-cycle callbacks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Host(Protocol):
-    """What a part may use of the proxy that it belongs to."""
+    """The proxy as its parts see it."""
 
     reactor: object
     conf: Config
@@ -29,54 +29,54 @@
     log: Log
     readiness: Readiness
     figures: Counters
-    engine: Engine  # of calls; made after the parts
+    engine: Engine  # of calls; created after the parts
     engines: list[Engine]
     watches: Mapping[str, Watcher | None]
-    clients: Clients  # made after the parts, as the servers are
+    clients: Clients  # created after the parts, as the servers are
     servers: Servers
-    parts: Mapping[str, Part]  # those that are on, by name
+    parts: Mapping[str, Part]  # the parts that are on, by name
 
     def filter(self) -> None:
-        """Ask all parts for their filters anew."""
+        """Rebuilds the filter chain from the filters of all parts."""
 
 
 class Part:
-    """One part of a running proxy; made only where its settings turn it on."""
+    """One part of a running proxy; created only where its settings enable it."""
 
     def __init__(self, node: Host, conf: object) -> None:
         self.node, self.conf = node, conf
 
     def watch(self, watches: dict[str, list[Watcher]]) -> None:
-        """Add watchers of the engines, before these are made: `sip` for calls, `dns` for look-ups."""
+        """Adds observers of the engines, before these are created: `sip` for calls, `dns` for look-ups."""
 
     def facts(self) -> dict[str, str | int]:
-        """What other members of the fleet are told of this one."""
+        """The part's contribution to this member's metadata in the fleet."""
         return {}
 
     def filters(self) -> list[Filter]:
-        """Filters ahead of the decisions, made anew at each reload."""
+        """Filters that run before the decisions; created again at each reload."""
         return []
 
     def figures(self) -> dict[str, Callable[[], int]]:
-        """Figures that operators read besides the proxy's own."""
+        """Gauges that are reported to operators beside the proxy's own, by name."""
         return {}
 
     def calls(self) -> Calls:
-        """Calls at the operators' address."""
+        """Endpoints at the operators' address, by name."""
         return {}
 
     def start(self) -> None:
-        """The proxy takes clients from here on."""
+        """Called when the proxy starts to accept clients."""
 
     def service(self, told: str) -> None:
-        """The proxy is `in` service from here on, or `out` of it as operators want, or `ending`."""
+        """Called when the service state changes: `in` service, `out` of service for operators, or `ending`."""
 
     def retuned(self, conf: object) -> None:
-        """A reload has been taken."""
+        """Called with the new settings after a reload."""
         self.conf = conf
 
     def ended_elsewhere(self, call: str) -> None:
-        """A server has ended a call that the engine does not hold."""
+        """Called when a server has ended a call that this engine does not have."""
 
     def close(self) -> None:
-        """The proxy ends."""
+        """Called when the proxy shuts down."""
--- a/leadslip/site.py
+++ b/leadslip/site.py
@@ -1,10 +1,10 @@
-"""A small site to try a proxy on: settings, and a whole configuration before one toy server. No I/O."""
+"""A demonstration site: settings, and the complete configuration of a proxy for one toy server. Does no I/O."""
 
 from __future__ import annotations
 
 
 def settings() -> dict:
-    """Settings of a small site with two classes of calls."""
+    """Settings of a small site with two call classes."""
     common = {"aim_ms": 1500.0, "deadline_ms": 9000.0}
     return {
         "balancers": 1,
@@ -27,7 +27,7 @@
 
 
 def configuration(server: int, board: int, listen: int) -> dict:
-    """A whole configuration of one proxy before the toy server."""
+    """The complete configuration of a proxy that uses the toy server; the arguments are local ports."""
     target = {"uid": "toy", "endpoint": f"127.0.0.1:{server}", "state": "active", "pod_group": 0, "az": ""}
     return {
         "name": "demo",
--- a/tests/test_configure.py
+++ b/tests/test_configure.py
@@ -1,4 +1,4 @@
-"""The configuration tool: what it writes starts the program's own checks, and what is wrong is named."""
+"""The configuration tool: the files that it writes are valid, and errors name the offending key."""
 
 import json
 import tomllib
@@ -20,20 +20,20 @@
     return write
 
 
-def test_each_application_gets_files_that_the_program_takes(source, tmp_path, capsys):
+def test_each_application_gets_valid_files(source, tmp_path, capsys):
     assert configure.main(["write", source(SOURCE), str(tmp_path / "out")]) == 0
     names = sorted(path.name for path in (tmp_path / "out").iterdir())
     assert names == ["siren-desk", "voice-alerts"]
     seeds = set()
     for name in names:
-        place = tmp_path / "out" / name
-        told = config.load({"NODE_CONFIG": str(place / "config.json")})
-        seeds.add(told.seed)
-        assert told.name == name and len(told.notices[0].addresses) == 1
-        assert configure.main(["check", *map(str, place.iterdir())]) == 0
+        folder = tmp_path / "out" / name
+        conf = config.load({"NODE_CONFIG": str(folder / "config.json")})
+        seeds.add(conf.seed)
+        assert conf.name == name and len(conf.notices[0].addresses) == 1
+        assert configure.main(["check", *map(str, folder.iterdir())]) == 0
     assert len(seeds) == 2
     enum = tmp_path / "out" / "voice-alerts" / "enum.toml"
-    assert parts.read(told, {"LEADSLIP_ENUM": str(enum)})["enum"].resolvers == (("127.0.0.1", 5301),)
+    assert parts.read(conf, {"LEADSLIP_ENUM": str(enum)})["enum"].resolvers == (("127.0.0.1", 5301),)
     assert not (tmp_path / "out" / "siren-desk" / "enum.toml").exists()
     capsys.readouterr()
 
@@ -58,7 +58,7 @@
         ("board =", "bored =", "bored is unknown"),
     ],
 )
-def test_what_is_wrong_is_named_and_nothing_is_written(source, tmp_path, capsys, old, new, key):
+def test_an_error_names_its_key_and_nothing_is_written(source, tmp_path, capsys, old, new, key):
     assert old in SOURCE
     path = source(SOURCE.replace(old, new))
     assert configure.main(["write", path, str(tmp_path / "out")]) == 2
@@ -66,19 +66,19 @@
     assert key in capsys.readouterr().err and not (tmp_path / "out").exists()
 
 
-def test_the_files_under_deploy_are_off_and_sound():
+def test_the_files_under_deploy_are_valid_and_disable_their_parts():
     root = configure.Path(__file__).parent.parent
     for name in parts.NAMES:
-        told = tomllib.loads((root / "deploy" / f"{name}.toml").read_text())
+        table = tomllib.loads((root / "deploy" / f"{name}.toml").read_text())
         check, around = parts.kind(name).settings, parts.Around(settings={"store": True, "fleet": True})
-        assert check(told, around) == (LogsConfig() if name == "logs" else None)
+        assert check(table, around) == (LogsConfig() if name == "logs" else None)
         with pytest.raises(config.MalformedError, match="odd is unknown"):
-            check(told | {"odd": 1}, around)
+            check(table | {"odd": 1}, around)
         if name != "logs":
-            assert check(told | {"enabled": True}, around) is not None
+            assert check(table | {"enabled": True}, around) is not None
 
 
-def test_an_example_configuration_is_json_that_the_program_takes():
+def test_the_example_configuration_is_valid():
     path = configure.Path(__file__).parent.parent / "example" / "config.json"
     assert config.config_of(json.loads(path.read_text())).name == "example"
 
@@ -98,20 +98,22 @@
 """
 
 
-def test_stores_and_trunk_groups_are_written_and_two_writers_of_one_file_refused(source, tmp_path, capsys):
+def test_stores_and_trunk_groups_are_written_and_a_store_file_used_twice_is_refused(source, tmp_path, capsys):
     first, second = SOURCE.rstrip().rsplit("[[application]]", 1)
-    told = first + STORED.format("a", "resident-call") + "\n[[application]]" + second
+    text = first + STORED.format("a", "resident-call") + "\n[[application]]" + second
 
-    def write(path, kind):
-        return configure.main(["write", source(told + STORED.format(path, kind)), str(tmp_path / path)])
+    def write(path, call_class):
+        return configure.main(["write", source(text + STORED.format(path, call_class)), str(tmp_path / path)])
 
     assert write("b", "officer-call") == 0
-    for name, kind in (("siren-desk", "resident-call"), ("voice-alerts", "officer-call")):
-        place = tmp_path / "b" / name
-        told_of = tomllib.loads((place / "trunks.toml").read_text())
-        (group,) = parts.kind("trunks").settings(told_of, parts.Around(settings={"store": True})).groups
-        assert (group.name, group.reserve) == ("north", {kind: 2})
-        assert configure.main(["check", *map(str, place.iterdir())]) == 0
+    for name, call_class in (("siren-desk", "resident-call"), ("voice-alerts", "officer-call")):
+        folder = tmp_path / "b" / name
+        table = tomllib.loads((folder / "trunks.toml").read_text())
+        (group,) = parts.kind("trunks").settings(table, parts.Around(settings={"store": True})).groups
+        assert (group.name, group.reserve) == ("north", {call_class: 2})
+        assert configure.main(["check", *map(str, folder.iterdir())]) == 0
     assert write("a", "officer-call") == 2 and write("c", "other") == 2
-    said = capsys.readouterr().err
-    assert "application.1.store.path is taken by siren-desk" in said and "reserve.other is no class" in said
+    stderr = capsys.readouterr().err
+    assert (
+        "application.1.store.path is taken by siren-desk" in stderr and "reserve.other is no class" in stderr
+    )
--- a/tests/test_enum.py
+++ b/tests/test_enum.py
@@ -1,4 +1,4 @@
-"""ENUM look-ups: the program against stand-in resolvers that fail in every way they can."""
+"""ENUM look-ups: the proxy against stand-in resolvers that reply, fail or stay silent in different ways."""
 
 import socket
 import struct
@@ -6,8 +6,8 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as fixed
-from hypothesis import strategies as some
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
 from twisted.internet.task import Clock
 from twisted.names import dns
 
@@ -16,40 +16,45 @@
 from leadslip.core import Deadlines, Engine
 from leadslip.net import enum
 from leadslip.net.links import MessageError
-from leadslip.parts.enum import settings as enum_part
+from leadslip.parts.enum import settings as enum_settings
 from tests.standins import HOST, Program, Resolver, ask, ask_many, query, reply
 from tests.test_links import Transport
 
 NAME = b"9.8.7.6.5.4.3.2.1.2.8.e164.arpa"
 
 
-def good(asked):
-    return [reply(asked)]
+def replies(received):
+    return [reply(received)]
 
 
-def silent(asked):
+def silent(received):
     return []
 
 
-def truncated(asked):
-    return [reply(asked, records=40)] if asked.over_tcp else [reply(asked, records=0, trunc=1)]
+def truncated(received):
+    return [reply(received, records=40)] if received.over_tcp else [reply(received, records=0, trunc=1)]
 
 
-def half_closed(asked):
-    return [reply(asked)[:20]] if asked.over_tcp else [reply(asked, records=0, trunc=1)]
+def half_reply(received):
+    return [reply(received)[:20]] if received.over_tcp else [reply(received, records=0, trunc=1)]
 
 
-def lies(asked):
-    other = [dns.Query(b"1.e164.arpa", dns.NAPTR)]
-    return [reply(asked, id=asked.id ^ 1), reply(asked, queries=other), b"\0" * 5, query(NAME, asked.id)]
+def spoofed(received):
+    other_question = [dns.Query(b"1.e164.arpa", dns.NAPTR)]
+    return [
+        reply(received, id=received.id ^ 1),
+        reply(received, queries=other_question),
+        b"\0" * 5,
+        query(NAME, received.id),
+    ]
 
 
-def foreign(asked):
-    return [reply(asked, owner=b"1.e164.arpa")]
+def wrong_owner(received):
+    return [reply(received, owner=b"1.e164.arpa")]
 
 
 def fails(rcode):
-    return lambda asked: [reply(asked, rcode, records=0)]
+    return lambda received: [reply(received, rcode, records=0)]
 
 
 @pytest.fixture
@@ -58,9 +63,9 @@
 
     def begin(*behaviours, release=True, **changes):
         resolvers = [Resolver(behaviour) for behaviour in behaviours]
-        told = {"attempt_ms": 200, "answer_within_ms": 1500} | changes
+        numbers = {"attempt_ms": 200, "answer_within_ms": 1500} | changes
         lines = [f'listen = "{HOST}:0"', f"resolvers = {[r.address for r in resolvers]}", "enabled = true"]
-        lines += [f"{key} = {value}" for key, value in told.items()]
+        lines += [f"{key} = {value}" for key, value in numbers.items()]
         program = Program(tmp_path, {"s0": f"{HOST}:9"}, release, "\n".join(lines))
         started.append((program, resolvers))
         return program, resolvers
@@ -73,8 +78,8 @@
 
 
 @pytest.mark.parametrize("release", [True, False], ids=["release", "debug"])
-def test_an_answer_passes_with_its_records_under_the_askers_id(start, release):
-    program, _ = start(good, good, release=release)
+def test_a_reply_is_forwarded_with_its_records_and_the_id_of_the_clients_query(start, release):
+    program, _ = start(replies, replies, release=release)
     for over_tcp in (False, True):
         answer = ask(program.enum_at, NAME, 77, over_tcp)
         assert (answer.id, answer.answer, answer.rCode) == (77, 1, dns.OK)
@@ -83,31 +88,33 @@
 
 
 @pytest.mark.parametrize(
-    ("behaviours", "rcode", "tried"),
+    ("behaviours", "rcode", "queries_per_request"),
     [
         ([fails(dns.ENAME)] * 2, dns.ENAME, 1),
         ([fails(dns.OK)] * 2, dns.OK, 1),
         ([fails(dns.ESERVER)] * 2, dns.EREFUSED, 2),
         ([fails(dns.EREFUSED)] * 2, dns.EREFUSED, 2),
         ([silent, silent], dns.EREFUSED, 2),
-        ([silent, good], dns.OK, None),
-        ([lies, good], dns.OK, None),
-        ([foreign, good], dns.OK, None),
-        ([half_closed, good], dns.OK, None),
-        ([fails(dns.ESERVER), good], dns.OK, None),
+        ([silent, replies], dns.OK, None),
+        ([spoofed, replies], dns.OK, None),
+        ([wrong_owner, replies], dns.OK, None),
+        ([half_reply, replies], dns.OK, None),
+        ([fails(dns.ESERVER), replies], dns.OK, None),
     ],
 )
-def test_every_query_gets_exactly_one_answer_whatever_resolvers_do(start, behaviours, rcode, tried):
+def test_every_query_gets_exactly_one_reply_whatever_the_resolvers_do(
+    start, behaviours, rcode, queries_per_request
+):
     program, resolvers = start(*behaviours)
-    # Two in turn, so that either resolver is the first choice of one.
+    # Two queries, so that each resolver is the first choice of one.
     for id_ in (1, 2):
         answers = ask_many(program.enum_at, [(NAME, id_)], quiet_s=0.3)
         assert [(a.id, a.rCode) for a in answers] == [(id_, rcode)]
-    if tried is not None:
-        assert sum(len(r.queries) for r in resolvers) == 2 * tried
+    if queries_per_request is not None:
+        assert sum(len(r.queries) for r in resolvers) == 2 * queries_per_request
 
 
-def test_a_silent_resolver_with_no_time_left_is_a_failure_before_the_asker_gives_up(start):
+def test_a_silent_resolver_gives_a_server_failure_at_the_overall_deadline(start):
     program, _ = start(silent, attempt_ms=5000, answer_within_ms=500)
     assert ask(program.enum_at, NAME).rCode == dns.ESERVER
 
@@ -116,23 +123,26 @@
     program, (resolver,) = start(truncated, attempt_ms=5000, answer_within_ms=6000)
     answer = ask(program.enum_at, NAME, over_tcp=True)
     assert len(answer.answers) == 40
-    assert [asked.over_tcp for asked in resolver.queries] == [False, True]
-    short = ask(program.enum_at, NAME)
-    assert (short.trunc, short.answers) == (1, [])  # too long for this asker's datagram: it asks again by TCP
+    assert [received.over_tcp for received in resolver.queries] == [False, True]
+    udp_answer = ask(program.enum_at, NAME)
+    assert (udp_answer.trunc, udp_answer.answers) == (
+        1,
+        [],
+    )  # too long for a datagram to this client, which retries over TCP
 
 
-def test_a_resolver_that_dies_leaves_the_rest_to_the_other(start):
-    program, (first, _) = start(good, good)
+def test_after_one_resolver_stops_the_other_answers_all_queries(start):
+    program, (first, _) = start(replies, replies)
     assert ask(program.enum_at, NAME).rCode == dns.OK
     first.die()
     for id_ in range(4):
         assert ask(program.enum_at, NAME, id_).rCode == dns.OK
 
 
-def test_many_at_once_are_each_answered_once(start):
-    program, _ = start(good, good)
-    asked = [(b"%d.%d.2.8.e164.arpa" % (i // 10, i % 10), i) for i in range(60)]
-    answers = ask_many(program.enum_at, asked, quiet_s=0.2)
+def test_concurrent_queries_get_one_reply_each(start):
+    program, _ = start(replies, replies)
+    queries = [(b"%d.%d.2.8.e164.arpa" % (i // 10, i % 10), i) for i in range(60)]
+    answers = ask_many(program.enum_at, queries, quiet_s=0.2)
     assert all(a.rCode == dns.OK for a in answers)
     assert sorted(a.id for a in answers) == list(range(60))
 
@@ -147,33 +157,35 @@
         (query(NAME)[:20], dns.EFORMAT),
     ],
 )
-def test_what_is_no_look_up_is_told_so(start, data, rcode):
-    program, (resolver,) = start(good)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as link:
-        link.settimeout(10)
-        link.connect(program.enum_at)
-        link.send(data)
-        answer = link.recv(512)
+def test_a_query_that_is_no_enum_look_up_gets_an_error_code(start, data, rcode):
+    program, (resolver,) = start(replies)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
+        client.settimeout(10)
+        client.connect(program.enum_at)
+        client.send(data)
+        answer = client.recv(512)
     assert answer[:2] == data[:2] and answer[3] & 15 == rcode and answer[2] & 0x80
     assert not resolver.queries
 
 
-def test_garbage_on_one_connection_closes_that_one_alone(start):
-    program, _ = start(good)
-    with socket.create_connection(program.enum_at, timeout=10) as link:
-        link.sendall(struct.pack("!H", 9) + b"\xff" * 9)
+def test_a_malformed_message_closes_only_its_own_connection(start):
+    program, _ = start(replies)
+    with socket.create_connection(program.enum_at, timeout=10) as client:
+        client.sendall(struct.pack("!H", 9) + b"\xff" * 9)
         with pytest.raises(ConnectionResetError):
-            if not link.recv(1):
+            if not client.recv(1):
                 raise ConnectionResetError
     assert ask(program.enum_at, NAME, over_tcp=True).rCode == dns.OK
 
 
-class Quiet:
-    """A far side that never answers, and a Unix clock that stands where it is put."""
+class SilentUpstream:
+    """An engine with an upstream side that never replies, and a clock that the test advances."""
 
     def __init__(self):
         self.clock, self.tally = Clock(), Tally()
-        conf = enum_part.settings({"enabled": True, "listen": "127.0.0.1:1", "resolvers": ["127.0.0.1:2"]})
+        conf = enum_settings.settings(
+            {"enabled": True, "listen": "127.0.0.1:1", "resolvers": ["127.0.0.1:2"]}
+        )
         self.deadlines = Deadlines(self, self.clock)
         self.front = enum.EnumFront(conf, self.tally, self.deadlines)
         self.front.engine = Engine(
@@ -187,57 +199,57 @@
         return 1e12 + self.clock.seconds() * 1000.0
 
 
-@fixed(derandomize=True, max_examples=300, deadline=None)
-@given(some.binary(max_size=80), some.integers(0, 80), some.integers(0, 255))
-def test_garbage_is_told_from_messages_and_never_raises_else(junk, at, byte):
-    quiet = Quiet()
-    spoilt = bytearray(query(NAME))
-    spoilt[at % len(spoilt)] = byte
-    for data in (junk, query(NAME)[:at], bytes(spoilt)):
-        said = []
-        quiet.front.transport = None
-        quiet.front.datagramReceived(data, ("127.0.0.1", 9))
+@hypothesis_settings(derandomize=True, max_examples=300, deadline=None)
+@given(st.binary(max_size=80), st.integers(0, 80), st.integers(0, 255))
+def test_malformed_data_raises_only_message_error(junk, position, byte):
+    world = SilentUpstream()
+    damaged = bytearray(query(NAME))
+    damaged[position % len(damaged)] = byte
+    for data in (junk, query(NAME)[:position], bytes(damaged)):
+        sent = []
+        world.front.transport = None
+        world.front.datagramReceived(data, ("127.0.0.1", 9))
         try:
-            quiet.front.take(data, said.append, "asker", None)
+            world.front.handle_query(data, sent.append, "client", None)
         except MessageError:
-            assert not said
-        quiet.resolver.datagramReceived(data, ("127.0.0.1", 2))
-        assert len(said) <= 1
+            assert not sent
+        world.resolver.datagramReceived(data, ("127.0.0.1", 2))
+        assert len(sent) <= 1
 
 
-def test_half_a_reply_over_tcp_does_not_hold_up_the_replies_after_it():
-    quiet, dialled, said = Quiet(), [], []
-    resolver = quiet.resolver
-    resolver.far.reactor = SimpleNamespace(connectTCP=lambda *told, **more: dialled.append(1))
+def test_an_unfinished_reply_over_tcp_does_not_block_later_replies():
+    world, connects, sent = SilentUpstream(), [], []
+    resolver = world.resolver
+    resolver.upstream.reactor = SimpleNamespace(connectTCP=lambda *args, **kwargs: connects.append(1))
     resolver.transport = SimpleNamespace(write=lambda data: None)
-    quiet.send, quiet.give_up = resolver.send, resolver.drop
-    listed = face.ListEntry(resolver.name, 0, face.ServerState.READY)
-    quiet.front.engine.news(face.ListNews(face.NewsKind.WHOLE, (listed,)))
+    world.send, world.give_up = resolver.send, resolver.abandon
+    entry = face.ListEntry(resolver.name, 0, face.ServerState.READY)
+    world.front.engine.news(face.ListNews(face.NewsKind.WHOLE, (entry,)))
 
     def ask_truncated(name):
-        quiet.front.take(query(name), said.append, name, None)
-        asked = dns.Message(list(resolver.pending)[-1])
-        asked.queries = [dns.Query(name, dns.NAPTR)]
-        asked.over_tcp = False
-        resolver.datagramReceived(truncated(asked)[0], resolver.address)
-        asked.over_tcp = True
-        return truncated(asked)[0]
-
-    def up():
-        link = enum.ResolverLink(resolver)
-        link.makeConnection(Transport())
-        return link
+        world.front.handle_query(query(name), sent.append, name, None)
+        received = dns.Message(list(resolver.pending)[-1])
+        received.queries = [dns.Query(name, dns.NAPTR)]
+        received.over_tcp = False
+        resolver.datagramReceived(truncated(received)[0], resolver.address)
+        received.over_tcp = True
+        return truncated(received)[0]
+
+    def connect():
+        connection = enum.ResolverConnection(resolver)
+        connection.makeConnection(Transport())
+        return connection
 
     ask_truncated(NAME)
-    first = up()
+    first = connect()
     first.dataReceived(b"\0\x40half")
-    quiet.clock.advance(0.3)
+    world.clock.advance(0.3)
     second = ask_truncated(b"9." + NAME)
-    quiet.clock.advance(0.11)
-    assert first.transport.disconnecting and len(dialled) == 2
-    up().dataReceived(struct.pack("!H", len(second)) + second)
-    quiet.clock.advance(1.2)
-    assert [answer[3] & 15 for answer in said] == [dns.OK, dns.EREFUSED]
+    world.clock.advance(0.11)
+    assert first.transport.disconnecting and len(connects) == 2
+    connect().dataReceived(struct.pack("!H", len(second)) + second)
+    world.clock.advance(1.2)
+    assert [answer[3] & 15 for answer in sent] == [dns.OK, dns.EREFUSED]
 
 
 @pytest.mark.parametrize(
@@ -251,5 +263,5 @@
         ("1.e164.arpa.example", None),
     ],
 )
-def test_the_number_that_a_name_stands_for(name, number):
+def test_the_number_that_a_domain_name_encodes(name, number):
     assert enum.number_of(name, "e164.arpa") == number
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors that a person can meet: a type, a code and an action for each, and none that bypasses them."""
+"""Errors reported to operators: each has a type, a code and an action, and no raise bypasses these types."""
 
 import ast
 import json
@@ -12,71 +12,75 @@
 from leadslip.operators import problem
 from tests.standins import ROOT
 
-# Raised within the program and caught there, or against whoever writes it; no person is told of one.
-WITHIN = {
-    "MessageError",  # a peer's message is refused and counted
-    "WireError",  # a member's datagram is refused and counted
-    "BrokenError",  # the model check has found a fault of the program
-    "TypeError",  # an action that has no line in the simulator: never in a program that starts
-    "CannotListenError",  # becomes ListenError in __main__, or another port is tried
-    "CorruptError",  # becomes StoreError where it is raised
-    "ValueError",  # filters of one name (filters.py); a collector's answer (net/otlp.py), counted
+# Internal: caught within the program, or raised for a programming error; never reported to an operator.
+INTERNAL = {
+    "MessageError",  # a malformed message of a peer, refused and counted
+    "WireError",  # an invalid datagram of a member, refused and counted
+    "BrokenError",  # the model check has found a defect in the program
+    "TypeError",  # an action without a line in the simulator's protocol; does not occur in a program that starts
+    "CannotListenError",  # converted to ListenError in __main__, or another port is tried
+    "CorruptError",  # converted to StoreError where it is raised
+    "ValueError",  # two filters of one name (filters.py); a collector's error status (net/otlp.py), counted
 }
 
 
 @pytest.fixture(scope="module")
 def types():
     page.load()
-    return {kind.__name__: kind for kind in all_errors()}
+    return {error_type.__name__: error_type for error_type in all_errors()}
 
 
 def raised():
-    """Each raise of a new error in the program: where, and the type's name."""
+    """Each raise of a new error in the program: its location and the name of the type."""
     for path in sorted(Path(ROOT, "leadslip").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Raise) and isinstance(node.exc, ast.Call):
-                called = node.exc.func
-                name = called.attr if isinstance(called, ast.Attribute) else getattr(called, "id", "")
+                constructor = node.exc.func
+                name = (
+                    constructor.attr
+                    if isinstance(constructor, ast.Attribute)
+                    else getattr(constructor, "id", "")
+                )
                 yield f"{path.relative_to(ROOT)}:{node.lineno}", name
 
 
-def test_no_raise_bypasses_the_types(types):
-    again = {"within"}  # of MalformedError: the same type, with the path before it
-    wrong = [told for told in raised() if told[1] not in types.keys() | WITHIN | again]
-    assert not wrong
-    assert len([told for told in raised() if told[1] in types]) > 100
+def test_every_raise_is_of_an_operator_error_or_an_internal_type(types):
+    copies = {"with_prefix"}  # of MalformedError: returns the same type with a path before the key
+    bypassing = [item for item in raised() if item[1] not in types.keys() | INTERNAL | copies]
+    assert not bypassing
+    assert len([item for item in raised() if item[1] in types]) > 100
 
 
-def test_what_is_raised_within_is_raised_somewhere():
-    assert {name for _, name in raised()} >= WITHIN
+def test_every_internal_type_is_raised_somewhere():
+    assert {name for _, name in raised()} >= INTERNAL
 
 
-def test_each_code_is_one_types_and_each_action_says_something(types):
-    codes = [kind.code for kind in types.values()]
+def test_codes_are_unique_and_actions_are_sentences(types):
+    codes = [error_type.code for error_type in types.values()]
     assert len(set(codes)) == len(codes) > 20
-    for kind in types.values():
-        assert {"code", "action"} <= kind.__dict__.keys() and kind.__doc__, kind
-        assert kind.action.endswith(".") and len(kind.action.split()) >= 3, kind
-        assert 400 <= kind.status < 600 and "|" not in kind.action + kind.title()
+    for error_type in types.values():
+        assert {"code", "action"} <= error_type.__dict__.keys() and error_type.__doc__, error_type
+        assert error_type.action.endswith(".") and len(error_type.action.split()) >= 3, error_type
+        assert 400 <= error_type.status < 600 and "|" not in error_type.action + error_type.title()
 
 
-def test_the_page_is_what_the_program_tells():
+def test_the_page_of_errors_is_up_to_date():
     assert Path(ROOT, "docs/operators/errors.md").read_text() == page.page()
 
 
-def test_an_error_reads_alike_in_log_address_and_command(types, capsys, tmp_path):
-    fault = types["MissingError"]("fleet.listen is missing")
-    assert fault.fields() == {
+def test_an_error_is_the_same_in_log_http_answer_and_command_output(types, capsys, tmp_path):
+    error = types["MissingError"]("fleet.listen is missing")
+    assert error.fields() == {
         "fault": "fleet.listen is missing",
         "code": "config.missing",
         "action": "Add the key named.",
     }
-    answer = problem(fault)
-    told = json.loads(answer.body)
-    assert answer.kind == b"application/problem+json" and answer.status == told["status"] == 400
-    assert told["type"].endswith(told["code"]) and told["detail"] == str(fault) and told["action"]
-    with pytest.raises(SystemExit) as ended:
+    answer = problem(error)
+    body = json.loads(answer.body)
+    assert answer.kind == b"application/problem+json" and answer.status == body["status"] == 400
+    assert body["type"].endswith(body["code"]) and body["detail"] == str(error) and body["action"]
+    with pytest.raises(SystemExit) as system_exit:
         main(["drill", "run", str(tmp_path / "none.toml")])
-    said = capsys.readouterr().err
-    assert ended.value.code == 2 and said.startswith("leadslip: ")
-    assert "(drill.scenario): " in said and types["ScenarioError"].action in said
+    stderr = capsys.readouterr().err
+    assert system_exit.value.code == 2 and stderr.startswith("leadslip: ")
+    assert "(drill.scenario): " in stderr and types["ScenarioError"].action in stderr
--- a/tests/test_otlp.py
+++ b/tests/test_otlp.py
@@ -1,4 +1,4 @@
-"""The OTLP export against a stand-in collector: what it gets, and that a dead one delays no call."""
+"""The OTLP export against a stand-in collector: what is exported, and that a failed collector delays no call."""
 
 import time
 
@@ -13,15 +13,15 @@
 
 
 class Collector(Listener):
-    """Takes exports, or reads them and never answers."""
+    """A collector that stores the exports it receives, or reads them and never answers."""
 
     def __init__(self, answers=True):
         self.answers, self.metrics, self.spans, self.bodies = answers, {}, [], 0
         super().__init__()
 
-    def serve(self, link):
-        file = link.makefile("rb")
-        while start := file.readline():
+    def serve(self, connection):
+        file = connection.makefile("rb")
+        while request_line := file.readline():
             size = 0
             while (line := file.readline()) not in (b"\r\n", b""):
                 if line.lower().startswith(b"content-length:"):
@@ -30,14 +30,14 @@
             self.bodies += 1
             if not self.answers:
                 time.sleep(60)
-            if b"/v1/metrics" in start:
-                told = ExportMetricsServiceRequest.FromString(body)
-                (scope,) = told.resource_metrics[0].scope_metrics
+            if b"/v1/metrics" in request_line:
+                export = ExportMetricsServiceRequest.FromString(body)
+                (scope,) = export.resource_metrics[0].scope_metrics
                 self.metrics = {m.name: m.sum.data_points[0].as_int for m in scope.metrics}
             else:
-                told = ExportTraceServiceRequest.FromString(body)
-                self.spans += told.resource_spans[0].scope_spans[0].spans
-            link.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+                export = ExportTraceServiceRequest.FromString(body)
+                self.spans += export.resource_spans[0].scope_spans[0].spans
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
             return
 
 
@@ -66,12 +66,12 @@
         assert caller.hear()[0].startswith("BYE ")
 
 
-def test_a_collector_gets_counters_and_the_spans_of_a_call(start):
+def test_the_collector_receives_counters_and_the_spans_of_a_call(start):
     collector = Collector()
     call(start(collector.address))
     wait_for(lambda: len(collector.spans) == 2 and collector.metrics.get("leadslip.attempts.served"))
-    kinds = {span.kind: span for span in collector.spans}
-    server, client = kinds[Span.SPAN_KIND_SERVER], kinds[Span.SPAN_KIND_CLIENT]
+    span_of_kind = {span.kind: span for span in collector.spans}
+    server, client = span_of_kind[Span.SPAN_KIND_SERVER], span_of_kind[Span.SPAN_KIND_CLIENT]
     assert client.trace_id == server.trace_id and client.parent_span_id == server.span_id
     assert {a.key for a in client.attributes} == {"network.protocol.name", "server.address"}
     assert server.name == "INVITE" and len(server.trace_id) == 16 and not server.status.code
@@ -79,7 +79,7 @@
     assert collector.metrics["leadslip.answers.stands"] == 1
 
 
-def test_a_dead_collector_delays_no_call_and_what_is_lost_is_counted(start):
+def test_an_unreachable_collector_delays_no_call_and_dropped_spans_are_counted(start):
     program = start(f"{HOST}:1", "most_spans = 10")
     call(program, 20)
     program.stop()
@@ -87,7 +87,7 @@
     assert counts["answers.stands"] == 20 and counts["otlp.failed_exports"] and counts["otlp.dropped_spans"]
 
 
-def test_a_collector_that_never_answers_delays_no_call_and_its_queue_is_bounded(start):
+def test_a_collector_that_never_answers_delays_no_call_and_the_span_queue_is_bounded(start):
     collector = Collector(answers=False)
     program = start(collector.address, "most_spans = 5", "timeout_ms = 20000")
     wait_for(lambda: collector.bodies > 0)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,76 +1,76 @@
-"""Imports run downward, also those for types and those made late: no module reads one that reads it."""
+"""The import graph has no cycles, counting imports for type checking and imports inside functions."""
 
 import ast
 from pathlib import Path
 
 from tests.standins import ROOT
 
-TWISTED_BY = ("leadslip.net", "leadslip.__main__", "leadslip.cli")  # who may import Twisted
+TWISTED_BY = ("leadslip.net", "leadslip.__main__", "leadslip.cli")  # may import Twisted
 
 
 def imports():
-    """Each module of the program -> what of the program, and of Twisted, it imports anywhere in its text."""
+    """Each module of the program -> the modules of the program and of Twisted that it imports anywhere."""
     paths = {
         ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
         for path in Path(ROOT, "leadslip").rglob("*.py")
     }
-    told = {}
+    graph = {}
     for module, path in paths.items():
-        held = told[module] = set()
+        imported = graph[module] = set()
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Import):
-                held |= {one.name for one in node.names}
+                imported |= {alias.name for alias in node.names}
             elif isinstance(node, ast.ImportFrom) and node.module:
-                for one in node.names:
-                    below = f"{node.module}.{one.name}"
-                    held.add(below if below in paths else node.module)
-        told[module] = {one for one in held if one in paths or one.startswith("twisted")} - {module}
-    return told
+                for alias in node.names:
+                    submodule = f"{node.module}.{alias.name}"
+                    imported.add(submodule if submodule in paths else node.module)
+        graph[module] = {name for name in imported if name in paths or name.startswith("twisted")} - {module}
+    return graph
 
 
-def circles(told):
-    """Groups of modules that reach one another (Tarjan)."""
-    index, low, on, stack, found = {}, {}, set(), [], []
+def cycles(graph):
+    """The strongly connected components of more than one module (Tarjan)."""
+    index, low, on_stack, stack, components = {}, {}, set(), [], []
 
-    def visit(one):
-        index[one] = low[one] = len(index)
-        stack.append(one)
-        on.add(one)
-        for other in sorted(told.get(one, ())):
+    def visit(module):
+        index[module] = low[module] = len(index)
+        stack.append(module)
+        on_stack.add(module)
+        for other in sorted(graph.get(module, ())):
             if other not in index:
                 visit(other)
-                low[one] = min(low[one], low[other])
-            elif other in on:
-                low[one] = min(low[one], index[other])
-        if low[one] == index[one]:
-            group = []
-            while not group or group[-1] != one:
-                group.append(stack.pop())
-                on.discard(group[-1])
-            if len(group) > 1:
-                found.append(sorted(group))
+                low[module] = min(low[module], low[other])
+            elif other in on_stack:
+                low[module] = min(low[module], index[other])
+        if low[module] == index[module]:
+            component = []
+            while not component or component[-1] != module:
+                component.append(stack.pop())
+                on_stack.discard(component[-1])
+            if len(component) > 1:
+                components.append(sorted(component))
 
-    for one in sorted(told):
-        if one not in index:
-            visit(one)
-    return found
+    for module in sorted(graph):
+        if module not in index:
+            visit(module)
+    return components
 
 
-def test_no_module_reads_one_that_reads_it():
-    told = imports()
-    assert len(told) > 70
-    assert circles(told) == []
+def test_the_import_graph_has_no_cycles():
+    graph = imports()
+    assert len(graph) > 70
+    assert cycles(graph) == []
 
 
-def test_a_circle_is_seen():
-    assert circles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == [["a", "b", "c"]]
+def test_a_cycle_is_found():
+    assert cycles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == [["a", "b", "c"]]
 
 
-def test_twisted_is_imported_by_the_net_and_the_program_alone():
+def test_only_the_network_modules_and_programs_import_twisted():
     wrong = [
-        (module, one)
-        for module, held in imports().items()
-        for one in held
-        if one.startswith("twisted") and not module.startswith(TWISTED_BY)
+        (module, name)
+        for module, imported in imports().items()
+        for name in imported
+        if name.startswith("twisted") and not module.startswith(TWISTED_BY)
     ]
     assert not wrong
