--- a/leadslip/config.py
+++ b/leadslip/config.py
@@ -229,7 +229,7 @@
 
 # The configuration file of a signalling proxy, and the events of the notice board, which have the same form.
 
-STATES = {
+SERVER_STATES = {
     "active": face.ServerState.READY,
     "leaving": face.ServerState.DRAINING,
     "left": face.ServerState.GONE,
@@ -331,7 +331,7 @@
         if not isinstance(target, Mapping):
             raise MalformedError(f"{target_path} must be an object")
         uid = str(member(target, "uid", str, target_path))
-        state = known(STATES, member(target, "state", str, target_path), f"{target_path}.state")
+        state = known(SERVER_STATES, member(target, "state", str, target_path), f"{target_path}.state")
         addresses[uid] = address_of(member(target, "endpoint", str, target_path), f"{target_path}.endpoint")
         pod_group = target.get("pod_group", -1)
         boot_ms = target.get("boot_ms", 0)
--- a/leadslip/logs.py
+++ b/leadslip/logs.py
@@ -28,7 +28,7 @@
 
 
 def plain_field(value: object) -> str:
-    """Formats a value as one token: quoted where it is empty or holds a space, a quote, `=` or a line break."""
+    """Formats a value as one token: quoted where empty or with a space, a quote, `=` or an unprintable character."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
--- a/leadslip/net/enum.py
+++ b/leadslip/net/enum.py
@@ -56,10 +56,10 @@
 
 def number_of(name: str, suffix: str) -> str | None:
     """The E.164 number that a domain name encodes: its digits reversed, dotted, under the suffix."""
-    lower, end = name.lower(), f".{suffix}"
-    if not lower.endswith(end) or not DIGIT_LABELS.fullmatch(lower[: -len(end)] + "."):
+    lower_name, ending = name.lower(), f".{suffix}"
+    if not lower_name.endswith(ending) or not DIGIT_LABELS.fullmatch(lower_name[: -len(ending)] + "."):
         return None
-    return "+" + lower[: -len(end)].replace(".", "")[::-1]
+    return "+" + lower_name[: -len(ending)].replace(".", "")[::-1]
 
 
 def owners_match(answers: list, name: bytes) -> bool:
@@ -458,7 +458,7 @@
         resolvers,
         tally,
         log,
-        conf.most_held,
+        conf.max_open_requests,
         watcher,
         attempt_ms=conf.attempt_ms,
     )
@@ -473,7 +473,7 @@
     """Listens over TCP and UDP on one port; where the system chooses it, on one that is free for both."""
     host, port = conf.listen
     for attempts_left in reversed(range(1 if port else MAX_PORT_ATTEMPTS)):
-        tcp = reactor.listenTCP(port, EnumLinks(front, conf.most_connections), interface=host)
+        tcp = reactor.listenTCP(port, EnumLinks(front, conf.max_connections), interface=host)
         bound_port = tcp.getHost().port
         try:
             reactor.listenUDP(bound_port, front, interface=host, maxPacketSize=MAX_DATAGRAM)
--- a/leadslip/net/ops.py
+++ b/leadslip/net/ops.py
@@ -31,7 +31,7 @@
 REQUEST_TIMEOUT_MS = 2000.0  # from the connection to the end of the request
 
 
-class NoSuchCallError(OperatorError):
+class UnknownEndpointError(OperatorError):
     """The operators' address has no endpoint of this name."""
 
     code, status = "ops.no-such-call", 404
@@ -49,7 +49,7 @@
     """The request body is longer than the endpoint accepts."""
 
     code, status = "ops.too-large", 413
-    action = "Send no body, or for a document one within the size that its documentation page gives."
+    action = "Send no body, or a document within the size limit that its documentation page gives."
 
 
 class EndpointResource(resource.Resource):
@@ -64,7 +64,7 @@
     def render(self, request: server.Request) -> bytes | int:
         path = tuple(part.decode("utf-8", "replace") for part in request.postpath or ())
         if path and not self.verbs.below:
-            return finish(request, problem(NoSuchCallError(request.path.decode("ascii", "replace"))))
+            return finish(request, problem(UnknownEndpointError(request.path.decode("ascii", "replace"))))
         handler = self.verbs.methods.get(request.method)
         if handler is None:
             request.setHeader(b"allow", b", ".join(self.verbs.methods))
@@ -81,8 +81,8 @@
 
         try:
             answer = handler(Asked(path, query, request.content.getvalue(), reply_later))
-        except OperatorError as fault:
-            answer = problem(fault)
+        except OperatorError as error:
+            answer = problem(error)
         if answer is None:
             # The request is complete; whoever answers it later bounds the time that this takes.
             request.channel.request_complete()
@@ -93,7 +93,7 @@
 def finish(request: server.Request, answer: Answer) -> bytes:
     """Sets the status and the headers of an answer; returns its body."""
     request.setResponseCode(answer.status)
-    request.setHeader(b"content-type", answer.kind)
+    request.setHeader(b"content-type", answer.content_type)
     request.setHeader(b"content-length", b"%d" % len(answer.body))
     return answer.body
 
@@ -104,7 +104,7 @@
     isLeaf = True  # noqa: N815 (Twisted's name)
 
     def render(self, request: server.Request) -> bytes:
-        return finish(request, problem(NoSuchCallError(request.path.decode("ascii", "replace"))))
+        return finish(request, problem(UnknownEndpointError(request.path.decode("ascii", "replace"))))
 
 
 class PathSegment(resource.Resource):
@@ -145,7 +145,7 @@
         self.channel.site.tally.add("ops.too_large")
         answer = problem(TooLargeError(f"the body is longer than {self.max_body} bytes"))
         head = b"HTTP/1.1 413 Content Too Large\r\nConnection: close\r\nContent-Type: %s\r\nContent-Length: %d\r\n\r\n"
-        self.channel.transport.write(head % (answer.kind, len(answer.body)) + answer.body)
+        self.channel.transport.write(head % (answer.content_type, len(answer.body)) + answer.body)
         self.channel.transport.loseConnection()
 
     def process(self) -> None:
--- a/leadslip/net/otlp.py
+++ b/leadslip/net/otlp.py
@@ -64,9 +64,9 @@
         return digest[:16], digest[16:]
 
     def _span(
-        self, trace: bytes, kind: int, start_ms: float, end_ms: float, result: str, success: str
+        self, trace: bytes, span_kind: int, start_ms: float, end_ms: float, result: str, success: str
     ) -> Span:
-        span = Span(trace_id=trace, name=self.name, kind=kind)
+        span = Span(trace_id=trace, name=self.name, kind=span_kind)
         span.start_time_unix_nano, span.end_time_unix_nano = (
             int(start_ms) * NS_PER_MS,
             int(end_ms) * NS_PER_MS,
@@ -134,14 +134,14 @@
             )
         return export
 
-    def _send(self, kind: str, body: bytes, spans: int = 0) -> None:
+    def _send(self, signal: str, body: bytes, spans: int = 0) -> None:
         request = self.agent.request(
             b"POST",
-            (self.base + kind).encode(),
+            (self.base + signal).encode(),
             Headers({"Content-Type": ["application/x-protobuf"]}),
             FileBodyProducer(BytesIO(body)),
         )
-        self.in_flight[kind] = request
+        self.in_flight[signal] = request
         timeout = self.deadlines.at(
             self.deadlines.clock.now_ms() + self.conf.timeout_ms, lambda pending: pending.cancel(), request
         )
@@ -153,7 +153,7 @@
 
         def finished(result: object) -> None:
             self.deadlines.cancel(timeout)
-            del self.in_flight[kind]
+            del self.in_flight[signal]
             if isinstance(result, Failure):
                 self.tally.add("otlp.failed_exports")
                 self.tally.add("otlp.dropped_spans", spans)
--- a/leadslip/net/peers.py
+++ b/leadslip/net/peers.py
@@ -212,7 +212,7 @@
     wake_ms: float
 
     def received(self, now_ms: float, run: int, body: bytes) -> None:
-        """Handles a message, signed by a live member's run; the body is not validated yet."""
+        """Handles a signed message from the run of a live member; the body is not validated yet."""
 
     def due(self, now_ms: float) -> None:
         """Does the work that is due; called at wake_ms, harmless if earlier or later."""
@@ -287,7 +287,7 @@
     def __init__(self, reactor: object, conf: FleetConfig, name: str, tally: Tally, log: Log) -> None:
         self.reactor, self.conf, self.name, self.tally, self.log = reactor, conf, name, tally, log
         self.clock = FleetClock()
-        # Prevents a jump of the Unix clock from delaying the reactor's timers, by an hour if it is set back by one.
+        # Prevents a jump of the Unix clock from delaying the reactor's timers, by an hour if the clock jumps by one.
         # Timers set earlier would go by the other clock, so this object is made before any timer is set.
         reactor.seconds = lambda: time.clock_gettime(CLOCK)
         self.deadlines = Deadlines(self.clock, reactor)
@@ -343,7 +343,7 @@
         self.log("fleet.serves", address=me.address, run=f"{self.view.run:016x}")
 
     def _bind(self, host: str, number: int) -> None:
-        """Binds TCP and UDP to one port; one that the system chose may be in use for UDP, then chooses another."""
+        """Binds TCP and UDP to one port; retries where a port that the system chose for TCP is in use for UDP."""
         for attempts_left in range(8, 0, -1):
             port = self.reactor.listenTCP(number, InboundSessionFactory(self), backlog=64, interface=host)
             try:
--- a/leadslip/operators.py
+++ b/leadslip/operators.py
@@ -14,7 +14,7 @@
 
     status: int
     body: bytes
-    kind: bytes = b"text/plain; charset=utf-8"
+    content_type: bytes = b"text/plain; charset=utf-8"
 
 
 class Asked(NamedTuple):
--- a/leadslip/parts/enum/settings.py
+++ b/leadslip/parts/enum/settings.py
@@ -19,8 +19,8 @@
     suffix: str
     answer_within_ms: float
     attempt_ms: float
-    most_held: int
-    most_connections: int
+    max_open_requests: int
+    max_connections: int
     settings: face.Settings
 
 
@@ -65,8 +65,8 @@
         suffix=suffix,
         answer_within_ms=wait_ms,
         attempt_ms=numbers["attempt_ms"],
-        most_held=numbers["most_held"],
-        most_connections=numbers["most_connections"],
+        max_open_requests=numbers["most_held"],
+        max_connections=numbers["most_connections"],
         settings=settings,
     )
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -77,7 +77,7 @@
     }
     answer = problem(error)
     body = json.loads(answer.body)
-    assert answer.kind == b"application/problem+json" and answer.status == body["status"] == 400
+    assert answer.content_type == b"application/problem+json" and answer.status == body["status"] == 400
     assert body["type"].endswith(body["code"]) and body["detail"] == str(error) and body["action"]
     with pytest.raises(SystemExit) as system_exit:
         main(["drill", "run", str(tmp_path / "none.toml")])
