--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -151,7 +151,9 @@
     world.wait(900)
     server.connect()
     world.wait(900)
-    assert len(server.active) == 4, "the two connections without established calls were closed for the new one"
+    assert len(server.active) == 4, (
+        "the two connections without established calls were closed for the new one"
+    )
     assert set(calls) <= set(world.ended_at_ms) and world.late_ends() == {}
 
 
