--- a/leadslip/fleet/replicas/__init__.py
+++ b/leadslip/fleet/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""What one proxy knows, held by others too. No I/O."""
+"""Replication of a proxy's state (calls, learned rates) to other members of the fleet; pure, without I/O."""
--- a/leadslip/fleet/replicas/copy.py
+++ b/leadslip/fleet/replicas/copy.py
@@ -1,9 +1,9 @@
-"""One owner's table as it stands at its owner or at a holder: records by bucket, each bucket as of a number. No I/O.
+"""Replicated table of one owner: records in hash buckets, each bucket with a sequence number. Pure, without I/O.
 
-An owner is one process in one run, and it alone writes: its changes are numbered from 1 without gaps, so that the table
-as of a number is one thing, whoever holds it. That is the rule where copies differ: a bucket as of a greater number
-holds, whole, and what it does not name is gone. So an ended call needs no mark of its end that would have to be kept:
-it is gone from every bucket as of its end or later, and no earlier bucket replaces a later one.
+An owner is one run of one process and the only writer of its table. It numbers its changes from 1 without gaps, so the
+table at a given sequence number is the same at every holder. Where replicas differ, the bucket with the greater number
+wins and is complete: a key that is absent from it has been deleted. An ended call therefore needs no tombstone: it is
+absent from every bucket numbered at or after its end, and an older bucket never replaces a newer one.
 """
 
 from __future__ import annotations
@@ -17,110 +17,111 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """One change: `state` of a kind's key as of `number`; None: gone."""
+    """One change: the state of a key of some kind at `sequence`; a state of None deletes the key."""
 
-    number: int
+    sequence: int
     kind: str
     key: str
     state: bytes | None
 
 
 def bucket_of(kind: str, key: str) -> int:
-    """Where a key lies, at everyone alike."""
+    """The index of a key's bucket, the same at every member."""
     return blake2b(f"{kind} {key}".encode(), digest_size=1, person=b"leadslip-bucket").digest()[0] % BUCKETS
 
 
-def print_of(kind: str, key: str, state: bytes) -> int:
-    """64 bits of one record; a bucket's digest is the XOR of its records'."""
-    told = msgspec.msgpack.encode((kind, key, state))
-    return int.from_bytes(blake2b(told, digest_size=8, person=b"leadslip-record").digest())
+def record_digest(kind: str, key: str, state: bytes) -> int:
+    """The 64-bit digest of one record; a bucket's digest is the XOR of those of its records."""
+    encoded = msgspec.msgpack.encode((kind, key, state))
+    return int.from_bytes(blake2b(encoded, digest_size=8, person=b"leadslip-record").digest())
 
 
 class Bucket:
-    """A part of the table as of a number; below nought: nothing is known of it."""
+    """The records of one bucket as of a sequence number; a negative number means that its content is unknown."""
 
-    __slots__ = ("number", "records", "digest")
+    __slots__ = ("sequence", "records", "digest")
 
-    def __init__(self, number: int = -1) -> None:
-        self.number = number
+    def __init__(self, sequence: int = -1) -> None:
+        self.sequence = sequence
         self.records: dict[tuple[str, str], bytes] = {}
         self.digest = 0
 
     def put(self, kind: str, key: str, state: bytes | None) -> None:
-        before = self.records.pop((kind, key), None)
-        if before is not None:
-            self.digest ^= print_of(kind, key, before)
+        previous = self.records.pop((kind, key), None)
+        if previous is not None:
+            self.digest ^= record_digest(kind, key, previous)
         if state is not None:
             self.records[kind, key] = state
-            self.digest ^= print_of(kind, key, state)
+            self.digest ^= record_digest(kind, key, state)
 
 
 class Table:
-    """All buckets of one owner's run; `applied` is the number up to which every change has been taken, no gap."""
+    """All buckets of one owner's run; `applied` is the number up to which every change has been applied, no gap."""
 
     def __init__(self, fresh: bool = False) -> None:
         start = 0 if fresh else -1
         self.buckets = [Bucket(start) for _ in range(BUCKETS)]
         self.applied = start
 
-    def take(self, records: Iterable[Record]) -> bool:
-        """Apply a stretch of the owner's changes; False where it does not follow what is here: a gap is asked for."""
-        for one in records:
-            if one.number <= self.applied:
+    def apply(self, records: Iterable[Record]) -> bool:
+        """Apply consecutive changes of the owner; False at a gap, so that the caller can request what is missing."""
+        for record in records:
+            if record.sequence <= self.applied:
                 continue
-            if one.number != self.applied + 1:
+            if record.sequence != self.applied + 1:
                 return False
-            bucket = self.buckets[bucket_of(one.kind, one.key)]
-            if one.number > bucket.number:  # else the bucket came whole as of a later number
-                bucket.put(one.kind, one.key, one.state)
-            self.applied = one.number
+            bucket = self.buckets[bucket_of(record.kind, record.key)]
+            if record.sequence > bucket.sequence:  # else a full bucket already contains this change
+                bucket.put(record.kind, record.key, record.state)
+            self.applied = record.sequence
         return True
 
-    def merge(self, at: int, number: int, records: Iterable[tuple[str, str, bytes]]) -> bool:
-        """Take a bucket whole, as of a number; the later one holds. Whether it was taken."""
-        told = Bucket(number)
-        # Guards against changes that have overtaken it: those of this bucket would be lost with what it replaces.
-        if number <= self.as_of(at) or number < self.applied:
+    def merge(self, index: int, sequence: int, records: Iterable[tuple[str, str, bytes]]) -> bool:
+        """Replace a bucket by a full one if that is newer; returns whether it was replaced."""
+        bucket = Bucket(sequence)
+        # A bucket older than changes already applied is rejected: replacing would lose those of its own keys.
+        if sequence <= self.sequence_of(index) or sequence < self.applied:
             return False
         for kind, key, state in records:
-            told.put(kind, key, state)
-        self.buckets[at] = told
+            bucket.put(kind, key, state)
+        self.buckets[index] = bucket
         return True
 
-    def as_of(self, at: int) -> int:
-        """The number as of which a bucket is known: its own, or what the stream has brought since."""
-        own = self.buckets[at].number
+    def sequence_of(self, index: int) -> int:
+        """The number up to which a bucket is known: its own, or that of the changes applied since."""
+        own = self.buckets[index].sequence
         return own if own < 0 else max(own, self.applied)
 
-    def lacking(self) -> list[int]:
-        """Buckets of which nothing is known."""
-        return [at for at, bucket in enumerate(self.buckets) if bucket.number < 0]
+    def missing_buckets(self) -> list[int]:
+        """Indices of the buckets whose content is unknown."""
+        return [index for index, bucket in enumerate(self.buckets) if bucket.sequence < 0]
 
-    def begin(self) -> None:
-        """Every bucket is known: changes are taken from the earliest of them on."""
-        self.applied = max(self.applied, min(bucket.number for bucket in self.buckets))
+    def start_applying(self) -> None:
+        """To be called once no bucket is missing: changes are applied from the oldest bucket's number on."""
+        self.applied = max(self.applied, min(bucket.sequence for bucket in self.buckets))
 
     def whole(self) -> bool:
+        """Whether every bucket has been received, so that changes can be applied."""
         return self.applied >= 0
 
     def digests(self) -> list[int]:
         return [bucket.digest for bucket in self.buckets]
 
     def digest(self) -> int:
-        """Of the whole table: equal exactly where the same records are held."""
-        told = ",".join(f"{bucket.digest:x}" for bucket in self.buckets)
-        return int.from_bytes(blake2b(told.encode(), digest_size=8).digest())
+        """The digest of the table: equal for tables with the same records."""
+        joined = ",".join(f"{bucket.digest:x}" for bucket in self.buckets)
+        return int.from_bytes(blake2b(joined.encode(), digest_size=8).digest())
 
     def get(self, kind: str, key: str) -> bytes | None:
         return self.buckets[bucket_of(kind, key)].records.get((kind, key))
 
     def all(self, kind: str) -> dict[str, bytes]:
-        """Every record of a kind."""
+        """The state of every key of a kind."""
         return {
             key: state
             for bucket in self.buckets
-            for (held, key), state in bucket.records.items()
-            if held == kind
+            for (record_kind, key), state in bucket.records.items()
+            if record_kind == kind
         }
 
     def __len__(self) -> int:
--- a/leadslip/fleet/replicas/member.py
+++ b/leadslip/fleet/replicas/member.py
@@ -1,15 +1,17 @@
-"""One proxy's part in replication: owner of its own table, holder of others', and a return from nothing. No I/O.
-
-**Owner.** `put` numbers a change. What holders lack goes out in stretches every `FLUSH_MS`, under a rate that does not
-grow with trouble, and again from the last number acknowledged where no acknowledgement comes. Who lacks what the log
-of the owner no longer has, or has nothing, is given buckets whole, each with a digest, as many as the rate allows; who
-breaks off goes on with those still lacking. An owner tells digests now and then; a holder of the same number that
-differs in a bucket tells so by name and asks for that bucket anew.
-
-**Return.** Holders that see a name come back in another process, while the one whose table they hold is gone, offer it.
-The newcomer takes each bucket from whoever offers the latest of it, serves meanwhile, and makes what stands its own; it
-is behind until then. Only when its own holders have acknowledged all of it are the old copies let go. What a stalled
-process was is fenced: messages count from runs that live, and a later life of a process goes on with its own table.
+"""Replication at one proxy: owner of its table, holder of others' replicas, recovery after a restart. Pure, no I/O.
+
+**Owner.** `put` numbers a change. Every `FLUSH_INTERVAL_MS` each holder is sent the changes that it lacks, in batches
+and under a rate limit that does not grow when there are faults; what is not acknowledged is sent again from the last
+acknowledged number on. A holder that needs changes which the owner's log no longer has, or that has nothing, is sent
+full buckets, each with a digest, as many as the rate limit allows; after an interruption only the buckets still missing
+follow. The owner sends its digests at intervals; a holder that has the same number but a diverging bucket reports that
+bucket by its index and requests it again.
+
+**Recovery.** When the owner of a replica is gone and another process of its name appears, the replica's holders offer
+it. The new process fetches each bucket from whoever offers the latest version, serves calls meanwhile, and adopts the
+calls that are still established; until then it reports that it is behind. The holders of the old replicas release them
+only when the holders of the new process have acknowledged everything adopted. Messages count from live runs only, and
+those of an earlier generation of a process are fenced off; a later generation goes on with the same table.
 """
 
 from __future__ import annotations
@@ -27,189 +29,211 @@
 from leadslip.fleet.view.members import Change, State, process_of
 from leadslip.fleet.view.view import View
 
-FLUSH_MS = 50.0
-AGAIN_MS = 500.0  # what is not acknowledged goes again after so long
-DIGESTS_MS = 2000.0  # between two tellings of digests to a holder
-STRETCH_BYTES = 16 * 1024  # of changes in one message
-LOG_MOST = 20_000  # changes that an owner keeps for holders that are behind
-RATE, DEPTH = 40.0, 60_000.0  # bytes a millisecond to all holders together, and at once
-OFFER_AGAIN_MS = 1000.0
-OFFERS_MS = 1500.0  # for so long a newcomer waits for offers of what it was, once it knows the fleet
-LATE_MS = 2.5 * DIGESTS_MS  # an owner that lives and has not written for so long is not believed by its copy
-STALE_MS = 10_000.0  # a table whose owner lives and has not written for so long is no copy of it any more
-ORPHAN_MS = 900_000.0  # the table of one that is gone is kept for so long
-SOUGHT_MS = 300.0  # whoever is asked for a call has so long to answer
-SOUGHT_RATE, SOUGHT = 0.02, 20.0  # calls sought a millisecond, and at once
-MOST_SOUGHT_AT = 64  # members asked for one call
-MOST_SINCE = 50_000  # changes here that are remembered against what comes back later
-MOST_COPIES = 512  # tables held of others
-STANDS = "call"  # the kind of calls that stand: call id -> server
-FORMER = "former"  # the kind of processes whose table the owner has made its own: process, in hex -> nothing
-ENDED = "ended"  # the kind of calls that ended at an owner that did not know them (yet), while it was young
-LEARNED = "learned"  # the kind of what the owner has learned: name -> its own
-
-
-class Stretch(msgspec.Struct, array_like=True, frozen=True, tag=50):
-    """Changes of the sender's own table, one after another."""
+FLUSH_INTERVAL_MS = 50.0
+RETRANSMIT_MS = 500.0  # without an acknowledgement, or an answer to a request for buckets
+DIGEST_INTERVAL_MS = 2000.0  # between two messages with digests to one holder
+BATCH_BYTES = 16 * 1024  # of changes in one message; the last change may exceed it
+MAX_LOG_RECORDS = 20_000  # changes that an owner retains for holders that are behind
+SEND_BYTES_PER_MS, SEND_BURST_BYTES = 40.0, 60_000.0  # to all holders together
+OFFER_INTERVAL_MS = 1000.0
+OFFER_WAIT_MS = 1500.0  # how long a new process waits for offers of its former table once it knows the fleet
+OWNER_SILENT_MS = 2.5 * DIGEST_INTERVAL_MS  # the replica of a live owner silent for longer is not relied on
+STALE_MS = 10_000.0  # the replica of a live owner silent for longer is dropped
+ORPHAN_RETENTION_MS = 900_000.0  # how long the replica of an owner that is gone is retained
+LOCATE_TIMEOUT_MS = 300.0  # for members to answer where a call is established
+LOCATES_PER_MS, LOCATE_BURST = 0.02, 20.0
+MAX_LOCATE_MEMBERS = 64  # members asked for one call
+MAX_RECENT_CHANGES = 50_000  # changed keys remembered, so that recovery does not overwrite them
+MAX_REPLICAS = 512
+STANDS = "call"  # kind of the established calls: call id -> server
+PREDECESSOR = "former"  # kind of the processes whose table the owner has adopted: process, in hex -> empty
+ENDED = "ended"  # kind of the calls that ended, before recovery was over, at an owner that did not know them (yet)
+LEARNED = "learned"  # kind of what the owner has learned: name -> its encoded value
+
+
+class ChangeBatch(msgspec.Struct, array_like=True, frozen=True, tag=50):
+    """Consecutive changes of the sender's own table."""
 
     records: list[Record]
 
 
-class Acked(msgspec.Struct, array_like=True, frozen=True, tag=51):
-    """Held up to this number; below nought: buckets are lacking. `lacking` names those to be told whole."""
+class Acknowledgement(msgspec.Struct, array_like=True, frozen=True, tag=51):
+    """Applied up to `sequence`, negative while buckets are missing; `missing` names the buckets to be sent in full."""
 
-    number: int
-    lacking: list[int] = []
+    sequence: int
+    missing: list[int] = []
 
 
-class Whole(msgspec.Struct, array_like=True, frozen=True, tag=52):
-    """A bucket of `owner`'s table, whole, as of a number."""
+class FullBucket(msgspec.Struct, array_like=True, frozen=True, tag=52):
+    """The complete content of a bucket of `owner`'s table as of a sequence number."""
 
     owner: int
-    at: int
-    number: int
+    index: int
+    sequence: int
     records: list[tuple[str, str, bytes]]
     digest: int
 
 
 class Digests(msgspec.Struct, array_like=True, frozen=True, tag=53):
-    """Of the sender's own table, as of a number."""
+    """The digest of each bucket of the sender's own table as of a sequence number."""
 
-    number: int
+    sequence: int
     digests: list[int]
 
 
 class Offer(msgspec.Struct, array_like=True, frozen=True, tag=54):
-    """I hold the table that a process of your name had, each bucket as of its number."""
+    """The sender holds the table of `owner`, a process of the receiver's name, each bucket as of its number."""
 
     owner: int
-    numbers: list[int]
+    sequences: list[int]
 
 
-class AskWhole(msgspec.Struct, array_like=True, frozen=True, tag=55):
-    """Tell me these buckets of that table."""
+class BucketRequest(msgspec.Struct, array_like=True, frozen=True, tag=55):
+    """Requests buckets, by index, of a replica that was offered."""
 
     owner: int
-    at: list[int]
+    indices: list[int]
 
 
-class LetGo(msgspec.Struct, array_like=True, frozen=True, tag=56):
-    """That table is needed no more: its owner has come back, or has other holders."""
+class ReleaseReplica(msgspec.Struct, array_like=True, frozen=True, tag=56):
+    """The replica is no longer needed: its owner has recovered, or has other holders."""
 
     owner: int
 
 
-class Seek(msgspec.Struct, array_like=True, frozen=True, tag=57):
-    """Do you know of a call that stands?"""
+class LocateCall(msgspec.Struct, array_like=True, frozen=True, tag=57):
+    """Asks at which server a call is established."""
 
     call: str
 
 
-class Sought(msgspec.Struct, array_like=True, frozen=True, tag=58):
-    """It stands at this server, as far as I know."""
+class CallLocated(msgspec.Struct, array_like=True, frozen=True, tag=58):
+    """The server at which a call is established, as far as the sender knows."""
 
     call: str
     server: str
 
 
-class Over(msgspec.Struct, array_like=True, frozen=True, tag=59):
-    """A call that was sought has been released: no copy of it counts any more."""
+class CallReleased(msgspec.Struct, array_like=True, frozen=True, tag=59):
+    """A located call has been released: no replica counts for it any more."""
 
     call: str
 
 
-Said = Stretch | Acked | Whole | Digests | Offer | AskWhole | LetGo | Seek | Sought | Over
-_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Said)
+Message = (
+    ChangeBatch
+    | Acknowledgement
+    | FullBucket
+    | Digests
+    | Offer
+    | BucketRequest
+    | ReleaseReplica
+    | LocateCall
+    | CallLocated
+    | CallReleased
+)
+_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
 
 
-def former(process: int) -> str:
-    """The key of a process whose table another has made its own."""
+def predecessor_key(process: int) -> str:
+    """The key of a process whose table another process has adopted."""
     return f"{process:012x}"
 
 
 @dataclass(slots=True)
 class Holder:
-    """What an owner knows of one of its holders."""
+    """The progress of replication to one holder, as the owner knows it."""
 
-    number: int = -1  # acknowledged; below nought: nothing is known of what it has
-    sent: int = -1  # sent so far
+    acknowledged: int = -1  # negative: what it has is unknown
+    sent: int = -1  # last number sent
     sent_ms: float = -float("inf")
     digests_ms: float = 0.0
-    lacking: list[int] = field(default_factory=list)  # buckets that it wants whole
+    missing: list[int] = field(default_factory=list)  # buckets to be sent in full
 
 
 @dataclass(slots=True)
-class Copy:
-    """A table held for another."""
+class Replica:
+    """A table held for another owner."""
 
     owner: int
-    name: str
+    owner_name: str
     table: Table = field(default_factory=Table)
     gone_ms: float = float("inf")  # since when its owner is gone
-    heard_ms: float = 0.0
+    received_ms: float = 0.0  # when the owner last wrote
     offered_ms: float = -float("inf")
 
 
 @dataclass(slots=True)
-class Return:
-    """What this process was before, on its way here from those who hold it."""
+class Recovery:
+    """Recovery of the table of an earlier process of this name from the members that hold it."""
 
     owner: int
     table: Table = field(default_factory=Table)
-    # Who offers it -> the owner's life that is held there, and the number of each bucket.
+    # Offering member -> the owner's run as held there, and the number of each bucket.
     offers: dict[int, tuple[int, list[int]]] = field(default_factory=dict)
-    asked_ms: float = -float("inf")
-    taken_at: int = -1  # our own number once all of it was ours
-    taken: dict[str, set[str]] = field(default_factory=dict)  # by kind, the keys of it that became ours
+    requested_ms: float = -float("inf")
+    adopted_at: int = -1  # number of the own table once everything was adopted; negative until then
+    adopted: dict[str, set[str]] = field(default_factory=dict)  # kind -> the adopted keys
 
-    def lacks(self) -> bool:
-        """Whether somebody offers a later part of it than has come."""
-        own = [bucket.number for bucket in self.table.buckets]
+    def incomplete(self) -> bool:
+        """Whether a member offers a later version of some bucket than has been received."""
+        own = [bucket.sequence for bucket in self.table.buckets]
         return any(
-            there > here for _, told in self.offers.values() for there, here in zip(told, own, strict=True)
+            offered > received
+            for _, sequences in self.offers.values()
+            for offered, received in zip(sequences, own, strict=True)
         )
 
 
 class Replicas:
-    """One proxy's part."""
+    """Replication at one proxy, as owner and as holder."""
 
     def __init__(
         self,
         view: View,
         copies: int,
         tally: Tally,
-        tell: Callable[..., None],
-        restored: Callable[[str, dict[str, bytes]], None],
+        log_event: Callable[..., None],
+        on_recovered: Callable[[str, dict[str, bytes]], None],
     ) -> None:
-        self.view, self.copies, self.tally, self.tell, self.restored = view, copies, tally, tell, restored
+        self.view, self.copies, self.tally, self.log_event, self.on_recovered = (
+            view,
+            copies,
+            tally,
+            log_event,
+            on_recovered,
+        )
         self.out: list[tuple[int, bytes]] = []
         self.own = Table(fresh=True)
-        self.log: deque[Record] = deque(maxlen=LOG_MOST)
+        self.log: deque[Record] = deque(maxlen=MAX_LOG_RECORDS)
         self.holders: dict[int, Holder] = {}
-        self.held: dict[int, Copy] = {}  # run of the owner -> its table here
-        self.returns: dict[int, Return] = {}  # process that we were -> what comes of it
-        self.since: OrderedDict[tuple[str, str], None] = (
-            OrderedDict()
-        )  # what has changed here, the oldest first
-        self.seeking: dict[str, tuple[float, Callable[[str], None]]] = {}
-        self.rate, self.seeks = Allowance(RATE, DEPTH), Allowance(SOUGHT_RATE, SOUGHT)
+        self.held: dict[int, Replica] = {}  # run of the owner -> its replica
+        self.recoveries: dict[int, Recovery] = {}  # earlier process of this name -> recovery of its table
+        # Keys changed by this process, the oldest first.
+        self.recent_changes: OrderedDict[tuple[str, str], None] = OrderedDict()
+        self.locating: dict[str, tuple[float, Callable[[str], None]]] = {}
+        self.send_tokens, self.locate_tokens = (
+            Allowance(SEND_BYTES_PER_MS, SEND_BURST_BYTES),
+            Allowance(LOCATES_PER_MS, LOCATE_BURST),
+        )
         self.sent_bytes = 0
-        self.began_ms: float | None = None  # when we knew the fleet
-        self.placed = False
+        # When other members became known; -inf once that is longer ago than the orphan retention.
+        self.fleet_known_ms: float | None = None
+        self.placement_current = False
         self.wake_ms = 0.0
-        view.listeners.append(self.seen)
-        view.reborn.append(self.reborn)
+        view.listeners.append(self.on_member_change)
+        view.reborn.append(self.on_new_generation)
 
-    # The owner.
+    # Owner
 
     def put(self, kind: str, key: str, state: bytes | None) -> None:
-        """Our own table changes; holders are told with the next flush."""
-        self.since[kind, key] = None
-        if len(self.since) > MOST_SINCE:
-            self.since.popitem(last=False)
-        young = self.began_ms is None or self.began_ms > -float("inf")
-        if kind == STANDS and state is None and young and self.own.get(kind, key) is None:
-            # The end of a call that we may still learn to have had: whoever comes after us has to know of it, too.
+        """Change the own table; holders receive the change with the next flush."""
+        self.recent_changes[kind, key] = None
+        if len(self.recent_changes) > MAX_RECENT_CHANGES:
+            self.recent_changes.popitem(last=False)
+        may_recover = self.fleet_known_ms is None or self.fleet_known_ms > -float("inf")
+        if kind == STANDS and state is None and may_recover and self.own.get(kind, key) is None:
+            # The call may belong to a table still to be recovered, by this process or by a successor: keep its end.
             self._put(ENDED, key, b"")
         self._put(kind, key, state)
 
@@ -217,388 +241,420 @@
         table = self.own
         if state == table.get(kind, key):
             return
-        number = table.applied + 1
+        sequence = table.applied + 1
         bucket = table.buckets[bucket_of(kind, key)]
         bucket.put(kind, key, state)
-        bucket.number = table.applied = number
-        self.log.append(Record(number, kind, key, state))
+        bucket.sequence = table.applied = sequence
+        self.log.append(Record(sequence, kind, key, state))
 
-    def reborn(self, run: int) -> None:
-        """We were held dead: as the next life we own the same table, and our holders hold it for a run that is over."""
-        self.holders = {held: Holder() for held in self.holders}
-        self.placed = False
+    def on_new_generation(self, run: int) -> None:
+        """Declared dead: the next generation owns the same table, but holders still have it under the old run."""
+        self.holders = {holder_run: Holder() for holder_run in self.holders}
+        self.placement_current = False
         self.wake_ms = 0.0
 
-    def seen(self, change: Change) -> None:
-        self.placed = False
+    def on_member_change(self, change: Change) -> None:
+        self.placement_current = False
         self.wake_ms = 0.0
 
     def _place(self, now_ms: float) -> None:
-        """Who holds our table, and whose we hold, as the view stands."""
-        self.placed = True
+        """Choose the holders of the own table, and note which owners of replicas are gone, from the current view."""
+        self.placement_current = True
         me, members = self.view.me, self.view.members()
-        chosen = {one.run for one in holders_of(me.name, me.zone, members, self.copies)}
+        chosen = {member.run for member in holders_of(me.name, me.zone, members, self.copies)}
         for run in [run for run in self.holders if run not in chosen]:
             del self.holders[run]
             if self.view.table.standing(run) < State.DEAD:
-                self._say(run, LetGo(self.view.run))
+                self._post(run, ReleaseReplica(self.view.run))
         for run in chosen:
             self.holders.setdefault(run, Holder())
-        live = {process_of(one.run): one.run for one in members}
-        for copy in self.held.values():
-            run = live.get(process_of(copy.owner))
-            copy.gone_ms = float("inf") if run is not None else min(copy.gone_ms, now_ms)
-            if run is not None and run != copy.owner:
-                copy.heard_ms = min(
-                    copy.heard_ms, now_ms - LATE_MS
-                )  # it goes on in a later life, perhaps elsewhere
-        if len(live) > 1 and self.view.joined and self.began_ms is None:
-            self.began_ms = now_ms
-
-    def _offer(self, now_ms: float, copy: Copy) -> None:
-        """Its owner is gone: a process of its name is offered what we hold of it, until that lets it go."""
-        if now_ms < copy.offered_ms + OFFER_AGAIN_MS:
+        live = {process_of(member.run): member.run for member in members}
+        for replica in self.held.values():
+            run = live.get(process_of(replica.owner))
+            replica.gone_ms = float("inf") if run is not None else min(replica.gone_ms, now_ms)
+            if run is not None and run != replica.owner:
+                # The owner goes on as a later generation, possibly with other holders.
+                replica.received_ms = min(replica.received_ms, now_ms - OWNER_SILENT_MS)
+        if len(live) > 1 and self.view.joined and self.fleet_known_ms is None:
+            self.fleet_known_ms = now_ms
+
+    def _offer(self, now_ms: float, replica: Replica) -> None:
+        """Offer the replica of an owner that is gone to other processes of its name, until one of them releases it."""
+        if now_ms < replica.offered_ms + OFFER_INTERVAL_MS:
             return
-        copy.offered_ms = now_ms
-        for one in self.view.members():
+        replica.offered_ms = now_ms
+        for member in self.view.members():
             if (
-                one.name == copy.name
-                and one.run != copy.owner
-                and process_of(one.run) != process_of(self.view.run)
+                member.name == replica.owner_name
+                and member.run != replica.owner
+                and process_of(member.run) != process_of(self.view.run)
             ):
-                self._say(one.run, Offer(copy.owner, [copy.table.as_of(at) for at in range(BUCKETS)]))
+                self._post(
+                    member.run,
+                    Offer(replica.owner, [replica.table.sequence_of(index) for index in range(BUCKETS)]),
+                )
 
     def _flush(self, now_ms: float) -> None:
-        """Send holders what they lack, as far as the rate allows."""
+        """Send holders what they lack, as far as the rate limit allows."""
         table = self.own
-        first = self.log[0].number if self.log else table.applied + 1
+        first = self.log[0].sequence if self.log else table.applied + 1
         for run, holder in self.holders.items():
-            again = now_ms >= holder.sent_ms + AGAIN_MS
-            if holder.sent > holder.number and again:
-                holder.sent = holder.number  # not acknowledged: from there on anew
-            if holder.number < 0:
-                if again and not holder.lacking:
+            retransmit = now_ms >= holder.sent_ms + RETRANSMIT_MS
+            if holder.sent > holder.acknowledged and retransmit:
+                holder.sent = holder.acknowledged
+            if holder.acknowledged < 0:
+                if retransmit and not holder.missing:
                     self._send(now_ms, run, holder, Digests(table.applied, []))
-            elif holder.sent + 1 < first and table.applied > holder.sent and not holder.lacking:
-                holder.lacking = list(range(BUCKETS))  # the log has it no more
-                holder.number = holder.sent = -1  # until it says what it has of them
-            while holder.lacking and self.rate.now(now_ms) > 0.0:
-                at = holder.lacking.pop(0)
-                self._send(now_ms, run, holder, self._whole(self.view.run, table, at))
-            if holder.number >= 0 and not holder.lacking:
-                while holder.sent < table.applied and self.rate.now(now_ms) > 0.0:
-                    stretch = self._stretch(holder.sent + 1 - first)
-                    if not stretch:
+            elif holder.sent + 1 < first and table.applied > holder.sent and not holder.missing:
+                holder.missing = list(range(BUCKETS))  # the log no longer has the changes
+                holder.acknowledged = holder.sent = -1  # until it acknowledges the buckets
+            while holder.missing and self.send_tokens.now(now_ms) > 0.0:
+                index = holder.missing.pop(0)
+                self._send(now_ms, run, holder, self._full_bucket(self.view.run, table, index))
+            if holder.acknowledged >= 0 and not holder.missing:
+                while holder.sent < table.applied and self.send_tokens.now(now_ms) > 0.0:
+                    batch = self._batch(holder.sent + 1 - first)
+                    if not batch:
                         break
-                    self._send(now_ms, run, holder, Stretch(stretch))
-                    holder.sent = stretch[-1].number
-                if holder.sent == table.applied and now_ms >= holder.digests_ms + DIGESTS_MS:
+                    self._send(now_ms, run, holder, ChangeBatch(batch))
+                    holder.sent = batch[-1].sequence
+                if holder.sent == table.applied and now_ms >= holder.digests_ms + DIGEST_INTERVAL_MS:
                     holder.digests_ms = now_ms
                     self._send(now_ms, run, holder, Digests(table.applied, table.digests()))
 
-    def _stretch(self, at: int) -> list[Record]:
-        told: list[Record] = []
+    def _batch(self, start: int) -> list[Record]:
+        """The changes of the next message, from an index of the log on."""
+        batch: list[Record] = []
         size = 0
-        while at + len(told) < len(self.log) and size < STRETCH_BYTES:
-            one = self.log[at + len(told)]
-            told.append(one)
-            size += 24 + len(one.key) + len(one.state or b"")
-        return told
+        while start + len(batch) < len(self.log) and size < BATCH_BYTES:
+            record = self.log[start + len(batch)]
+            batch.append(record)
+            size += 24 + len(record.key) + len(record.state or b"")
+        return batch
 
     def _send(self, now_ms: float, run: int, holder: Holder, message: object) -> None:
+        """Send a holder a message, charged to the rate limit."""
         holder.sent_ms = now_ms
-        size = self._say(run, message)
-        self.rate.spend(size)
+        size = self._post(run, message)
+        self.send_tokens.spend(size)
         self.sent_bytes += size
 
     @staticmethod
-    def _whole(owner: int, table: Table, at: int) -> Whole:
-        bucket = table.buckets[at]
+    def _full_bucket(owner: int, table: Table, index: int) -> FullBucket:
+        bucket = table.buckets[index]
         records = [(kind, key, state) for (kind, key), state in bucket.records.items()]
-        return Whole(owner, at, table.as_of(at), records, bucket.digest)
+        return FullBucket(owner, index, table.sequence_of(index), records, bucket.digest)
 
-    def _acked(self, run: int, told: Acked) -> None:
+    def _on_acknowledgement(self, run: int, message: Acknowledgement) -> None:
         holder = self.holders.get(run)
         if holder is None:
             return
-        holder.number = max(holder.number, told.number) if told.number >= 0 else -1
-        holder.sent = max(holder.sent, holder.number)
-        if told.lacking:
-            holder.lacking = [at for at in told.lacking if 0 <= at < BUCKETS]
-        self._let_go()
-
-    def _let_go(self) -> None:
-        """What we were is ours, and our own holders have all of it: those who offered it need keep it no longer."""
-        for back in self.returns.values():
-            if back.taken_at >= 0 and all(one.number >= back.taken_at for one in self.holders.values()):
-                for offerer, (owner, _) in back.offers.items():
-                    self._say(offerer, LetGo(owner))
-                back.offers.clear()
-
-    # The holder.
-
-    def _copy(self, now_ms: float, run: int) -> Copy | None:
-        copy = self.held.get(run)
-        if copy is None:
-            before = next((one for one in self.held if process_of(one) == process_of(run)), 0)
-            if before > run:
+        holder.acknowledged = max(holder.acknowledged, message.sequence) if message.sequence >= 0 else -1
+        holder.sent = max(holder.sent, holder.acknowledged)
+        if message.missing:
+            holder.missing = [index for index in message.missing if 0 <= index < BUCKETS]
+        self._release_recovered()
+
+    def _release_recovered(self) -> None:
+        """Release the offered replicas of a recovered table once the own holders have all that was adopted."""
+        for recovery in self.recoveries.values():
+            if recovery.adopted_at >= 0 and all(
+                holder.acknowledged >= recovery.adopted_at for holder in self.holders.values()
+            ):
+                for run, (owner, _) in recovery.offers.items():
+                    self._post(run, ReleaseReplica(owner))
+                recovery.offers.clear()
+
+    # Holder
+
+    def _replica(self, now_ms: float, run: int) -> Replica | None:
+        """The replica of the owner that wrote, made if need be; None if the owner is fenced off or refused."""
+        replica = self.held.get(run)
+        if replica is None:
+            held_run = next((owner for owner in self.held if process_of(owner) == process_of(run)), 0)
+            if held_run > run:
                 self.tally.add("replicas.fenced")
                 return None
-            if before:  # the same process in a later life: its table and its numbers go on
-                copy = self.held[run] = self.held.pop(before)
-                copy.owner = run
-        if copy is None:
+            if held_run:  # a later generation of the process goes on with its table and numbers
+                replica = self.held[run] = self.held.pop(held_run)
+                replica.owner = run
+        if replica is None:
             member = self.view.table.get(run)
-            if member is None or len(self.held) >= MOST_COPIES:
+            if member is None or len(self.held) >= MAX_REPLICAS:
                 self.tally.add("replicas.refused")
                 return None
-            copy = self.held[run] = Copy(run, member.name)
-        copy.heard_ms = now_ms
-        return copy
+            replica = self.held[run] = Replica(run, member.name)
+        replica.received_ms = now_ms
+        return replica
 
-    def _changes(self, now_ms: float, run: int, told: Stretch) -> None:
-        copy = self._copy(now_ms, run)
-        if copy is None:
+    def _apply_changes(self, now_ms: float, run: int, message: ChangeBatch) -> None:
+        replica = self._replica(now_ms, run)
+        if replica is None:
             return
-        if copy.table.whole() and not copy.table.take(told.records):
+        if replica.table.whole() and not replica.table.apply(message.records):
             self.tally.add("replicas.gaps")
-        self._ack(run, copy)
+        self._acknowledge(run, replica)
 
-    def _ack(self, run: int, copy: Copy) -> None:
-        self._say(run, Acked(copy.table.applied, copy.table.lacking()))
+    def _acknowledge(self, run: int, replica: Replica) -> None:
+        self._post(run, Acknowledgement(replica.table.applied, replica.table.missing_buckets()))
 
-    def _bucket(self, now_ms: float, run: int, told: Whole) -> None:
-        """A bucket whole: of what we hold for its owner, or of what we were."""
-        back = self.returns.get(process_of(told.owner))
-        table = back.table if back is not None else None
-        copy = None
+    def _merge_bucket(self, now_ms: float, run: int, message: FullBucket) -> None:
+        """Merge a full bucket into the replica held for its owner, or into a table under recovery."""
+        recovery = self.recoveries.get(process_of(message.owner))
+        table = recovery.table if recovery is not None else None
+        replica = None
         if table is None:
-            if told.owner != run:
+            if message.owner != run:
                 return
-            copy = self._copy(now_ms, run)
-            if copy is None:
+            replica = self._replica(now_ms, run)
+            if replica is None:
                 return
-            table = copy.table
-        if not 0 <= told.at < BUCKETS:
+            table = replica.table
+        if not 0 <= message.index < BUCKETS:
             return
-        check = Table()
-        check.merge(told.at, told.number, told.records)
-        if check.buckets[told.at].digest != told.digest:
+        received = Table()
+        received.merge(message.index, message.sequence, message.records)
+        if received.buckets[message.index].digest != message.digest:
             self.tally.add("replicas.spoilt")
             return
-        table.merge(told.at, told.number, told.records)
-        if not table.lacking():
-            table.begin()
-        if copy is not None and (table.whole() or told.at == BUCKETS - 1):
-            self._ack(run, copy)
-        if back is not None:
-            self._returned(back)
-
-    def _compare(self, now_ms: float, run: int, told: Digests) -> None:
-        """The owner's digests against ours, where both are as of one number."""
-        copy = self._copy(now_ms, run)
-        if copy is None:
+        table.merge(message.index, message.sequence, message.records)
+        if not table.missing_buckets():
+            table.start_applying()
+        if replica is not None and (table.whole() or message.index == BUCKETS - 1):
+            self._acknowledge(run, replica)
+        if recovery is not None:
+            self._adopt(recovery)
+
+    def _compare_digests(self, now_ms: float, run: int, message: Digests) -> None:
+        """Compare the owner's digests with the replica's when both have the same number; request what diverges."""
+        replica = self._replica(now_ms, run)
+        if replica is None:
             return
-        table = copy.table
-        if table.whole() and table.applied == told.number and len(told.digests) == BUCKETS:
-            differ = [at for at, own in enumerate(table.digests()) if own != told.digests[at]]
-            if differ:
+        table = replica.table
+        if table.whole() and table.applied == message.sequence and len(message.digests) == BUCKETS:
+            diverging = [
+                index for index, digest in enumerate(table.digests()) if digest != message.digests[index]
+            ]
+            if diverging:
                 self.tally.add("replicas.differs")
-                self.tell("replicas.differs", level="error", owner=copy.name, buckets=len(differ))
-                for at in differ:
-                    table.buckets[at].number = -1
-                self._say(run, Acked(table.applied, differ))
+                self.log_event(
+                    "replicas.differs", level="error", owner=replica.owner_name, buckets=len(diverging)
+                )
+                for index in diverging:
+                    table.buckets[index].sequence = -1
+                self._post(run, Acknowledgement(table.applied, diverging))
                 return
-        self._ack(run, copy)
+        self._acknowledge(run, replica)
 
-    # The return.
+    # Recovery
 
-    def _offered(self, now_ms: float, run: int, told: Offer) -> None:
-        process = process_of(told.owner)
-        if len(told.numbers) != BUCKETS or process == process_of(self.view.run):
+    def _accept_offer(self, now_ms: float, run: int, message: Offer) -> None:
+        process = process_of(message.owner)
+        if len(message.sequences) != BUCKETS or process == process_of(self.view.run):
             return
-        if self.view.table.standing(told.owner) < State.DEAD:
-            return  # it lives, as during an upgrade: what it knows is its own
-        if self.own.get(FORMER, former(process)) is not None and process not in self.returns:
-            self._say(
-                run, LetGo(told.owner)
-            )  # one that we come after had become it: that one's table is the later
+        if self.view.table.standing(message.owner) < State.DEAD:
+            return  # the owner is alive, as during an upgrade, and keeps its table
+        if self.own.get(PREDECESSOR, predecessor_key(process)) is not None and process not in self.recoveries:
+            # A predecessor of this process had adopted that table, so the predecessor's table is the later one.
+            self._post(run, ReleaseReplica(message.owner))
             return
-        back = self.returns.setdefault(process, Return(told.owner))
-        back.offers[run] = told.owner, told.numbers
-        if back.lacks():
-            back.taken_at = -1  # one that comes late holds a later part of it
-            self._fetch(now_ms, back)
+        recovery = self.recoveries.setdefault(process, Recovery(message.owner))
+        recovery.offers[run] = message.owner, message.sequences
+        if recovery.incomplete():
+            recovery.adopted_at = -1  # a late offer with a later version
+            self._fetch(now_ms, recovery)
         else:
-            self._returned(back)
-            self._let_go()
+            self._adopt(recovery)
+            self._release_recovered()
 
-    def _fetch(self, now_ms: float, back: Return) -> None:
-        """Ask for each bucket where it is latest; those that have come are not asked for again."""
-        if back.taken_at >= 0 or now_ms < back.asked_ms + AGAIN_MS:
+    def _fetch(self, now_ms: float, recovery: Recovery) -> None:
+        """Request each bucket where it is latest; those already received are not requested again."""
+        if recovery.adopted_at >= 0 or now_ms < recovery.requested_ms + RETRANSMIT_MS:
             return
-        wanted: dict[int, list[int]] = {}
-        for at in range(BUCKETS):
-            best = max(back.offers, key=lambda run: (back.offers[run][1][at], run), default=0)
-            if best and back.offers[best][1][at] > back.table.buckets[at].number:
-                wanted.setdefault(best, []).append(at)
-        for run, buckets in wanted.items():
-            self._say(run, AskWhole(back.offers[run][0], buckets))
-        if wanted:
-            back.asked_ms = now_ms
-
-    def _returned(self, back: Return) -> None:
-        """All of what we were is here: what stands is ours from now on.
-
-        What has changed here meanwhile is newer than any of it, so an end stays an end. What an earlier process had is
-        older than what one knew that came after it: of that, only what the later one still knew counts.
+        requests: dict[int, list[int]] = {}
+        for index in range(BUCKETS):
+            source = max(recovery.offers, key=lambda run: (recovery.offers[run][1][index], run), default=0)
+            if source and recovery.offers[source][1][index] > recovery.table.buckets[index].sequence:
+                requests.setdefault(source, []).append(index)
+        for run, indices in requests.items():
+            self._post(run, BucketRequest(recovery.offers[run][0], indices))
+        if requests:
+            recovery.requested_ms = now_ms
+
+    def _adopt(self, recovery: Recovery) -> None:
+        """Adopt the recovered table once it is complete.
+
+        What this process has changed meanwhile is newer than any of it, so an ended call stays ended. The table of an
+        earlier process is older than that of a successor which had recovered it: what the successor no longer has is
+        deleted.
         """
-        if back.lacks() or back.taken_at >= 0:
+        if recovery.incomplete() or recovery.adopted_at >= 0:
             return
-        here = set(self.since)
-        for key in back.table.all(ENDED):
-            if (STANDS, key) not in here:
-                self._put(STANDS, key, None)  # an earlier process's table may have brought it
-            self.since[STANDS, key] = None
-        for kind in (FORMER, ENDED, LEARNED, STANDS):
-            told = {
-                key: state for key, state in back.table.all(kind).items() if (kind, key) not in self.since
+        changed_here = set(self.recent_changes)
+        for key in recovery.table.all(ENDED):
+            if (STANDS, key) not in changed_here:
+                self._put(STANDS, key, None)  # the table of an earlier process may have contained it
+            self.recent_changes[STANDS, key] = None
+        for kind in (PREDECESSOR, ENDED, LEARNED, STANDS):
+            recovered = {
+                key: state
+                for key, state in recovery.table.all(kind).items()
+                if (kind, key) not in self.recent_changes
             }
-            gone = back.taken.get(kind, set()) - told.keys()
+            gone = recovery.adopted.get(kind, set()) - recovered.keys()
             if kind == STANDS:
-                for key in back.table.all(FORMER):
-                    earlier = self.returns.pop(int(key, 16), None)
-                    gone |= earlier.taken.get(STANDS, set()) - told.keys() if earlier is not None else set()
+                for key in recovery.table.all(PREDECESSOR):
+                    earlier = self.recoveries.pop(int(key, 16), None)
+                    gone |= (
+                        earlier.adopted.get(STANDS, set()) - recovered.keys()
+                        if earlier is not None
+                        else set()
+                    )
             for key in gone:
-                if (kind, key) not in here:
+                if (kind, key) not in changed_here:
                     self._put(kind, key, None)
-            for key, state in told.items():
+            for key, state in recovered.items():
                 self._put(kind, key, state)
-            back.taken[kind] = set(told)
-            self.restored(kind, told)
-        self._put(FORMER, former(process_of(back.owner)), b"")
-        back.taken_at = self.own.applied
+            recovery.adopted[kind] = set(recovered)
+            self.on_recovered(kind, recovered)
+        self._put(PREDECESSOR, predecessor_key(process_of(recovery.owner)), b"")
+        recovery.adopted_at = self.own.applied
         self.tally.add("replicas.returned")
-        self.tell("replicas.returned", calls=len(back.taken[STANDS]))
+        self.log_event("replicas.returned", calls=len(recovery.adopted[STANDS]))
 
     def behind(self, now_ms: float) -> bool:
-        """Whether this process may still learn what it was: it says so until it can't."""
-        waits = self.began_ms is None or now_ms < self.began_ms + OFFERS_MS
-        return waits or any(back.taken_at < 0 for back in self.returns.values())
+        """Whether the table of an earlier process may still have to be recovered."""
+        awaiting_offers = self.fleet_known_ms is None or now_ms < self.fleet_known_ms + OFFER_WAIT_MS
+        return awaiting_offers or any(recovery.adopted_at < 0 for recovery in self.recoveries.values())
 
-    # Calls that reach a proxy that does not know them.
+    # Location of calls that reach a proxy which does not know them
 
-    def known(self, now_ms: float, call: str) -> str:
-        """The server at which a call stands, by what is ours or held here; nothing where none is known."""
+    def server_of(self, now_ms: float, call: str) -> str:
+        """The server at which a call is established, by the own table or a replica; empty where it is unknown."""
         state = self.own.get(STANDS, call)
-        if state is None and (STANDS, call) not in self.since:  # else it ended here, whatever a copy says
-            # A copy counts of one that is gone, and of one that has written of late: an owner that lives and is
-            # heard no more may have others that hold its table by now.
-            count = (
-                copy.table.get(STANDS, call)
-                for copy in self.held.values()
-                if copy.gone_ms < float("inf") or now_ms < copy.heard_ms + LATE_MS
+        if state is None and (STANDS, call) not in self.recent_changes:  # else it ended here
+            # A replica counts if its owner is gone or has written lately: a live owner that has been silent for
+            # longer may have other holders by now.
+            states = (
+                replica.table.get(STANDS, call)
+                for replica in self.held.values()
+                if replica.gone_ms < float("inf") or now_ms < replica.received_ms + OWNER_SILENT_MS
             )
-            state = next((one for one in count if one is not None), None)
+            state = next((found for found in states if found is not None), None)
         return "" if state is None else state.decode("utf-8", "replace")
 
-    def over(self, call: str) -> None:
-        """A call that was sought is released from here: whoever holds a copy of it is told that it has ended."""
+    def call_released(self, call: str) -> None:
+        """Record that a located call has been released from here, and notify the members that may hold a replica."""
         self.put(STANDS, call, None)
-        for one in self.view.members()[:MOST_SOUGHT_AT]:
-            if process_of(one.run) != process_of(self.view.run):
-                self._say(one.run, Over(call))
-
-    def seek(self, now_ms: float, call: str, done: Callable[[str], None]) -> None:
-        """Find where a call stands: here, or at a member asked once; `done` is told once, within a bound."""
-        server = self.known(now_ms, call)
-        if server or self.seeks.now(now_ms) <= 0.0 or call in self.seeking:
+        for member in self.view.members()[:MAX_LOCATE_MEMBERS]:
+            if process_of(member.run) != process_of(self.view.run):
+                self._post(member.run, CallReleased(call))
+
+    def locate(self, now_ms: float, call: str, done: Callable[[str], None]) -> None:
+        """Find the server of a call, here or by asking each member once.
+
+        `done` is called once with the server, or with an empty text after `LOCATE_TIMEOUT_MS` at the latest.
+        """
+        server = self.server_of(now_ms, call)
+        if server or self.locate_tokens.now(now_ms) <= 0.0 or call in self.locating:
             done(server)
             return
-        self.seeks.spend(1)
-        others = [one for one in self.view.members() if process_of(one.run) != process_of(self.view.run)]
-        for one in others[:MOST_SOUGHT_AT]:
-            self._say(one.run, Seek(call))
+        self.locate_tokens.spend(1)
+        others = [
+            member for member in self.view.members() if process_of(member.run) != process_of(self.view.run)
+        ]
+        for member in others[:MAX_LOCATE_MEMBERS]:
+            self._post(member.run, LocateCall(call))
         if not others:
             done("")
             return
-        self.seeking[call] = now_ms + SOUGHT_MS, done
-        self.wake_ms = min(self.wake_ms, now_ms + SOUGHT_MS)
+        self.locating[call] = now_ms + LOCATE_TIMEOUT_MS, done
+        self.wake_ms = min(self.wake_ms, now_ms + LOCATE_TIMEOUT_MS)
 
-    def _found(self, call: str, server: str) -> None:
-        held = self.seeking.pop(call, None)
-        if held is not None:
-            held[1](server)
+    def _finish_locating(self, call: str, server: str) -> None:
+        pending = self.locating.pop(call, None)
+        if pending is not None:
+            pending[1](server)
 
-    # What is due, and what arrives.
+    # Timer and messages
 
     def due(self, now_ms: float) -> None:
-        if not self.placed:
+        if not self.placement_current:
             self._place(now_ms)
-        if self.began_ms is not None and -float("inf") < self.began_ms < now_ms - ORPHAN_MS:
+        if (
+            self.fleet_known_ms is not None
+            and -float("inf") < self.fleet_known_ms < now_ms - ORPHAN_RETENTION_MS
+        ):
             for key in self.own.all(ENDED):
-                self._put(ENDED, key, None)  # nobody holds those calls any more
-            self.began_ms = -float("inf")
+                self._put(ENDED, key, None)  # replicas with those calls have expired everywhere
+            self.fleet_known_ms = -float("inf")
         self._flush(now_ms)
-        for back in self.returns.values():
-            self._fetch(now_ms, back)
-        for call, (until_ms, _) in list(self.seeking.items()):
+        for recovery in self.recoveries.values():
+            self._fetch(now_ms, recovery)
+        for call, (until_ms, _) in list(self.locating.items()):
             if now_ms >= until_ms:
-                self._found(call, "")
-        for run, copy in list(self.held.items()):
-            if copy.gone_ms < float("inf"):
-                self._offer(now_ms, copy)
-            elif now_ms > copy.heard_ms + STALE_MS:
-                del self.held[run]  # its owner lives and writes to others
-            if now_ms > copy.gone_ms + ORPHAN_MS:
+                self._finish_locating(call, "")
+        for run, replica in list(self.held.items()):
+            if replica.gone_ms < float("inf"):
+                self._offer(now_ms, replica)
+            elif now_ms > replica.received_ms + STALE_MS:
+                del self.held[run]  # its owner is alive and writes to other holders
+            if now_ms > replica.gone_ms + ORPHAN_RETENTION_MS:
                 del self.held[run]
-        self.wake_ms = now_ms + FLUSH_MS
+        self.wake_ms = now_ms + FLUSH_INTERVAL_MS
 
     def received(self, now_ms: float, run: int, body: bytes) -> None:
         try:
-            told = _decoder.decode(body)
+            message = _decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             self.tally.add("replicas.unknown")
             return
-        match told:
-            case Stretch():
-                self._changes(now_ms, run, told)
-            case Acked():
-                self._acked(run, told)
-            case Whole():
-                self._bucket(now_ms, run, told)
+        match message:
+            case ChangeBatch():
+                self._apply_changes(now_ms, run, message)
+            case Acknowledgement():
+                self._on_acknowledgement(run, message)
+            case FullBucket():
+                self._merge_bucket(now_ms, run, message)
             case Digests():
-                self._compare(now_ms, run, told)
+                self._compare_digests(now_ms, run, message)
             case Offer():
-                self._offered(now_ms, run, told)
-            case AskWhole():
-                copy = self.held.get(told.owner)
-                if copy is not None:
-                    for at in told.at:
-                        if 0 <= at < BUCKETS and self.rate.now(now_ms) > 0.0:
-                            self.rate.spend(self._say(run, self._whole(told.owner, copy.table, at)))
-            case LetGo():
-                member, process = self.view.table.get(run), process_of(told.owner)
-                for owner in [one for one, copy in self.held.items() if process_of(one) == process]:
-                    if member is not None and member.name == self.held[owner].name:
+                self._accept_offer(now_ms, run, message)
+            case BucketRequest():
+                replica = self.held.get(message.owner)
+                if replica is not None:
+                    for index in message.indices:
+                        if 0 <= index < BUCKETS and self.send_tokens.now(now_ms) > 0.0:
+                            self.send_tokens.spend(
+                                self._post(run, self._full_bucket(message.owner, replica.table, index))
+                            )
+            case ReleaseReplica():
+                member, process = self.view.table.get(run), process_of(message.owner)
+                for owner in [
+                    held_run
+                    for held_run, held_replica in self.held.items()
+                    if process_of(held_run) == process
+                ]:
+                    if member is not None and member.name == self.held[owner].owner_name:
                         del self.held[owner]
-            case Seek():
-                server = self.known(now_ms, told.call)
+            case LocateCall():
+                server = self.server_of(now_ms, message.call)
                 if server:
-                    self._say(run, Sought(told.call, server))
-            case Over():
-                self.put(STANDS, told.call, None)
-            case Sought():
-                self._found(told.call, told.server)
-
-    def _say(self, run: int, message: object) -> int:
+                    self._post(run, CallLocated(message.call, server))
+            case CallReleased():
+                self.put(STANDS, message.call, None)
+            case CallLocated():
+                self._finish_locating(message.call, message.server)
+
+    def _post(self, run: int, message: object) -> int:
+        """Queue a message for a member; returns its size in bytes."""
         body = _encoder.encode(message)
         self.out.append((run, body))
         return len(body)
 
     def told(self, now_ms: float) -> dict:
-        """How things stand, for operators."""
-        names = {one.run: one.name for one in self.view.members()}
+        """The state of replication, for operators."""
+        names = {member.run: member.name for member in self.view.members()}
         return {
             "own": {
                 "number": self.own.applied,
@@ -608,14 +664,21 @@
             "run": f"{self.view.run:016x}",
             "behind": self.behind(now_ms),
             "holders": {
-                names.get(run, f"{run:016x}"): {"number": one.number, "lag": self.own.applied - one.number}
-                for run, one in self.holders.items()
+                names.get(run, f"{run:016x}"): {
+                    "number": holder.acknowledged,
+                    "lag": self.own.applied - holder.acknowledged,
+                }
+                for run, holder in self.holders.items()
             },
             "held": [
-                {"owner": copy.name, "run": f"{copy.owner:016x}", "number": copy.table.applied}
-                | {"records": len(copy.table), "digest": f"{copy.table.digest():016x}"}
-                | {"gone": copy.gone_ms < float("inf")}
-                for copy in self.held.values()
+                {
+                    "owner": replica.owner_name,
+                    "run": f"{replica.owner:016x}",
+                    "number": replica.table.applied,
+                }
+                | {"records": len(replica.table), "digest": f"{replica.table.digest():016x}"}
+                | {"gone": replica.gone_ms < float("inf")}
+                for replica in self.held.values()
             ],
             "bytes": self.sent_bytes,
         }
--- a/leadslip/parts/replicas/__init__.py
+++ b/leadslip/parts/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""What one proxy knows, held by others too (fleet/replicas/)."""
+"""Replication of calls and learned rates to other members of the fleet (fleet/replicas/)."""
--- a/leadslip/parts/replicas/part.py
+++ b/leadslip/parts/replicas/part.py
@@ -1,4 +1,4 @@
-"""Replicas wired into a proxy: calls that stand and learned rates go to holders, and come back after a restart."""
+"""Replication wired into a proxy: established calls and learned rates go to holders and are recovered on restart."""
 
 from __future__ import annotations
 
@@ -14,11 +14,10 @@
 from leadslip.parts.part import Part
 from leadslip.request import Attempt, Request
 
-LEARNED_MS = 2000.0  # between two looks at what has been learned
-RATES = "rates"  # the key of learned rates
-Learned = tuple[
-    float, int, dict[int, float]
-]  # ms and calls by which rates are known; set-ups a ms by server's number
+LEARNED_INTERVAL_MS = 2000.0  # between two checks of the learned rates
+RATES = "rates"  # the key of the learned rates
+# ms and calls that the rates were learned from, and rates in set-ups a ms by server's number
+LearnedRates = tuple[float, int, dict[int, float]]
 
 
 class NotReplicatedError(OperatorError):
@@ -31,7 +30,7 @@
 
 
 class ReplicasPart(Part):
-    """This proxy as an owner and as a holder."""
+    """Replication of this proxy, as owner and as holder."""
 
     replicas: Replicas | None = None
 
@@ -41,12 +40,12 @@
     def start(self) -> None:
         node = self.node
         self.peers = node.parts["fleet"].peers
-        self.replicas = Replicas(self.peers.view, self.conf.copies, node.tally, node.log, self.restored)
+        self.replicas = Replicas(self.peers.view, self.conf.copies, node.tally, node.log, self.recovered)
         self.carrier = self.peers.join("replicas", self.replicas, lambda: None)
-        node.clients.seek = self.seek
-        self.learn()
+        node.clients.seek = self.release_call
+        self.replicate_rates()
 
-    # The owner: what the engine tells.
+    # Owner: events of the engine
 
     def request_answered(self, request: Request, answer: str, now_ms: float) -> None:
         if answer == "stands" and self.replicas is not None and request.attempt is not None:
@@ -57,48 +56,51 @@
             self.replicas.put(STANDS, attempt.request.id, None)
 
     def ended_elsewhere(self, call: str) -> None:
-        """A server ends a call that is not held by the engine: it may be one of those from before a restart."""
+        """A server has ended a call that the engine does not hold; it may be one from before a restart."""
         if self.replicas is not None:
             self.replicas.put(STANDS, call, None)
 
-    def learn(self, _: object = None) -> None:
-        """What has been learned goes to the holders now and then, if it has changed."""
+    def replicate_rates(self, _: object = None) -> None:
+        """Replicate the learned rates if they have changed; called at an interval."""
         if self.peers.stopped:
             return
         known_ms, calls, rates = self.node.engine.controller.learned()
         if calls:
-            told = known_ms, calls, {number: float(f"{rate:.3g}") for number, rate in rates.items()}
-            self.replicas.put(LEARNED, RATES, msgspec.msgpack.encode(told))
+            learned = known_ms, calls, {number: float(f"{rate:.3g}") for number, rate in rates.items()}
+            self.replicas.put(LEARNED, RATES, msgspec.msgpack.encode(learned))
         clock = self.peers.clock
-        self.peers.deadlines.at(clock.now_ms() + LEARNED_MS, self.learn)
+        self.peers.deadlines.at(clock.now_ms() + LEARNED_INTERVAL_MS, self.replicate_rates)
 
-    def restored(self, kind: str, told: dict[str, bytes]) -> None:
-        """What this proxy knew before a restart has come back."""
-        if kind == LEARNED and RATES in told:
+    def recovered(self, kind: str, states: dict[str, bytes]) -> None:
+        """Pass learned rates from before a restart to the controller."""
+        if kind == LEARNED and RATES in states:
             try:
-                learned = msgspec.msgpack.decode(told[RATES], type=Learned)
+                learned = msgspec.msgpack.decode(states[RATES], type=LearnedRates)
             except msgspec.DecodeError:
                 self.node.tally.add("replicas.unread")
                 return
             self.node.engine.controller.recall(*learned)
 
-    # Releases of calls that are not held here.
+    # Releases of calls that are not held here
 
-    def seek(self, call: str, done: Callable[[bool], None]) -> None:
-        """Release a call wherever it stands, if anybody knows; `done` is told within a bound whether."""
+    def release_call(self, call: str, done: Callable[[bool], None]) -> None:
+        """Release a call at the server where it is established, if a member knows it.
 
-        def found(uid: str) -> None:
+        `done` is called with whether it was released, at the latest when the time to locate it has passed.
+        """
+
+        def located(uid: str) -> None:
             server = self.node.servers.servers.get(uid) if uid else None
             if server is not None:
                 server.release_unheld(bytes.fromhex(call))
-                self.replicas.over(call)
+                self.replicas.call_released(call)
                 self.node.tally.add("replicas.released")
             done(server is not None)
 
-        self.replicas.seek(self.peers.clock.now_ms(), call, found)
+        self.replicas.locate(self.peers.clock.now_ms(), call, located)
         self.carrier.flush()
 
-    # What operators ask.
+    # Operators' requests
 
     def figures(self) -> dict[str, Callable[[], int]]:
         return {"replicas_behind": lambda: int(self.replicas is None or self.replicas.behind(self.now_ms()))}
@@ -107,11 +109,11 @@
         return self.peers.clock.now_ms()
 
     def calls(self) -> Calls:
-        return {b"replicas": Verbs({b"GET": self.told})}
+        return {b"replicas": Verbs({b"GET": self.status})}
 
-    def told(self, asked: Asked) -> Answer:
+    def status(self, request: Asked) -> Answer:
         if self.replicas is None:
-            raise NotReplicatedError("this proxy has not begun yet")
+            raise NotReplicatedError("replication has not started yet")
         return as_json(self.replicas.told(self.now_ms()))
 
 
--- a/leadslip/parts/replicas/settings.py
+++ b/leadslip/parts/replicas/settings.py
@@ -1,4 +1,4 @@
-"""Settings of replicas. Needs the fleet; off on the platform, as that is."""
+"""Settings of replication. It needs the fleet, and is off on the platform because the fleet is off there."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from leadslip.config import NeedsError, figures_of, turned_on
 from leadslip.parts import Around, Kind
 
-KEYS = {"copies": (2, 1, 8)}  # key -> (default, least, most)
+KEYS = {"copies": (2, 1, 8)}  # key -> (default, minimum, maximum)
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicasConfig:
-    """How many other proxies hold what this one knows."""
+    """The number of other proxies that hold a replica of this one's table."""
 
     copies: int
 
 
 def settings(told: Mapping, around: Around) -> ReplicasConfig | None:
-    """The checked settings of replicas; None where they turn it off."""
+    """The checked settings of replication from a file's table; None where it is not turned on."""
     if not turned_on(told, "replicas", tuple(KEYS)):
         return None
     if around.settings.get("fleet") is None:
@@ -28,7 +28,7 @@
 
 
 class ReplicasSettings(Kind):
-    """What the file of this part may say."""
+    """The settings file of replication."""
 
     name, variable, lasting = "replicas", "LEADSLIP_REPLICAS", "replicas"
     settings = staticmethod(settings)
