--- a/leadslip/fleet/pools/__init__.py
+++ b/leadslip/fleet/pools/__init__.py
@@ -1,1 +1,1 @@
-"""Connection budgets of setup servers, split by a policy's words among tenants and proxies. No I/O."""
+"""Connection budgets of setup servers, divided among tenants and proxies by a policy; pure, without I/O."""
--- a/leadslip/fleet/pools/policy.py
+++ b/leadslip/fleet/pools/policy.py
@@ -1,4 +1,4 @@
-"""What a pool policy says: its grammar, the typed rules, and a checker that judges the whole of it. No I/O.
+"""Pool policies: the grammar, the typed rules, and the validation of a whole policy. Pure, without I/O.
 
     budget core-*: 400 connections, keep 5% free
     tenant city: weight 3, floor 20, ceiling 60%
@@ -6,7 +6,7 @@
     routers: by need, floor 2, ceiling 40
     when zone lost: tenant river weight 8
 
-One rule a line; `#` begins a remark. Every fault bears line, column and what to change.
+One rule a line; `#` begins a comment. Every error gives line, column and what to change.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 from leadslip.errors import OperatorError
 from leadslip.fleet.pools.split import Claim
-from leadslip.fleet.pools.split import Tenant as Part
+from leadslip.fleet.pools.split import Tenant as TenantShare
 
 GRAMMAR = r"""
 start: (rule? _NL)+
@@ -41,7 +41,7 @@
 _NL: /(#[^\n]*)?\n/
 %ignore /[ \t]+/
 """
-MOST_TEXT = 64 * 1024
+MAX_POLICY_CHARACTERS = 64 * 1024
 
 
 class PolicyError(OperatorError):
@@ -50,94 +50,96 @@
     code, status = "pools.policy", 422
     action = "Change the line named as the text says, and propose the policy again."
 
-    def __init__(self, line: int, column: int, what: str, change: str) -> None:
-        super().__init__(f"line {line}, column {column}: {what}; {change}")
-        self.line, self.column, self.what, self.change = line, column, what, change
+    def __init__(self, line: int, column: int, problem: str, remedy: str) -> None:
+        super().__init__(f"line {line}, column {column}: {problem}; {remedy}")
+        self.line, self.column, self.problem, self.remedy = line, column, problem, remedy
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One figure of a rule, and where it stands."""
+    """One value of a rule and its position in the text."""
 
     kind: str  # weight, floor or ceiling
-    value: float  # a part of the budget where `part`
-    part: bool
+    value: float  # a fraction of the budget where `is_fraction`
+    is_fraction: bool
     line: int
     column: int
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
-    """Connections that each server of these names takes, and the part of them that is kept free."""
+class BudgetRule:
+    """The connections that each server of a name pattern accepts, and the fraction of them that is kept free."""
 
     servers: str
     connections: int
-    free: float
+    free_fraction: float
     line: int
     column: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tenant:
-    """What a tenant may have of a budget; `when`: only in that case."""
+class TenantRule:
+    """A tenant's bounds within a budget; with `condition`, only while that condition holds."""
 
     name: str
     settings: tuple[Setting, ...]
-    when: str
+    condition: str
     line: int
     column: int
 
-    def of(self, kind: str) -> Setting | None:
-        return next((one for one in self.settings if one.kind == kind), None)
+    def setting(self, kind: str) -> Setting | None:
+        return next((setting for setting in self.settings if setting.kind == kind), None)
 
 
 @dataclass(frozen=True, slots=True)
-class Routers:
-    """The bounds of each proxy's part in a tenant's."""
+class RoutersRule:
+    """The bounds of each proxy's share of a tenant's connections."""
 
     settings: tuple[Setting, ...]
     line: int
     column: int
 
 
-class _Rules(Transformer):
-    """Lark's tree as rules."""
+class _TreeToRules(Transformer):
+    """Turns Lark's tree into rules; each method is named after a rule of the grammar."""
 
-    def start(self, told: Sequence) -> list:
-        return list(told)
+    def start(self, children: Sequence) -> list:
+        return list(children)
 
-    def budget(self, told: Sequence[Token]) -> Budget:
-        glob, count, *free = told
-        return Budget(str(glob), int(count), _part(free[0]) if free else 0.0, glob.line, glob.column)
+    def budget(self, children: Sequence[Token]) -> BudgetRule:
+        glob, count, *free = children
+        return BudgetRule(str(glob), int(count), _fraction(free[0]) if free else 0.0, glob.line, glob.column)
 
-    def tenant(self, told: Sequence) -> Tenant:
-        return Tenant(str(told[0]), tuple(told[1:]), "", told[0].line, told[0].column)
+    def tenant(self, children: Sequence) -> TenantRule:
+        return TenantRule(str(children[0]), tuple(children[1:]), "", children[0].line, children[0].column)
 
-    def when(self, told: Sequence) -> Tenant:
-        condition, name, *settings = told
-        return Tenant(str(name), tuple(settings), str(condition), condition.line, condition.column)
+    def when(self, children: Sequence) -> TenantRule:
+        condition, name, *settings = children
+        return TenantRule(str(name), tuple(settings), str(condition), condition.line, condition.column)
 
-    def routers(self, told: Sequence[Setting]) -> Routers:
-        first = told[0] if told else None
-        return Routers(tuple(told), first.line if first else 0, first.column if first else 0)
+    def routers(self, children: Sequence[Setting]) -> RoutersRule:
+        first = children[0] if children else None
+        return RoutersRule(tuple(children), first.line if first else 0, first.column if first else 0)
 
-    def weight(self, told: Sequence[Token]) -> Setting:
-        return _setting("weight", told[0])
+    def weight(self, children: Sequence[Token]) -> Setting:
+        return _setting("weight", children[0])
 
-    def floor(self, told: Sequence[Token]) -> Setting:
-        return _setting("floor", told[0])
+    def floor(self, children: Sequence[Token]) -> Setting:
+        return _setting("floor", children[0])
 
-    def ceiling(self, told: Sequence[Token]) -> Setting:
-        return _setting("ceiling", told[0])
+    def ceiling(self, children: Sequence[Token]) -> Setting:
+        return _setting("ceiling", children[0])
 
 
-def _part(token: Token) -> float:
-    return int(token[:-1]) / 100.0
+def _fraction(percent: Token) -> float:
+    return int(percent[:-1]) / 100.0
 
 
 def _setting(kind: str, token: Token) -> Setting:
-    part = token.endswith("%")
-    return Setting(kind, _part(token) if part else float(token), part, token.line, token.column)
+    is_fraction = token.endswith("%")
+    return Setting(
+        kind, _fraction(token) if is_fraction else float(token), is_fraction, token.line, token.column
+    )
 
 
 @cache
@@ -147,134 +149,180 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """A policy that has been judged."""
+    """A validated policy."""
 
-    budgets: tuple[Budget, ...]
-    tenants: tuple[Tenant, ...]
-    routers: Routers
+    budgets: tuple[BudgetRule, ...]
+    tenants: tuple[TenantRule, ...]
+    routers: RoutersRule
 
     def budget(self, server: str) -> int:
-        """Connections to a server that may be open; nought where no rule names it."""
-        held = next((one for one in self.budgets if fnmatchcase(server, one.servers)), None)
-        return 0 if held is None else int(held.connections * (1.0 - held.free) + 1e-9)
+        """The number of connections to a server that may be open; 0 where no rule matches it."""
+        rule = next((rule for rule in self.budgets if fnmatchcase(server, rule.servers)), None)
+        return 0 if rule is None else int(rule.connections * (1.0 - rule.free_fraction) + 1e-9)
 
-    def parts(self, server: str, holds: frozenset[str] = frozenset()) -> dict[str, Part]:
-        """Each tenant's claim on a server's budget while these conditions hold, for `split`."""
+    def tenant_shares(self, server: str, conditions: frozenset[str] = frozenset()) -> dict[str, TenantShare]:
+        """Each tenant's claim on a server's budget while these conditions hold, as `split` takes it."""
         budget = self.budget(server)
-        figures: dict[str, dict[str, Setting]] = {}
-        for one in self.tenants:  # a later rule counts over an earlier one
-            if not one.when or one.when in holds:
-                figures.setdefault(one.name, {}).update({held.kind: held for held in one.settings})
-        bounds = {held.kind: _figure(held, budget) for held in self.routers.settings}
+        settings: dict[str, dict[str, Setting]] = {}
+        for rule in self.tenants:  # a later rule overrides an earlier one
+            if not rule.condition or rule.condition in conditions:
+                settings.setdefault(rule.name, {}).update(
+                    {setting.kind: setting for setting in rule.settings}
+                )
+        bounds = {setting.kind: _connections(setting, budget) for setting in self.routers.settings}
         return {
-            name: Part(
+            name: TenantShare(
                 Claim(
-                    held["weight"].value if "weight" in held else 1.0,
-                    _figure(held["floor"], budget) if "floor" in held else 0.0,
-                    _figure(held["ceiling"], budget) if "ceiling" in held else float(budget),
+                    by_kind["weight"].value if "weight" in by_kind else 1.0,
+                    _connections(by_kind["floor"], budget) if "floor" in by_kind else 0.0,
+                    _connections(by_kind["ceiling"], budget) if "ceiling" in by_kind else float(budget),
                 ),
                 int(bounds.get("floor", 0.0)),
                 bounds.get("ceiling", float(budget)),
             )
-            for name, held in figures.items()
+            for name, by_kind in settings.items()
         }
 
 
-def _figure(held: Setting, budget: int) -> float:
-    return held.value * budget if held.part else held.value
+def _connections(setting: Setting, budget: int) -> float:
+    return setting.value * budget if setting.is_fraction else setting.value
 
 
-def read(text: str, servers: Sequence[str], tenants: Sequence[str], most_members: int) -> Policy:
-    """The policy in a text, judged against the lists that hold. Raises PolicyError."""
-    if len(text) > MOST_TEXT:
-        raise PolicyError(1, 1, f"{len(text)} characters are more than {MOST_TEXT}", "make it shorter")
+def parse_policy(text: str, servers: Sequence[str], tenants: Sequence[str], max_members: int) -> Policy:
+    """Parse a policy and validate it against the servers and tenants of the settings. Raises PolicyError."""
+    if len(text) > MAX_POLICY_CHARACTERS:
+        raise PolicyError(
+            1,
+            1,
+            f"the policy has {len(text)} characters, more than the allowed {MAX_POLICY_CHARACTERS}",
+            "shorten it",
+        )
     try:
-        told = _Rules().transform(_parser().parse(text + "\n"))
-    except UnexpectedInput as fault:
-        found = text.split("\n")[fault.line - 1][fault.column - 1 :].split() if fault.line > 0 else []
-        what = f"{found[0]!r} is not expected here" if found else "the line ends too early"
+        rules = _TreeToRules().transform(_parser().parse(text + "\n"))
+    except UnexpectedInput as error:
+        found = text.split("\n")[error.line - 1][error.column - 1 :].split() if error.line > 0 else []
+        problem = f"{found[0]!r} is not expected here" if found else "the line ends too early"
         raise PolicyError(
-            fault.line, fault.column, what, "see docs/pools.md for the words of a rule"
+            error.line, error.column, problem, "see docs/pools.md for the syntax of the rules"
         ) from None
-    except VisitError as fault:
-        raise PolicyError(1, 1, str(fault.orig_exc), "write figures as whole numbers") from fault
-    budgets = tuple(one for one in told if isinstance(one, Budget))
-    rules = tuple(one for one in told if isinstance(one, Tenant))
-    routers = [one for one in told if isinstance(one, Routers)]
-    _judge_budgets(budgets, servers)
-    _judge_tenants(rules, tenants)
-    if len(routers) > 1:
+    except VisitError as error:
+        raise PolicyError(1, 1, str(error.orig_exc), "write each number as an integer") from error
+    budget_rules = tuple(rule for rule in rules if isinstance(rule, BudgetRule))
+    tenant_rules = tuple(rule for rule in rules if isinstance(rule, TenantRule))
+    routers_rules = [rule for rule in rules if isinstance(rule, RoutersRule)]
+    _check_budgets(budget_rules, servers)
+    _check_tenants(tenant_rules, tenants)
+    if len(routers_rules) > 1:
         raise PolicyError(
-            routers[1].line, routers[1].column, "routers are told twice", "take one of the two out"
+            routers_rules[1].line,
+            routers_rules[1].column,
+            "the routers rule is given twice",
+            "remove one of the two",
         )
-    policy = Policy(budgets, rules, routers[0] if routers else Routers((), 0, 0))
-    _judge_floors(policy, servers, most_members)
+    policy = Policy(budget_rules, tenant_rules, routers_rules[0] if routers_rules else RoutersRule((), 0, 0))
+    _check_floors(policy, servers, max_members)
     return policy
 
 
-def _judge_budgets(budgets: Sequence[Budget], servers: Sequence[str]) -> None:
-    if not budgets:
-        raise PolicyError(1, 1, "there is no budget", "begin with a line such as `budget *: 400 connections`")
-    left = set(servers)
-    for one in budgets:
-        named = {server for server in servers if fnmatchcase(server, one.servers)}
-        if not named:
-            what = f"{one.servers} names no server of the list"
-            raise PolicyError(one.line, one.column, what, "correct the name or take the line out")
-        if not named & left:
-            what = f"{one.servers} can never count, as lines before it name all its servers"
-            raise PolicyError(one.line, one.column, what, "move it up or take it out")
-        if one.connections < 1 or one.free >= 1.0:
+def _check_budgets(rules: Sequence[BudgetRule], servers: Sequence[str]) -> None:
+    if not rules:
+        raise PolicyError(
+            1, 1, "there is no budget rule", "begin with a line such as `budget *: 400 connections`"
+        )
+    unmatched = set(servers)
+    for rule in rules:
+        matching = {server for server in servers if fnmatchcase(server, rule.servers)}
+        if not matching:
+            problem = f"{rule.servers} matches no server in the list"
+            raise PolicyError(rule.line, rule.column, problem, "correct the name or remove the line")
+        if not matching & unmatched:
+            problem = f"{rule.servers} can never apply, as earlier lines match all its servers"
+            raise PolicyError(rule.line, rule.column, problem, "move the line up or remove it")
+        if rule.connections < 1 or rule.free_fraction >= 1.0:
             raise PolicyError(
-                one.line, one.column, "nothing is left of this budget", "allow more connections"
+                rule.line,
+                rule.column,
+                f"nothing is left of a budget of {rule.connections} with {rule.free_fraction:.0%} kept free",
+                "allow more connections",
             )
-        left -= named
+        unmatched -= matching
 
 
-def _judge_tenants(rules: Sequence[Tenant], tenants: Sequence[str]) -> None:
+def _check_tenants(rules: Sequence[TenantRule], tenants: Sequence[str]) -> None:
     seen: dict[tuple[str, str, str], Setting] = {}
-    for one in rules:
-        if one.name not in tenants:
-            what = f"{one.name} is no tenant of the settings"
-            raise PolicyError(one.line, one.column, what, f"name one of {', '.join(tenants) or 'none'}")
-        for held in one.settings:
-            before = seen.setdefault((one.name, one.when, held.kind), held)
-            if before is not held:
-                what = (
-                    f"the {held.kind} of {one.name} is told twice for one case, first in line {before.line}"
+    for rule in rules:
+        if rule.name not in tenants:
+            problem = f"{rule.name} is no tenant in the settings"
+            raise PolicyError(rule.line, rule.column, problem, f"name one of {', '.join(tenants) or 'none'}")
+        for setting in rule.settings:
+            first = seen.setdefault((rule.name, rule.condition, setting.kind), setting)
+            if first is not setting:
+                problem = (
+                    f"the {setting.kind} of {rule.name} is set twice for the same case, "
+                    f"first in line {first.line}"
                 )
-                raise PolicyError(held.line, held.column, what, "take one of the two out")
-            if held.kind == "weight" and held.value < 1:
-                raise PolicyError(held.line, held.column, "a weight of 0 gives nothing", "use 1 or more")
-            if held.part and held.value > 1.0:
-                raise PolicyError(held.line, held.column, "more than 100% of a budget", "use 100% at most")
-
-
-def _judge_floors(policy: Policy, servers: Sequence[str], most_members: int) -> None:
-    """Floors have to fit the budget whatever case holds: all together, and those of the most proxies there may be."""
-    bounds = {held.kind: held for held in policy.routers.settings}
-    low, high = bounds.get("floor"), bounds.get("ceiling")
-    if low is not None and high is not None and low.value > high.value:
-        raise PolicyError(low.line, low.column, "the floor is above the ceiling", "lower it")
-    cases = [frozenset()] + [frozenset([one.when]) for one in policy.tenants if one.when]
+                raise PolicyError(setting.line, setting.column, problem, "remove one of the two")
+            if setting.kind == "weight" and setting.value < 1:
+                raise PolicyError(
+                    setting.line,
+                    setting.column,
+                    f"a weight of {setting.value:g} gives nothing",
+                    "use 1 or more",
+                )
+            if setting.is_fraction and setting.value > 1.0:
+                raise PolicyError(
+                    setting.line,
+                    setting.column,
+                    f"{setting.value:.0%} is more than 100% of a budget",
+                    "use at most 100%",
+                )
+
+
+def _check_floors(policy: Policy, servers: Sequence[str], max_members: int) -> None:
+    """Check that floors fit each budget under every condition: the tenants' together, and those of all proxies."""
+    bounds = {setting.kind: setting for setting in policy.routers.settings}
+    floor, ceiling = bounds.get("floor"), bounds.get("ceiling")
+    if floor is not None and ceiling is not None and floor.value > ceiling.value:
+        raise PolicyError(floor.line, floor.column, "the routers' floor is above the ceiling", "lower it")
+    cases = [frozenset()] + [frozenset([rule.condition]) for rule in policy.tenants if rule.condition]
     for server in servers:
         budget = policy.budget(server)
         if not budget:
             continue
-        if low is not None and low.value * most_members * max(1, len(policy.parts(server))) > budget:
-            what = (
-                f"a floor of {low.value:g} for {most_members} proxies and each tenant is more than {budget}"
+        if (
+            floor is not None
+            and floor.value * max_members * max(1, len(policy.tenant_shares(server))) > budget
+        ):
+            problem = (
+                f"a floor of {floor.value:g} for {max_members} proxies and each tenant "
+                f"is more than the budget of {budget}"
             )
-            raise PolicyError(low.line, low.column, what, f"lower it, or raise the budget of {server}")
-        for holds in cases:
-            parts = policy.parts(server, holds)
-            floors = sum(one.claim.floor for one in parts.values())
-            last = [one.of("floor") for one in policy.tenants if one.of("floor") is not None]
-            if floors > budget and last:
-                what = f"floors of {floors:g} together are more than the {budget} of {server}"
-                raise PolicyError(last[-1].line, last[-1].column, what, "lower floors or raise the budget")
-            for name, one in parts.items():
-                if one.claim.floor > one.claim.ceiling:
-                    held = next(x.of("floor") for x in policy.tenants if x.name == name and x.of("floor"))
-                    what = f"the floor of {name} is above its ceiling of {one.claim.ceiling:g} at {server}"
-                    raise PolicyError(held.line, held.column, what, "lower the floor or raise the ceiling")
+            raise PolicyError(floor.line, floor.column, problem, f"lower it, or raise the budget of {server}")
+        for conditions in cases:
+            shares = policy.tenant_shares(server, conditions)
+            floors = sum(share.claim.floor for share in shares.values())
+            floor_settings = [
+                rule.setting("floor") for rule in policy.tenants if rule.setting("floor") is not None
+            ]
+            if floors > budget and floor_settings:
+                problem = f"floors of {floors:g} in total are more than the {budget} connections of {server}"
+                raise PolicyError(
+                    floor_settings[-1].line,
+                    floor_settings[-1].column,
+                    problem,
+                    "lower floors or raise the budget",
+                )
+            for name, share in shares.items():
+                if share.claim.floor > share.claim.ceiling:
+                    setting = next(
+                        rule.setting("floor")
+                        for rule in policy.tenants
+                        if rule.name == name and rule.setting("floor")
+                    )
+                    problem = (
+                        f"the floor of {name} is above its ceiling of {share.claim.ceiling:g} "
+                        f"connections at {server}"
+                    )
+                    raise PolicyError(
+                        setting.line, setting.column, problem, "lower the floor or raise the ceiling"
+                    )
--- a/leadslip/fleet/pools/split.py
+++ b/leadslip/fleet/pools/split.py
@@ -1,10 +1,11 @@
-"""The split of one server's budget: weighted max-min over tenants, then over the proxies of each. No I/O, no chance.
-
-A tenant gets its floor (as far as it has need), at most its ceiling, and beyond that what its weight is worth: the
-smallest share for its weight is as large as it can be, then the next (water-filling). What a tenant gets is filled over
-its proxies in the same way, each alike. Whole connections come of it by largest remainders, of tenants first, then of
-each one's proxies; where a connection could go either way it stays where it is, so that a split moves no more than the
-shares themselves do, and every part is within one connection of the exact one.
+"""Division of one server's connection budget: weighted max-min over tenants, then over the proxies of each.
+
+Pure, without I/O, and deterministic. A tenant gets its floor (as far as it has need), at most its ceiling, and beyond
+the floor a share by its weight: the smallest share relative to weight is as large as possible, then the next smallest
+(water-filling). A tenant's connections are divided among its proxies in the same way, with equal weights. Shares are
+rounded to integers by largest remainders, first for tenants, then for the proxies of each. Ties go to whoever has the
+connection already, so that a new division moves no more connections than the change of the shares requires, and each
+result is within one connection of the exact share.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What one party may have: at least `floor` and at most `ceiling` connections, else by weight."""
+    """What one party may have: at least `floor` and at most `ceiling` connections, between these by weight."""
 
     weight: float
     floor: float
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant's part of one server's budget, and the bounds of each proxy's part in it."""
+    """A tenant's claim on one server's budget, and the bounds of each proxy's share of what the tenant gets."""
 
     claim: Claim
     router_floor: int = 0
@@ -36,57 +37,67 @@
 def fill(total: float, claims: Sequence[Claim]) -> list[float]:
     """Weighted max-min: each claim gets `level * weight` within its bounds, the level such that `total` is used up.
 
-    Floors that do not fit together are cut in proportion; nothing is given beyond ceilings. Steps: one for each bound.
+    Floors that do not fit together are reduced in proportion; no claim gets more than its ceiling. The number of steps
+    is at most that of the distinct bounds.
     """
-    lows = [min(one.floor, one.ceiling) for one in claims]
-    if sum(lows) >= total:
-        scale = total / sum(lows) if sum(lows) > 0 else 0.0
-        return [low * scale for low in lows]
-    if sum(one.ceiling for one in claims) <= total:
-        return [one.ceiling for one in claims]
-    # Between two bounds the sum grows in a straight line with the level.
-    bounds = sorted(
-        {bound / one.weight for one, low in zip(claims, lows, strict=True) for bound in (low, one.ceiling)}
+    floors = [min(claim.floor, claim.ceiling) for claim in claims]
+    if sum(floors) >= total:
+        scale = total / sum(floors) if sum(floors) > 0 else 0.0
+        return [floor * scale for floor in floors]
+    if sum(claim.ceiling for claim in claims) <= total:
+        return [claim.ceiling for claim in claims]
+    # Between two adjacent bounds the sum of the shares is linear in the level.
+    levels = sorted(
+        {
+            bound / claim.weight
+            for claim, floor in zip(claims, floors, strict=True)
+            for bound in (floor, claim.ceiling)
+        }
         - {math.inf}
     )
 
-    def given(level: float) -> list[float]:
-        return [min(max(level * one.weight, low), one.ceiling) for one, low in zip(claims, lows, strict=True)]
+    def shares_at(level: float) -> list[float]:
+        return [
+            min(max(level * claim.weight, floor), claim.ceiling)
+            for claim, floor in zip(claims, floors, strict=True)
+        ]
 
-    before = 0.0
-    for level in bounds:
-        if sum(given(level)) >= total:
+    below = 0.0
+    for level in levels:
+        if sum(shares_at(level)) >= total:
             break
-        before = level
-    held = sum(given(before))
-    rate = sum(
-        one.weight
-        for one, low in zip(claims, lows, strict=True)
-        if low <= before * one.weight < one.ceiling and before * one.weight >= low
+        below = level
+    used = sum(shares_at(below))
+    slope = sum(
+        claim.weight
+        for claim, floor in zip(claims, floors, strict=True)
+        if floor <= below * claim.weight < claim.ceiling and below * claim.weight >= floor
     )
-    return given(before + (total - held) / rate if rate else before)
+    return shares_at(below + (total - used) / slope if slope else below)
 
 
-def rank(server: str, tenant: str, proxy: str) -> int:
-    """The order in which equal remainders are served, the same wherever it is reckoned."""
-    told = f"{server} {tenant} {proxy}".encode()
-    return int.from_bytes(blake2b(told, digest_size=8, person=b"leadslip-split").digest())
+def tie_break(server: str, tenant: str, proxy: str) -> int:
+    """The order in which equal remainders are served, the same at every member."""
+    key = f"{server} {tenant} {proxy}".encode()
+    return int.from_bytes(blake2b(key, digest_size=8, person=b"leadslip-split").digest())
 
 
-def whole(
-    shares: Mapping[str, float], standing: Mapping[str, int], order: Mapping[str, int]
+def round_shares(
+    shares: Mapping[str, float], current: Mapping[str, int], order: Mapping[str, int]
 ) -> dict[str, int]:
-    """Whole connections of shares: never more together than the shares, each within one of its own.
+    """Round shares to integers: in total never more than the shares, and each within one of its share.
 
-    One that stands above the whole part of its share keeps it before others get a remainder.
+    A remainder goes first to those that currently have more connections than the integer part of their share.
     """
-    told = {key: math.floor(share + 1e-9) for key, share in shares.items()}
-    left = math.floor(sum(shares.values()) + 1e-9) - sum(told.values())
-    wanting = [key for key, share in shares.items() if share - told[key] > 1e-9]
-    wanting.sort(key=lambda key: (standing.get(key, 0) <= told[key], told[key] - shares[key], order[key]))
-    for key in wanting[:left]:
-        told[key] += 1
-    return told
+    counts = {key: math.floor(share + 1e-9) for key, share in shares.items()}
+    remainder = math.floor(sum(shares.values()) + 1e-9) - sum(counts.values())
+    candidates = [key for key, share in shares.items() if share - counts[key] > 1e-9]
+    candidates.sort(
+        key=lambda key: (current.get(key, 0) <= counts[key], counts[key] - shares[key], order[key])
+    )
+    for key in candidates[:remainder]:
+        counts[key] += 1
+    return counts
 
 
 def split(
@@ -94,29 +105,34 @@
     budget: int,
     tenants: Mapping[str, Tenant],
     needs: Mapping[tuple[str, str], int],
-    standing: Mapping[tuple[str, str], int] | None = None,
+    current: Mapping[tuple[str, str], int] | None = None,
 ) -> dict[tuple[str, str], int]:
-    """Connections to a server by (tenant, proxy), from what each could use; together at most the budget."""
-    standing = standing or {}
-    bounds: dict[str, dict[str, float]] = {name: {} for name in tenants}
+    """Connections to a server by (tenant, proxy), from what each could use; in total at most the budget."""
+    current = current or {}
+    usable: dict[str, dict[str, float]] = {name: {} for name in tenants}
     for (name, proxy), need in sorted(needs.items()):
-        held = tenants[name]
-        bounds[name][proxy] = min(max(need, held.router_floor), held.router_ceiling)
+        tenant = tenants[name]
+        usable[name][proxy] = min(max(need, tenant.router_floor), tenant.router_ceiling)
     names = sorted(tenants)
     claims = []
     for name in names:
-        could = sum(bounds[name].values())
+        usable_total = sum(usable[name].values())
         claim = tenants[name].claim
-        claims.append(Claim(claim.weight, min(claim.floor, could), min(claim.ceiling, could)))
-    stands = {name: sum(count for (of, _), count in standing.items() if of == name) for name in names}
+        claims.append(Claim(claim.weight, min(claim.floor, usable_total), min(claim.ceiling, usable_total)))
+    current_totals = {
+        name: sum(count for (tenant_name, _), count in current.items() if tenant_name == name)
+        for name in names
+    }
     shares = dict(zip(names, fill(budget, claims), strict=True))
-    totals = whole(shares, stands, {name: rank(server, name, "") for name in names})
-    told: dict[tuple[str, str], int] = {}
+    totals = round_shares(shares, current_totals, {name: tie_break(server, name, "") for name in names})
+    connections: dict[tuple[str, str], int] = {}
     for name in names:
-        proxies = list(bounds[name])
-        ways = [Claim(1.0, tenants[name].router_floor, bounds[name][proxy]) for proxy in proxies]
-        parts = dict(zip(proxies, fill(totals[name], ways), strict=True))
-        here = {proxy: standing.get((name, proxy), 0) for proxy in proxies}
-        order = {proxy: rank(server, name, proxy) for proxy in proxies}
-        told |= {(name, proxy): count for proxy, count in whole(parts, here, order).items()}
-    return told
+        proxies = list(usable[name])
+        proxy_claims = [Claim(1.0, tenants[name].router_floor, usable[name][proxy]) for proxy in proxies]
+        proxy_shares = dict(zip(proxies, fill(totals[name], proxy_claims), strict=True))
+        current_here = {proxy: current.get((name, proxy), 0) for proxy in proxies}
+        order = {proxy: tie_break(server, name, proxy) for proxy in proxies}
+        connections |= {
+            (name, proxy): count for proxy, count in round_shares(proxy_shares, current_here, order).items()
+        }
+    return connections
