--- a/leadslip/drill/__init__.py
+++ b/leadslip/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The drill: several processes of the program, broken in seeded ways, and judged by their histories."""
+"""Fault injection: runs several processes of the program under seeded faults and checks their histories."""
--- a/leadslip/drill/broken.py
+++ b/leadslip/drill/broken.py
@@ -1,6 +1,6 @@
-"""Views and agreements with one fault each, to prove that the checker sees it, and a view that is a version behind.
+"""Faulty variants of the view and the agreement, which the checker must detect, and a view of the previous version.
 
-For drills of debug builds only (parts/fleet.py).
+Settings accept them in debug builds only (parts/fleet).
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 class Deaf(View):
-    """Does not learn that it was declared dead, and goes on as before (breaks V1)."""
+    """Ignores that it was declared dead, and goes on under the same run (violates V1)."""
 
     def _reborn(self, now_ms: float, run: int) -> None:
         return
 
 
 class Apart(View):
-    """Never tries the dead nor the seeds again, so that a partition does not heal (breaks V2)."""
+    """Never contacts dead members or the seeds again, so that a partition does not heal (violates V2)."""
 
     def _reach(self, now_ms: float, _: int) -> None:
         if not self.joined:
@@ -34,10 +34,10 @@
 
 
 class Forgiving(View):
-    """Takes a dead member back as the same run when it is heard of again (breaks V3)."""
+    """Accepts a dead member again under the same run when an update says it is alive (violates V3)."""
 
-    def __init__(self, *told: object) -> None:
-        super().__init__(*told)
+    def __init__(self, *args: object) -> None:
+        super().__init__(*args)
         self.table.__class__ = ForgivingTable
 
     def _reborn(self, now_ms: float, run: int) -> None:
@@ -46,29 +46,29 @@
 
 
 class ForgivingTable(Table):
-    """A table in which the end of a life is news like any other."""
+    """A table in which a dead run can become alive again by a higher incarnation."""
 
-    def _back(self, run: int, state: int, incarnation: int) -> None:
-        held = self.get(run)
+    def _revive(self, run: int, state: int, incarnation: int) -> None:
+        member = self.get(run)
         if (
-            held is not None
-            and held.state is State.DEAD
+            member is not None
+            and member.state is State.DEAD
             and state == State.ALIVE
-            and incarnation > held.incarnation
+            and incarnation > member.incarnation
         ):
-            self._put(held, replace(held, state=State.ALIVE, incarnation=incarnation))
+            self._put(member, replace(member, state=State.ALIVE, incarnation=incarnation))
 
-    def take(self, told: wire.Full, now_ms: float) -> Member | None:
-        self._back(told.run, told.state, told.incarnation)
-        return super().take(told, now_ms)
+    def take(self, update: wire.Full, now_ms: float) -> Member | None:
+        self._revive(update.run, update.state, update.incarnation)
+        return super().take(update, now_ms)
 
-    def hear(self, told: wire.Short, now_ms: float) -> Member | None:
-        self._back(told.run, told.state, told.incarnation)
-        return super().hear(told, now_ms)
+    def hear(self, update: wire.Short, now_ms: float) -> Member | None:
+        self._revive(update.run, update.state, update.incarnation)
+        return super().hear(update, now_ms)
 
 
 class Waiting(View):
-    """Holds up its whole process until it is sure of a death (breaks C1: no call waits for the fleet)."""
+    """Blocks its process for 6 s before it declares a suspected member dead (violates C1: calls wait for the fleet)."""
 
     def _verdict(self, now_ms: float, key: int) -> None:
         if key in self.suspicions:
@@ -77,36 +77,36 @@
 
 
 class Former(View):
-    """Speaks wire version 1 alone, as the program did: no facts of its own, no editions; version 2 is refused."""
+    """Speaks wire version 1 only, as older releases do: sends no facts, ignores editions, refuses version 2."""
 
     speaks = 1
 
-    def __init__(self, me: Me, *told: object) -> None:
-        super().__init__(replace(me, facts={}), *told)
+    def __init__(self, me: Me, *args: object) -> None:
+        super().__init__(replace(me, facts={}), *args)
 
     def change_facts(self, now_ms: float, facts: dict[str, str | int]) -> None:
         return
 
     def _news(self, now_ms: float, message: wire.Ping | wire.Ack | wire.Gossip) -> None:
-        super()._news(now_ms, msgspec.structs.replace(message, full=self._former(message.full)))
+        super()._news(now_ms, msgspec.structs.replace(message, full=self._without_editions(message.full)))
 
     def _merge(self, now_ms: float, members: list[wire.Full]) -> None:
-        super()._merge(now_ms, self._former(members))
+        super()._merge(now_ms, self._without_editions(members))
 
     @staticmethod
-    def _former(members: list[wire.Full]) -> list[wire.Full]:
-        return [msgspec.structs.replace(one, edition=0) for one in members]
+    def _without_editions(members: list[wire.Full]) -> list[wire.Full]:
+        return [msgspec.structs.replace(member, edition=0) for member in members]
 
 
 class Timeless(Agreement):
-    """Acts on what it holds however long ago it was vouched for (breaks A2)."""
+    """Applies its current revision however long ago its freshness was confirmed (violates A2)."""
 
     def in_force(self, now_ms: float) -> Rules:
         return self.rules if self.rules is not None else self.alone
 
 
 class Headstrong(Agreement):
-    """Commits, as a leader, what it alone holds, and leads on without a majority (breaks A1 and A3)."""
+    """Commits entries that only the leader has stored, and stays leader without a majority (violates A1 and A3)."""
 
     def _begin(self, now_ms: float) -> None:
         super()._begin(now_ms)
@@ -114,7 +114,7 @@
 
 
 class HeadstrongRaft(Raft):
-    """A majority of one."""
+    """A Raft in which any single voter is a majority."""
 
     def _majority(self, of: Sequence[str]) -> bool:
         return bool(of)
--- a/leadslip/drill/callers.py
+++ b/leadslip/drill/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the drill: SIP over TCP to each process, and a record of every answer. asyncio."""
+"""Callers of a fault-injection run: place calls by SIP over TCP at each process and record every answer. asyncio."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 import time
 from random import Random
 
-VALID_MS = 3000.0
-AGAIN_S = 0.2  # between two tries to reach a process that does not listen
-ID = re.compile(rb"\r\nCall-ID: *([0-9a-fA-F]{16})", re.IGNORECASE)
-LENGTH = re.compile(rb"\r\nContent-Length: *(\d+)", re.IGNORECASE)
+REQUEST_VALID_MS = 3000.0
+RECONNECT_DELAY_S = 0.2  # wait before reconnecting to a process that does not listen
+CALL_ID_HEADER = re.compile(rb"\r\nCall-ID: *([0-9a-fA-F]{16})", re.IGNORECASE)
+CONTENT_LENGTH_HEADER = re.compile(rb"\r\nContent-Length: *(\d+)", re.IGNORECASE)
 INVITE = (
     "INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {id}\r\nCSeq: 1 INVITE\r\n"
     "Priority-Class: resident-call\r\nExpires-Ms: {valid}\r\nP-Trunk-Info: dest:0;width:1;via:-1\r\n"
     "Content-Length: 5\r\n\r\nc=off"
 )
 BYE = b"BYE sip:proxy@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: %s\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n"
-READY = b"OPTIONS sip:proxy@net SIP/2.0\r\nCall-ID: %s\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
-HEARD = b"SIP/2.0 200 OK\r\nCall-ID: %s\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n"
+OPTIONS = b"OPTIONS sip:proxy@net SIP/2.0\r\nCall-ID: %s\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
+BYE_OK = b"SIP/2.0 200 OK\r\nCall-ID: %s\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n"
 
 
-async def released(address: tuple[str, int], calls: list[str]) -> list[int]:
-    """What a process answers to a release of each of these calls; 0 where it does not."""
-    told: list[int] = []
+async def release_calls(address: tuple[str, int], calls: list[str]) -> list[int]:
+    """Release calls at a process; returns the status of each answer, 0 for a missing one."""
+    statuses: list[int] = []
     try:
         reader, writer = await asyncio.open_connection(*address)
         for id_ in calls:
@@ -31,33 +31,33 @@
             head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 3.0)
             while b" BYE\r\n" not in head or head.startswith(b"BYE"):
                 head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 3.0)
-            told.append(int(head[8:11]))
+            statuses.append(int(head[8:11]))
         writer.close()
     except (OSError, TimeoutError, asyncio.IncompleteReadError):
         pass
-    return told + [0] * (len(calls) - len(told))
+    return statuses + [0] * (len(calls) - len(statuses))
 
 
 class Caller:
-    """Places calls at one process, a connection at a time, and notes what is answered."""
+    """Places calls at one process over one connection at a time, and records the answers."""
 
     def __init__(
-        self, name: str, address: tuple[str, int], rate: float, seed: int, releases: bool = False
+        self, name: str, address: tuple[str, int], rate: float, seed: int, releases_calls: bool = False
     ) -> None:
-        self.releases = releases  # half of the calls that stand, about a second later
+        self.releases_calls = releases_calls  # release half of the established calls, about a second later
         self.name, self.address, self.rate, self.draw = name, address, rate, Random(seed)
         self.calls: dict[bytes, dict] = {}
         self.writer: asyncio.StreamWriter | None = None
 
     async def run(self) -> None:
-        """Call until cancelled."""
+        """Place calls at random intervals until cancelled."""
         while True:
             try:
                 if self.writer is None or self.writer.is_closing():
                     reader, self.writer = await asyncio.open_connection(*self.address)
                     asyncio.get_running_loop().create_task(self.listen(reader, self.writer))
-                    # Who says nothing for two seconds is closed, and a call that crosses that would be lost.
-                    self.writer.write(READY % f"{self.draw.getrandbits(64):016x}".encode())
+                    # The proxy closes a connection that is silent for 2 s; a call sent at that moment would be lost.
+                    self.writer.write(OPTIONS % f"{self.draw.getrandbits(64):016x}".encode())
                 await asyncio.sleep(self.draw.expovariate(self.rate))
                 if self.writer.is_closing():
                     continue
@@ -70,32 +70,32 @@
                     "lost": False,
                 }
                 self.calls[id_.encode()] = call
-                text = INVITE.format(number=self.draw.randrange(10**8), id=id_, valid=int(VALID_MS))
+                text = INVITE.format(number=self.draw.randrange(10**8), id=id_, valid=int(REQUEST_VALID_MS))
                 self.writer.write(text.encode())
                 await self.writer.drain()
             except OSError:
                 self.writer = None
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
 
     def release(self, id_: bytes, writer: asyncio.StreamWriter) -> None:
         if not writer.is_closing():
-            self.calls[id_]["released"] = 0  # asked for; not answered so far
+            self.calls[id_]["released"] = 0  # requested, not answered yet
             writer.write(BYE % id_)
 
     async def listen(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Note answers until the connection ends; what is open on it then is lost with it."""
+        """Record answers until the connection ends; calls still unanswered are marked lost."""
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                await reader.readexactly(int(LENGTH.search(head)[1]))
-                id_ = ID.search(head)[1]
+                await reader.readexactly(int(CONTENT_LENGTH_HEADER.search(head)[1]))
+                id_ = CALL_ID_HEADER.search(head)[1]
                 if head.startswith(b"BYE"):
-                    writer.write(HEARD % id_)
+                    writer.write(BYE_OK % id_)
                 elif id_ in self.calls and b" BYE\r\n" in head:
                     self.calls[id_]["released"] = int(head[8:11])
                 elif id_ in self.calls and b" INVITE\r\n" in head and not head.startswith(b"SIP/2.0 1"):
                     self.calls[id_]["answers"].append([time.time() * 1000.0, int(head[8:11])])
-                    if self.releases and head.startswith(b"SIP/2.0 200") and self.draw.random() < 0.5:
+                    if self.releases_calls and head.startswith(b"SIP/2.0 200") and self.draw.random() < 0.5:
                         asyncio.get_running_loop().call_later(1.0, self.release, id_, writer)
         except (OSError, asyncio.IncompleteReadError):
             pass
--- a/leadslip/drill/changes.py
+++ b/leadslip/drill/changes.py
@@ -1,4 +1,4 @@
-"""An operator of the drill: changes agreed documents at proxies that a seed draws, and notes what is acknowledged."""
+"""A simulated operator: submits changes of agreed documents at random proxies and records the answers."""
 
 from __future__ import annotations
 
@@ -9,47 +9,52 @@
 from collections.abc import Awaitable, Callable
 from random import Random
 
-Ask = Callable[[str, bytes, bytes, bytes], Awaitable[tuple[int, bytes]]]  # name, method, path, body
+RequestSender = Callable[[str, bytes, bytes, bytes], Awaitable[tuple[int, bytes]]]  # name, method, path, body
 
 
 class Changer:
-    """Places changes until cancelled."""
-
-    def __init__(self, names: list[str], rate: float, seed: int, ask: Ask) -> None:
-        self.names, self.rate, self.draw, self.ask = names, rate, Random(f"changes {seed}"), ask
+    """Submits changes until cancelled, and records them in `changes`."""
+
+    def __init__(self, names: list[str], rate: float, seed: int, send_request: RequestSender) -> None:
+        self.names, self.rate, self.draw, self.send_request = (
+            names,
+            rate,
+            Random(f"changes {seed}"),
+            send_request,
+        )
         self.changes: list[dict] = []
 
-    async def first(self, most_s: float) -> bool:
-        """The isolated rules, agreed on before anything breaks; whether it came about."""
-        until = time.monotonic() + most_s
-        while time.monotonic() < until:
-            if await self.place("isolated", {"bars": {"prefixes": ["9"]}}, self.names[0], "first"):
+    async def agree_first(self, most_s: float) -> bool:
+        """Agree on the fallback rules before any fault begins; returns whether that succeeded in time."""
+        deadline = time.monotonic() + most_s
+        while time.monotonic() < deadline:
+            if await self.submit("isolated", {"bars": {"prefixes": ["9"]}}, self.names[0], "first"):
                 return True
             await asyncio.sleep(0.2)
         return False
 
-    async def place(self, document: str, told: dict, name: str, id_: str) -> bool:
-        """One change at one proxy; whether it was acknowledged."""
+    async def submit(self, document: str, content: dict, name: str, id_: str) -> bool:
+        """Submit one change at one proxy; returns whether it was acknowledged."""
         path = f"settings/{document}?id={id_}&wait_ms=3000&author=drill".encode()
-        status, body = await self.ask(name, b"PUT", path, json.dumps(told).encode())
-        made = {"id": id_, "at_ms": time.time() * 1000.0, "proxy": name, "status": status}
+        status, body = await self.send_request(name, b"PUT", path, json.dumps(content).encode())
+        record = {"id": id_, "at_ms": time.time() * 1000.0, "proxy": name, "status": status}
         with contextlib.suppress(ValueError, AttributeError):
-            made |= {key: json.loads(body).get(key) for key in ("revision", "code", "action")}
-        self.changes.append(made)
+            record |= {key: json.loads(body).get(key) for key in ("revision", "code", "action")}
+        self.changes.append(record)
         return status == 200
 
     async def run(self) -> None:
-        """Numbers that begin with 9 and three digits more are barred, others each time."""
-        number, under_way = 0, set()
+        """Submit changes at random intervals, each of which bars another prefix of 9 and three more digits."""
+        number, pending = 0, set()
         try:
             while True:
                 await asyncio.sleep(self.draw.expovariate(self.rate))
                 number += 1
-                barred = {"prefixes": [f"9{self.draw.randrange(1000):03d}"]}
-                change = self.place("bars", barred, self.draw.choice(self.names), f"change-{number}")
-                # None waits for another: a proxy that is cut off holds up its own operators alone.
-                under_way.add(asyncio.create_task(change))
-                under_way = {one for one in under_way if not one.done()}
+                content = {"prefixes": [f"9{self.draw.randrange(1000):03d}"]}
+                change = self.submit("bars", content, self.draw.choice(self.names), f"change-{number}")
+                # Changes run concurrently: a partitioned proxy must not delay the changes at others.
+                pending.add(asyncio.create_task(change))
+                pending = {task for task in pending if not task.done()}
         finally:
-            for one in under_way:
-                one.cancel()
+            for task in pending:
+                task.cancel()
--- a/leadslip/drill/clocks.py
+++ b/leadslip/drill/clocks.py
@@ -1,7 +1,7 @@
-"""Runs the program under clocks that a drill sets: python -m leadslip.drill.clocks FILE, then as `-m leadslip` does.
+"""Runs the program under manipulated clocks: `python -m leadslip.drill.clocks FILE` in place of `-m leadslip`.
 
-FILE holds two doubles: by how many seconds the Unix clock is put forward (changed while the process runs, it jumps),
-and how much too fast the monotonic clocks run, in parts of a million from the start of the process on.
+FILE holds two doubles: the offset of the Unix clock in seconds (a change while the process runs makes it jump), and
+the drift of the monotonic clocks in parts per million, from the start of the process.
 """
 
 from __future__ import annotations
@@ -12,49 +12,51 @@
 import sys
 import time
 
-FORM = struct.Struct("=dd")
+LAYOUT = struct.Struct("=dd")
 
 
 class Clocks:
-    """What a drill holds of one process's clocks: the file, open for its changes."""
+    """Controls the clocks of one process through its file."""
 
     def __init__(self, path: str, drift_ppm: float) -> None:
         self.path, self.drift_ppm = path, drift_ppm
-        self.jump(0.0)
+        self.set_offset(0.0)
 
-    def jump(self, forward_s: float) -> None:
-        """Put the Unix clock forward by so much, of what it would be by itself."""
+    def set_offset(self, offset_s: float) -> None:
+        """Set the offset of the Unix clock from the true time."""
         with open(self.path, "r+b" if self.exists() else "w+b") as file:
-            file.write(FORM.pack(forward_s, self.drift_ppm))
+            file.write(LAYOUT.pack(offset_s, self.drift_ppm))
 
     def exists(self) -> bool:
         try:
             with open(self.path, "rb") as file:
-                return len(file.read()) == FORM.size
+                return len(file.read()) == LAYOUT.size
         except FileNotFoundError:
             return False
 
 
-def put_on(path: str) -> None:
-    """Put this process's clocks under a file."""
+def install(path: str) -> None:
+    """Replace this process's clock functions by ones that follow a file."""
     with open(path, "rb") as file:
-        held = mmap.mmap(file.fileno(), FORM.size, prot=mmap.PROT_READ)
-    unix, monotonic, of = time.time, time.monotonic, time.clock_gettime
-    rate = 1.0 + FORM.unpack(held)[1] / 1e6
-    began = {id_: of(id_) for id_ in (time.CLOCK_MONOTONIC, time.CLOCK_BOOTTIME)}
-    began_monotonic = monotonic()
-
-    def drifted(id_: int) -> float:
-        if id_ not in began:
-            return of(id_)
-        return began[id_] + (of(id_) - began[id_]) * rate
-
-    time.time = lambda: unix() + FORM.unpack(held)[0]
-    time.monotonic = lambda: began_monotonic + (monotonic() - began_monotonic) * rate
+        mapped = mmap.mmap(file.fileno(), LAYOUT.size, prot=mmap.PROT_READ)
+    true_time, true_monotonic, true_clock_gettime = time.time, time.monotonic, time.clock_gettime
+    rate = 1.0 + LAYOUT.unpack(mapped)[1] / 1e6
+    start_s = {
+        clock_id: true_clock_gettime(clock_id) for clock_id in (time.CLOCK_MONOTONIC, time.CLOCK_BOOTTIME)
+    }
+    start_monotonic_s = true_monotonic()
+
+    def drifted(clock_id: int) -> float:
+        if clock_id not in start_s:
+            return true_clock_gettime(clock_id)
+        return start_s[clock_id] + (true_clock_gettime(clock_id) - start_s[clock_id]) * rate
+
+    time.time = lambda: true_time() + LAYOUT.unpack(mapped)[0]
+    time.monotonic = lambda: start_monotonic_s + (true_monotonic() - start_monotonic_s) * rate
     time.clock_gettime = drifted
 
 
 if __name__ == "__main__":
-    put_on(sys.argv[1])
+    install(sys.argv[1])
     sys.argv[1:] = []
     runpy.run_module("leadslip", run_name="__main__", alter_sys=True)
--- a/leadslip/drill/relay.py
+++ b/leadslip/drill/relay.py
@@ -1,30 +1,38 @@
-"""A relay in front of each process: treats every way between two of them by itself. asyncio; loopback only.
+"""A relay in front of each process, which applies the faults of each network path. asyncio; loopback only.
 
-Members reach a process at its relay; the relay knows the sender by its source IP, as each process has one of its own.
+Members reach a process at its relay, which identifies the sender by its source IP: each process has its own.
 """
 
 from __future__ import annotations
 
 import asyncio
 
-from leadslip.drill.ways import Ways
+from leadslip.drill.ways import LinkFaults
 
 PORT = 7946
 
 
 class Relay(asyncio.DatagramProtocol):
-    """In front of one process."""
-
-    def __init__(self, ways: Ways, name: str, at: str, behind: str, name_of: dict[str, str]) -> None:
-        self.ways, self.name, self.at, self.behind, self.name_of = ways, name, at, behind, name_of
+    """Relays datagrams and connections to one process."""
+
+    def __init__(
+        self, link_faults: LinkFaults, name: str, listen_ip: str, target_ip: str, name_of: dict[str, str]
+    ) -> None:
+        self.link_faults, self.name, self.listen_ip, self.target_ip, self.name_of = (
+            link_faults,
+            name,
+            listen_ip,
+            target_ip,
+            name_of,
+        )
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task] = set()
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
-        await loop.create_datagram_endpoint(lambda: self, local_addr=(self.at, PORT))
-        self.server = await asyncio.start_server(self.taken, self.at, PORT)
+        await loop.create_datagram_endpoint(lambda: self, local_addr=(self.listen_ip, PORT))
+        self.server = await asyncio.start_server(self.on_connection, self.listen_ip, PORT)
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
         self.transport = transport
@@ -33,45 +41,45 @@
         sender = self.name_of.get(addr[0])
         if sender is None:
             return
-        for late_s, copy in self.ways.datagram((sender, self.name), data):
+        for late_s, copy in self.link_faults.datagram((sender, self.name), data):
             if late_s:
-                asyncio.get_running_loop().call_later(late_s, self.pass_on, copy)
+                asyncio.get_running_loop().call_later(late_s, self.forward, copy)
             else:
-                self.pass_on(copy)
+                self.forward(copy)
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.sendto(data, (self.behind, PORT))
+            self.transport.sendto(data, (self.target_ip, PORT))
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens behind it at the moment."""
+        """The process behind the relay does not listen at the moment."""
 
-    async def taken(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection, in both directions."""
+    async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Relay one inbound connection in both directions."""
         sender = self.name_of.get(writer.get_extra_info("peername")[0])
         task = asyncio.current_task()
         self.tasks.add(task)
-        far = None
+        target_writer = None
         try:
-            far_reader, far = await asyncio.open_connection(self.behind, PORT)
+            target_reader, target_writer = await asyncio.open_connection(self.target_ip, PORT)
             await asyncio.gather(
-                self.pump(reader, far, (sender, self.name)),
-                self.pump(far_reader, writer, (self.name, sender)),
+                self.pump(reader, target_writer, (sender, self.name)),
+                self.pump(target_reader, writer, (self.name, sender)),
             )
         except OSError:
             pass
         finally:
             self.tasks.discard(task)
-            for one in (writer, far):
-                if one is not None:
-                    one.close()
+            for open_writer in (writer, target_writer):
+                if open_writer is not None:
+                    open_writer.close()
 
-    async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: tuple) -> None:
+    async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, path: tuple) -> None:
         while data := await reader.read(65536):
-            cut, mute, late_s = self.ways.stream(way)
-            if cut:
+            blocked, muted, late_s = self.link_faults.stream(path)
+            if blocked:
                 raise ConnectionResetError
-            if mute:
+            if muted:
                 continue
             if late_s:
                 await asyncio.sleep(late_s)
--- a/leadslip/drill/run.py
+++ b/leadslip/drill/run.py
@@ -1,7 +1,7 @@
-"""Starts the processes of a scenario, breaks them as its schedule says, and leaves histories. asyncio; loopback only.
+"""Runs a scenario: starts its processes, injects the scheduled faults, collects histories. asyncio; loopback only.
 
-Each process has an IP of its own in 127/8 and a relay before its fleet address. All that is started is ended here,
-also when the drill is interrupted, and nothing else is.
+Each process has its own IP in 127/8 and a relay in front of its fleet address. The run ends every process that it
+started, also when it is interrupted, and no others.
 """
 
 from __future__ import annotations
@@ -21,57 +21,58 @@
 
 import msgspec
 
-from leadslip.drill.callers import VALID_MS, Caller, released
+from leadslip.drill.callers import REQUEST_VALID_MS, Caller, release_calls
 from leadslip.drill.changes import Changer
 from leadslip.drill.clocks import Clocks
-from leadslip.drill.relay import PORT, Relay, Ways
-from leadslip.drill.scenario import Act, Scenario, draw_schedule, drifts, formers, names
+from leadslip.drill.relay import PORT, LinkFaults, Relay
+from leadslip.drill.scenario import Act, Scenario, draw_drifts, draw_schedule, names, previous_version_names
 from leadslip.errors import OperatorError
 from leadslip.site import configuration
 
-SIP, OPS = 5060, 7000
-SHORT_S, LONG_S = 0.3, 120.0  # for so long a call stands at the toy server, if nobody releases it
-MOST_TRIED = 40  # calls of each process whose release is tried in the end
-READY_S = 60.0  # ends a drill whose processes don't come up; nothing is judged by it
-LEAVE_S = 6.0  # a process that was told to end is killed after so long
+SIP_PORT, OPS_PORT = 5060, 7000
+SHORT_CALL_S, LONG_CALL_S = 0.3, 120.0  # duration of a call at the toy server, unless it is released
+MAX_RELEASED = 40  # calls of each process to release at the end
+READY_S = 60.0  # time-out for the processes to come up; no invariant depends on it
+END_GRACE_S = 6.0  # a process that has not ended this long after SIGTERM is killed
 
 
-def equal(told: dict[str, dict], copies: int = 2) -> bool:
-    """Whether each table is held by so many others as its owner has it."""
+def replicas_equal(statuses: dict[str, dict], copies: int = 2) -> bool:
+    """Whether `copies` other processes hold each table as its owner does."""
     return all(
         sum(
-            (copy["owner"], copy["run"], copy["digest"]) == (name, one["run"], one["own"]["digest"])
-            for other in told.values()
-            for copy in other["held"]
+            (replica["owner"], replica["run"], replica["digest"])
+            == (name, status["run"], status["own"]["digest"])
+            for other_status in statuses.values()
+            for replica in other_status["held"]
         )
-        >= min(copies, len(told) - 1)
-        for name, one in told.items()
+        >= min(copies, len(statuses) - 1)
+        for name, status in statuses.items()
     )
 
 
 class DrillError(OperatorError):
-    """The drill itself could not be held, whatever the program does."""
+    """The run could not be carried out; this says nothing about the program under test."""
 
     code = "drill.not-held"
     action = "See that the machine is idle and 127/8 is free, keep the folder (--keep) and read its logs."
 
 
 def own_network() -> tuple[str, socket.socket]:
-    """A /24 of loopback that no other drill of this machine uses, and the socket that holds it."""
+    """Reserve a /24 of loopback among the runs on this machine; returns its prefix and the socket that holds it."""
     for _ in range(1000):
         prefix = f"127.{64 + secrets.randbelow(128)}.{secrets.randbelow(256)}"
-        held = socket.socket()
+        reservation = socket.socket()
         try:
-            held.bind((f"{prefix}.1", OPS))
-            held.listen(1)
-            return prefix, held
+            reservation.bind((f"{prefix}.1", OPS_PORT))
+            reservation.listen(1)
+            return prefix, reservation
         except OSError:
-            held.close()
+            reservation.close()
     raise DrillError("no free network on loopback")
 
 
 async def start_toy(hold_s: float = 0.3) -> tuple[asyncio.subprocess.Process, Awaitable[tuple[int, int]]]:
-    """A toy server and notice board of their own process, and their ports once they listen."""
+    """Start a toy server and notice board in a separate process; also returns an awaitable of their ports."""
     toy = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
@@ -88,89 +89,96 @@
 
 
 def live_names(view: dict) -> list[str]:
-    """The names of those that a view holds live."""
-    return sorted(one["name"] for one in view["members"] if one["state"] in ("alive", "suspect"))
+    """The names of the members that a view holds as live."""
+    return sorted(member["name"] for member in view["members"] if member["state"] in ("alive", "suspect"))
 
 
 class Process:
-    """One process of the program under its name; its successors too."""
+    """The processes of the program that run under one name, one after another or side by side in an upgrade."""
 
     def __init__(self, drill: Drill, name: str, number: int) -> None:
         self.drill, self.name = drill, name
         self.ip, self.relay_ip = f"{drill.prefix}.{10 + number}", f"{drill.prefix}.{120 + number}"
         self.starts = 0
-        self.running: list[asyncio.subprocess.Process] = []  # the older first
-        self.ops: dict[int, int] = {}  # process id -> its operators' port
+        self.running: list[asyncio.subprocess.Process] = []  # oldest first
+        self.ops: dict[int, int] = {}  # process id -> port of its operators' interface
         self.clocks: Clocks | None = None
-        self.hopping: asyncio.Task | None = None  # stops and goes on again and again
-        self.limits: dict[int, tuple[int, int]] = {}  # process id -> its limits on descriptors before
+        self.stall_cycle: asyncio.Task | None = None  # alternates SIGSTOP and SIGCONT
+        self.saved_limits: dict[int, tuple[int, int]] = {}  # process id -> its former limits on descriptors
 
     async def start(self, beside: bool = False) -> asyncio.Task:
-        """Start it; beside an older one, as an upgrade does. The task is done once it is up, or gone."""
+        """Start a process, `beside` a running one as an upgrade does; the task waits until it has joined or ended."""
         self.starts += 1
-        drill, own = self.drill, f"{self.name}-{self.starts}"
-        folder = drill.folder / own
+        drill, start_name = self.drill, f"{self.name}-{self.starts}"
+        folder = drill.folder / start_name
         folder.mkdir()
-        ops = OPS + self.starts % 1000
-        conf = configuration(drill.toy[0], drill.toy[1], 0)
-        conf |= {"name": self.name, "listen": f"{self.ip}:{SIP}", "ops": f"{self.ip}:{ops}"}
-        conf["limits"] = {"sockets": 256}
-        (folder / "config.json").write_text(json.dumps(conf))
+        ops = OPS_PORT + self.starts % 1000
+        config = configuration(drill.toy_ports[0], drill.toy_ports[1], 0)
+        config |= {"name": self.name, "listen": f"{self.ip}:{SIP_PORT}", "ops": f"{self.ip}:{ops}"}
+        config["limits"] = {"sockets": 256}
+        (folder / "config.json").write_text(json.dumps(config))
         port = PORT + (self.starts % 1000 if beside else 0)
         advertise = f"{self.ip}:{port}" if beside else f"{self.relay_ip}:{PORT}"
         fleet = {
             "enabled": True,
             "listen": f"{self.ip}:{port}",
             "advertise": advertise,
-            "seeds": [f"{one.relay_ip}:{PORT}" for one in list(drill.processes.values())[:3]],
+            "seeds": [f"{peer.relay_ip}:{PORT}" for peer in list(drill.processes.values())[:3]],
             "key_file": str(drill.folder / "fleet.key"),
             "zone": f"zone{int(self.ip.rsplit('.', 1)[1]) % 3}",
-            "history": str(drill.folder / f"{own}.jsonl"),
+            "history": str(drill.folder / f"{start_name}.jsonl"),
         }
-        broken = drill.broken or ("former" if self.name in formers(drill.scenario) else "")
-        if broken:
-            fleet["broken"] = broken
+        faulty_variant = drill.broken or (
+            "former" if self.name in previous_version_names(drill.scenario) else ""
+        )
+        if faulty_variant:
+            fleet["broken"] = faulty_variant
         text = "".join(f"{key} = {json.dumps(value)}\n" for key, value in fleet.items())
         (folder / "fleet.toml").write_text(text)
-        environ = {
+        environment = {
             key: value for key, value in os.environ.items() if not key.startswith(("LEADSLIP", "NODE"))
         }
-        environ |= self.agreement(folder)
+        environment |= self.agreement_environment(folder)
         if drill.scenario.replicas:
             (folder / "replicas.toml").write_text("enabled = true\n")
-            environ["LEADSLIP_REPLICAS"] = str(folder / "replicas.toml")
-        environ |= {"NODE_CONFIG": str(folder / "config.json"), "LEADSLIP_FLEET": str(folder / "fleet.toml")}
+            environment["LEADSLIP_REPLICAS"] = str(folder / "replicas.toml")
+        environment |= {
+            "NODE_CONFIG": str(folder / "config.json"),
+            "LEADSLIP_FLEET": str(folder / "fleet.toml"),
+        }
         program = ["leadslip"]
         if drill.sets_clocks:
-            drift_ppm = drifts(drill.scenario, drill.seed)[self.name]
+            drift_ppm = draw_drifts(drill.scenario, drill.seed)[self.name]
             self.clocks = Clocks(str(folder / "clocks"), drift_ppm)
             program = ["leadslip.drill.clocks", self.clocks.path]
         with open(folder / "log", "wb") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", *program, stdout=log, stderr=log, env=environ, cwd=folder
+                sys.executable, "-m", *program, stdout=log, stderr=log, env=environment, cwd=folder
             )
         self.running.append(process)
         self.ops[process.pid] = ops
-        drill.note("started", [own], pid=process.pid)
-        history = drill.folder / f"{own}.jsonl"
-        return drill.begun(f"start{' beside' if beside else ''}, done", self.name, process, history)
+        drill.record_fault("started", [start_name], pid=process.pid)
+        history = drill.folder / f"{start_name}.jsonl"
+        return drill.watch_join(f"start{' beside' if beside else ''}, done", self.name, process, history)
 
-    def agreement(self, folder: Path) -> dict[str, str]:
-        """The file that makes it agree, where the scenario has voters; a voter's disk outlives its processes."""
+    def agreement_environment(self, folder: Path) -> dict[str, str]:
+        """Write the agreement settings, if there are voters, and return their environment. Disks outlive processes."""
         scenario = self.drill.scenario
         if not scenario.voters:
             return {}
-        told = {
+        settings = {
             "enabled": True,
             "voters": list(self.drill.processes)[: scenario.voters],
             "disk": str(self.drill.folder / f"{self.name}.db"),
             "in_force_ms": scenario.in_force_ms,
         }
-        (folder / "agreement.toml").write_text("".join(f"{k} = {json.dumps(v)}\n" for k, v in told.items()))
+        (folder / "agreement.toml").write_text(
+            "".join(f"{k} = {json.dumps(v)}\n" for k, v in settings.items())
+        )
         return {"LEADSLIP_AGREEMENT": str(folder / "agreement.toml")}
 
-    async def asked(self, method: bytes, path: bytes, body: bytes = b"") -> tuple[int, bytes]:
-        """What its newest process answers an operator: status and body; 0 and nothing where it does not."""
+    async def operator_request(self, method: bytes, path: bytes, body: bytes = b"") -> tuple[int, bytes]:
+        """Send an operator's request to the newest process; returns status and body, (0, b"") without an answer."""
         if not self.running:
             return 0, b""
         try:
@@ -183,19 +191,19 @@
         except (OSError, TimeoutError):
             return 0, b""
 
-    async def called(self, method: bytes, path: bytes) -> bytes:
-        """The body alone."""
-        return (await self.asked(method, path))[1]
+    async def operator_request_body(self, method: bytes, path: bytes) -> bytes:
+        """The body of the answer to an operator's request."""
+        return (await self.operator_request(method, path))[1]
 
     async def view(self) -> dict | None:
-        """What its newest process tells of the fleet."""
+        """The fleet as the newest process reports it; None without an answer."""
         try:
-            return json.loads(await self.called(b"GET", b"fleet"))
+            return json.loads(await self.operator_request_body(b"GET", b"fleet"))
         except ValueError:
             return None
 
-    async def hop(self, ms: float) -> None:
-        """Be busy: no work gets done for so long, then some, again and again."""
+    async def cycle_stalls(self, ms: float) -> None:
+        """Simulate a busy process: alternate stops of `ms` with running for as long, until cancelled."""
         try:
             while True:
                 self.signal(signal.SIGSTOP)
@@ -205,30 +213,30 @@
         finally:
             self.signal(signal.SIGCONT)
 
-    def no_descriptors(self) -> None:
-        """Let its newest process open nothing more."""
+    def exhaust_descriptors(self) -> None:
+        """Lower the limit on descriptors of the newest process so that it can open no more."""
         pid = self.running[-1].pid
-        most = max(int(number) for number in os.listdir(f"/proc/{pid}/fd")) + 1
-        before = resource.prlimit(pid, resource.RLIMIT_NOFILE)
-        self.limits[pid] = before
-        resource.prlimit(pid, resource.RLIMIT_NOFILE, (most, before[1]))
-
-    def descriptors(self) -> None:
-        """Let it open as before."""
-        for pid, before in self.limits.items():
-            if pid in [one.pid for one in self.running]:
-                resource.prlimit(pid, resource.RLIMIT_NOFILE, before)
-        self.limits.clear()
-
-    def signal(self, what: signal.Signals, which: int = -1) -> None:
+        limit = max(int(number) for number in os.listdir(f"/proc/{pid}/fd")) + 1
+        limits = resource.prlimit(pid, resource.RLIMIT_NOFILE)
+        self.saved_limits[pid] = limits
+        resource.prlimit(pid, resource.RLIMIT_NOFILE, (limit, limits[1]))
+
+    def restore_descriptors(self) -> None:
+        """Restore the limits on descriptors."""
+        for pid, limits in self.saved_limits.items():
+            if pid in [process.pid for process in self.running]:
+                resource.prlimit(pid, resource.RLIMIT_NOFILE, limits)
+        self.saved_limits.clear()
+
+    def signal(self, number: signal.Signals, index: int = -1) -> None:
         with contextlib.suppress(ProcessLookupError, IndexError):
-            self.running[which].send_signal(what)
+            self.running[index].send_signal(number)
 
-    async def end(self, which: int = -1, grace_s: float = LEAVE_S) -> None:
-        """SIGTERM, and SIGKILL where that is not enough."""
+    async def end(self, index: int = -1, grace_s: float = END_GRACE_S) -> None:
+        """End a process by SIGTERM, and by SIGKILL if it has not ended within the grace time."""
         if not self.running:
             return
-        process = self.running.pop(which)
+        process = self.running.pop(index)
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal.SIGCONT)
             process.terminate()
@@ -258,211 +266,227 @@
         self.sets_clocks = bool(scenario.drift_ppm) or any(act.do == "clock" for act in self.acts)
         self.processes: dict[str, Process] = {}
         self.faults: list[dict] = []
-        self.ways = Ways(seed)
-        self.prefix, self.held = own_network()
-        self.toy: tuple[int, int] = (0, 0)
-        self.ending: set[asyncio.Task] = set()  # what is still to come about of the acts done
+        self.link_faults = LinkFaults(seed)
+        self.prefix, self.reservation = own_network()
+        self.toy_ports: tuple[int, int] = (0, 0)
+        self.pending: set[asyncio.Task] = set()  # starts and ends still in progress
 
-    def note(self, do: str, who: list[str] | tuple[str, ...] = (), **more: object) -> None:
-        """Keep what was done, with both clocks."""
+    def record_fault(self, do: str, who: list[str] | tuple[str, ...] = (), **more: object) -> None:
+        """Add to the fault record, with the times of both clocks."""
         mono_ms = time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
         self.faults.append(
             {"unix_ms": time.time() * 1000.0, "mono_ms": mono_ms, "do": do, "who": list(who)} | more
         )
 
     async def run(self) -> dict:
-        """Hold the drill; the settling time and what it ended with. Histories are in the folder."""
+        """Run the scenario, writing its records to the folder; returns whether views converged, and the call count."""
         scenario, folder = self.scenario, self.folder
         (folder / "fleet.key").write_text(secrets.token_hex(32) + "\n")
         (folder / "schedule.json").write_bytes(msgspec.json.encode({"seed": self.seed, "acts": self.acts}))
-        toy, ports = await start_toy(LONG_S if scenario.replicas else SHORT_S)
+        toy, ports = await start_toy(LONG_CALL_S if scenario.replicas else SHORT_CALL_S)
         relays, callers, tasks = [], [], []
         changer = None
         try:
-            self.toy = await ports
+            self.toy_ports = await ports
             for i, name in enumerate(names(scenario.processes)):
                 self.processes[name] = Process(self, name, i)
             if scenario.voters:
-                changer = Changer(list(self.processes), scenario.changes_per_s, self.seed, self.ask)
-            name_of = {one.ip: one.name for one in self.processes.values()}
-            for one in self.processes.values():
-                relay = Relay(self.ways, one.name, one.relay_ip, one.ip, name_of)
+                changer = Changer(list(self.processes), scenario.changes_per_s, self.seed, self.send_request)
+            name_of = {process.ip: process.name for process in self.processes.values()}
+            for process in self.processes.values():
+                relay = Relay(self.link_faults, process.name, process.relay_ip, process.ip, name_of)
                 await relay.start()
                 relays.append(relay)
-            self.ending |= set(await asyncio.gather(*(one.start() for one in self.processes.values())))
-            if not await self.agreed(READY_S):
-                raise DrillError("the processes did not come to know one another")
-            self.note("agreed")
-            if changer is not None and not await changer.first(READY_S):
-                raise DrillError("the voters did not agree on the first change")
+            self.pending |= set(
+                await asyncio.gather(*(process.start() for process in self.processes.values()))
+            )
+            if not await self.converged(READY_S):
+                raise DrillError(f"the processes did not form one fleet within {READY_S:.0f} s")
+            self.record_fault("agreed")
+            if changer is not None and not await changer.agree_first(READY_S):
+                raise DrillError(f"the voters did not agree on the first change within {READY_S:.0f} s")
             rate = scenario.calls_per_s / scenario.processes
             callers = [
-                Caller(one.name, (one.ip, SIP), rate, self.seed * 1000 + i, scenario.replicas)
-                for i, one in enumerate(self.processes.values())
+                Caller(process.name, (process.ip, SIP_PORT), rate, self.seed * 1000 + i, scenario.replicas)
+                for i, process in enumerate(self.processes.values())
             ]
             tasks = [asyncio.create_task(caller.run()) for caller in callers]
             if changer is not None:
                 tasks.append(asyncio.create_task(changer.run()))
-            await self.play()
-            self.note("faults over")
-            settled = await self.agreed(scenario.settle_s)
-            self.note("settled" if settled else "not settled")
+            await self.run_schedule()
+            self.record_fault("faults over")
+            settled = await self.converged(scenario.settle_s)
+            self.record_fault("settled" if settled else "not settled")
             for task in tasks:
                 task.cancel()
             if changer is not None:
                 await self.read_settings(changer, scenario.settle_s)
             if scenario.replicas:
                 await self.read_replicas(callers, scenario.settle_s)
-            await asyncio.sleep(VALID_MS / 1000.0 + 0.2)  # what was called last is answered by then
+            await asyncio.sleep(REQUEST_VALID_MS / 1000.0 + 0.2)  # the last calls have been answered by then
         finally:
-            tasks += [one.hopping for one in self.processes.values() if one.hopping is not None]
+            tasks += [
+                process.stall_cycle for process in self.processes.values() if process.stall_cycle is not None
+            ]
             for task in tasks:
                 task.cancel()
-            await asyncio.gather(*(one.kill() for one in self.processes.values()))
+            await asyncio.gather(*(process.kill() for process in self.processes.values()))
             for relay in relays:
                 await relay.stop()
             with contextlib.suppress(ProcessLookupError):
                 toy.kill()
             await toy.wait()
-            self.held.close()
+            self.reservation.close()
             calls = [call for caller in callers for call in caller.calls.values()]
             (folder / "faults.json").write_text(json.dumps(self.faults))
             (folder / "calls.json").write_text(json.dumps(calls))
         return {"settled": settled, "calls": len(calls)}
 
-    async def ask(self, name: str, method: bytes, path: bytes, body: bytes) -> tuple[int, bytes]:
-        """An operator's call at a process by its name."""
-        return await self.processes[name].asked(method, path, body)
+    async def send_request(self, name: str, method: bytes, path: bytes, body: bytes) -> tuple[int, bytes]:
+        """Send an operator's request to a process by name."""
+        return await self.processes[name].operator_request(method, path, body)
 
     async def read_settings(self, changer: Changer, most_s: float) -> None:
-        """What all that run hold in the end: one revision in force, or whatever it is when the wait is over."""
-        until = time.monotonic() + most_s
+        """Write the settings that the running processes report, once they apply one agreed revision or time is up."""
+        deadline = time.monotonic() + most_s
         while True:
-            alive = [one for one in self.processes.values() if one.running]
-            told = {}
-            for one in alive:
+            alive = [process for process in self.processes.values() if process.running]
+            statuses = {}
+            for process in alive:
                 with contextlib.suppress(ValueError):
-                    told[one.name] = json.loads(await one.called(b"GET", b"settings"))
-            held = {(one["revision"], one["in_force"]) for one in told.values()}
-            same = len(held) == 1 and len(told) == len(alive) and next(iter(held))[1] == "agreed"
-            if same or time.monotonic() > until:
+                    statuses[process.name] = json.loads(
+                        await process.operator_request_body(b"GET", b"settings")
+                    )
+            revisions = {(status["revision"], status["in_force"]) for status in statuses.values()}
+            settled = (
+                len(revisions) == 1 and len(statuses) == len(alive) and next(iter(revisions))[1] == "agreed"
+            )
+            if settled or time.monotonic() > deadline:
                 break
             await asyncio.sleep(0.1)
-        (self.folder / "settings.json").write_text(json.dumps({"held": told, "changes": changer.changes}))
+        (self.folder / "settings.json").write_text(json.dumps({"held": statuses, "changes": changer.changes}))
 
     async def read_replicas(self, callers: list[Caller], most_s: float) -> None:
-        """What all hold in quiet, and what others than its own process answer to a release of calls."""
-        until = time.monotonic() + most_s
+        """Write the reported replicas, once equal or after the wait, and the answers to releases at other processes."""
+        deadline = time.monotonic() + most_s
         while True:
-            alive = [one for one in self.processes.values() if one.running]
-            told = {}
-            for one in alive:
+            alive = [process for process in self.processes.values() if process.running]
+            statuses = {}
+            for process in alive:
                 with contextlib.suppress(ValueError):
-                    told[one.name] = json.loads(await one.called(b"GET", b"replicas"))
-            quiet = len(told) == len(alive) and not any(one["behind"] for one in told.values())
-            if (quiet and equal(told)) or time.monotonic() > until:
+                    statuses[process.name] = json.loads(
+                        await process.operator_request_body(b"GET", b"replicas")
+                    )
+            recovered = len(statuses) == len(alive) and not any(
+                status["behind"] for status in statuses.values()
+            )
+            if (recovered and replicas_equal(statuses)) or time.monotonic() > deadline:
                 break
             await asyncio.sleep(0.2)
-        others = [
-            next(one for one in alive[i % len(alive) :] + alive if one.name != caller.name)
+        other_processes = [
+            next(process for process in alive[i % len(alive) :] + alive if process.name != caller.name)
             for i, caller in enumerate(callers, 1)
         ]
-        some = [
+        calls_to_release = [
             [
                 call
                 for call in caller.calls.values()
                 if [code for _, code in call["answers"]] == [200] and call.get("released") in (None, 200)
-            ][-MOST_TRIED:]
+            ][-MAX_RELEASED:]
             for caller in callers
         ]
-        asked = [
-            released((other.ip, SIP), [call["id"] for call in calls])
-            for other, calls in zip(others, some, strict=True)
+        releases = [
+            release_calls((other_process.ip, SIP_PORT), [call["id"] for call in calls])
+            for other_process, calls in zip(other_processes, calls_to_release, strict=True)
         ]
         tried = [
-            call | {"through": other.name, "told": code}
-            for other, calls, codes in zip(others, some, await asyncio.gather(*asked), strict=True)
+            call | {"through": other_process.name, "told": code}
+            for other_process, calls, codes in zip(
+                other_processes, calls_to_release, await asyncio.gather(*releases), strict=True
+            )
             for call, code in zip(calls, codes, strict=True)
         ]
-        (self.folder / "replicas.json").write_text(json.dumps({"told": told, "tried": tried}))
+        (self.folder / "replicas.json").write_text(json.dumps({"told": statuses, "tried": tried}))
 
-    async def play(self) -> None:
-        """Do each act at its time."""
-        began = time.monotonic()
+    async def run_schedule(self) -> None:
+        """Carry out each action of the schedule at its time."""
+        began_s = time.monotonic()
         for act in self.acts:
-            await asyncio.sleep(max(0.0, began + act.at_s - time.monotonic()))
-            await self.do(act)
-        if self.ending:
-            await asyncio.gather(*self.ending)
+            await asyncio.sleep(max(0.0, began_s + act.at_s - time.monotonic()))
+            await self.execute(act)
+        if self.pending:
+            await asyncio.gather(*self.pending)
 
-    async def do(self, act: Act) -> None:
-        who = [self.processes[name] for name in act.who]
+    async def execute(self, act: Act) -> None:
+        processes = [self.processes[name] for name in act.who]
         if act.ways:
-            for way in act.ways:
+            for path in act.ways:
                 if act.do.startswith("end "):
-                    self.ways.take(tuple(way), act.do[4:])
+                    self.link_faults.remove(tuple(path), act.do[4:])
                 else:
-                    self.ways.put(tuple(way), act.do, act.figures)
-            self.note(act.do, ways=[list(way) for way in act.ways])
+                    self.link_faults.put(tuple(path), act.do, act.figures)
+            self.record_fault(act.do, ways=[list(path) for path in act.ways])
             return
-        self.note(act.do, act.who)
-        for one in who:
+        self.record_fault(act.do, act.who)
+        for process in processes:
             if act.do in ("start", "start beside"):
-                self.ending.add(await one.start(beside=act.do == "start beside"))
+                self.pending.add(await process.start(beside=act.do == "start beside"))
             elif act.do == "kill":
-                await one.kill()
+                await process.kill()
             elif act.do in ("end", "end the older"):
-                if len(one.running) > (act.do == "end the older"):
-                    self.ending.add(asyncio.create_task(one.end(0)))
-            elif one.running:
-                await self.touch(one, act)
+                if len(process.running) > (act.do == "end the older"):
+                    self.pending.add(asyncio.create_task(process.end(0)))
+            elif process.running:
+                await self.apply_to_running(process, act)
         if act.do == "go on":
-            self.note("go on, done", act.who)
+            self.record_fault("go on, done", act.who)
 
-    def begun(self, do: str, name: str, process: asyncio.subprocess.Process, history: Path) -> asyncio.Task:
-        """Note when a process that was started is a member. Guards against judging how quickly a machine starts it."""
+    def watch_join(
+        self, do: str, name: str, process: asyncio.subprocess.Process, history: Path
+    ) -> asyncio.Task:
+        """Record when a started process has joined, so that the machine's start-up time is not judged."""
 
         async def wait() -> None:
-            until = time.monotonic() + READY_S
-            while process.returncode is None and time.monotonic() < until:
+            deadline = time.monotonic() + READY_S
+            while process.returncode is None and time.monotonic() < deadline:
                 if history.exists() and history.stat().st_size:
-                    self.note(do, [name])
+                    self.record_fault(do, [name])
                     return
                 await asyncio.sleep(0.02)
 
         return asyncio.create_task(wait())
 
-    async def touch(self, one: Process, act: Act) -> None:
-        """Begin or end what troubles a process that runs on."""
+    async def apply_to_running(self, process: Process, act: Act) -> None:
+        """Begin or end a fault of a running process."""
         ms = act.figures.get("ms", 0.0)
         if act.do == "stop":
-            one.signal(signal.SIGSTOP)
+            process.signal(signal.SIGSTOP)
         elif act.do == "go on":
-            one.signal(signal.SIGCONT)
+            process.signal(signal.SIGCONT)
         elif act.do == "busy":
-            one.hopping = asyncio.create_task(one.hop(ms))
-        elif act.do == "end busy" and one.hopping is not None:
-            one.hopping.cancel()
-        elif act.do in ("clock", "end clock") and one.clocks is not None:
-            one.clocks.jump(ms / 1000.0)
+            process.stall_cycle = asyncio.create_task(process.cycle_stalls(ms))
+        elif act.do == "end busy" and process.stall_cycle is not None:
+            process.stall_cycle.cancel()
+        elif act.do in ("clock", "end clock") and process.clocks is not None:
+            process.clocks.set_offset(ms / 1000.0)
         elif act.do == "descriptors":
-            one.no_descriptors()
+            process.exhaust_descriptors()
         elif act.do == "end descriptors":
-            one.descriptors()
+            process.restore_descriptors()
         elif act.do in ("out of service", "in service"):
-            await one.called(b"PUT", act.do.replace(" ", "-").encode())
+            await process.operator_request_body(b"PUT", act.do.replace(" ", "-").encode())
 
-    async def agreed(self, most_s: float) -> bool:
-        """Whether all that run come to tell one digest, of just those that run."""
-        until = time.monotonic() + most_s
+    async def converged(self, most_s: float) -> bool:
+        """Whether, within `most_s`, all running processes report one view that lists exactly the running processes."""
+        deadline = time.monotonic() + most_s
         while True:
-            alive = [one for one in self.processes.values() if one.running]
-            views = await asyncio.gather(*(one.view() for one in alive))
+            alive = [process for process in self.processes.values() if process.running]
+            views = await asyncio.gather(*(process.view() for process in alive))
             if all(views):
-                running = sorted(one.name for one in alive for _ in one.running)
-                same = len({view["digest"] for view in views}) == 1
-                if same and all(live_names(view) == running for view in views):
+                running = sorted(process.name for process in alive for _ in process.running)
+                same_digest = len({view["digest"] for view in views}) == 1
+                if same_digest and all(live_names(view) == running for view in views):
                     return True
-            if time.monotonic() > until:
+            if time.monotonic() > deadline:
                 return False
             await asyncio.sleep(0.05)
--- a/leadslip/drill/ways.py
+++ b/leadslip/drill/ways.py
@@ -1,59 +1,60 @@
-"""What is done to each way between two members: in the drill by relays, in the lab by its network. No I/O.
+"""Faults of the network path between two members, applied by relays or by the simulated network. Pure: no I/O.
 
-cut, loss, late, twice, disorder, spoil, hole (datagrams over 300 bytes never pass), mute (TCP stays open and silent).
+Kinds: cut (blocked), loss, late (delayed), twice (duplicated), disorder (reordered), spoil (one bit flipped), hole
+(datagrams over 300 bytes are dropped), mute (TCP stays open but passes no data).
 """
 
 from __future__ import annotations
 
 from random import Random
 
-HOLE = 300  # bytes of a datagram that passes a hole
+HOLE_MAX_BYTES = 300  # the largest datagram that passes a path with a hole
 
 
-class Ways:
-    """The state of each way: (sender, hearer) -> what is done to it, with figures."""
+class LinkFaults:
+    """The faults in effect on each path: (sender, receiver) -> kind -> figures."""
 
     def __init__(self, seed: int) -> None:
         self.draw = Random(seed)
-        self.held: dict[tuple[str, str], dict[str, dict[str, float]]] = {}
-        self.passed = self.stopped = 0
+        self.active: dict[tuple[str, str], dict[str, dict[str, float]]] = {}
+        self.passed_count = self.dropped_count = 0
 
-    def put(self, way: tuple[str, str], kind: str, figures: dict[str, float]) -> None:
-        self.held.setdefault(way, {})[kind] = figures
+    def put(self, path: tuple[str, str], kind: str, figures: dict[str, float]) -> None:
+        self.active.setdefault(path, {})[kind] = figures
 
-    def take(self, way: tuple[str, str], kind: str) -> None:
-        kinds = self.held.get(way, {})
+    def remove(self, path: tuple[str, str], kind: str) -> None:
+        kinds = self.active.get(path, {})
         kinds.pop(kind, None)
         if not kinds:
-            self.held.pop(way, None)
+            self.active.pop(path, None)
 
-    def datagram(self, way: tuple[str, str], data: bytes) -> list[tuple[float, bytes]]:
-        """What becomes of a datagram: copies, each with seconds to wait."""
-        kinds = self.held.get(way)
+    def datagram(self, path: tuple[str, str], data: bytes) -> list[tuple[float, bytes]]:
+        """The copies of a datagram to deliver, each with its delay in seconds; none if it is dropped."""
+        kinds = self.active.get(path)
         if not kinds:
-            self.passed += 1
+            self.passed_count += 1
             return [(0.0, data)]
         draw, late_s = self.draw, 0.0
-        if "cut" in kinds or ("hole" in kinds and len(data) > HOLE):
-            self.stopped += 1
+        if "cut" in kinds or ("hole" in kinds and len(data) > HOLE_MAX_BYTES):
+            self.dropped_count += 1
             return []
         if "loss" in kinds and draw.random() < kinds["loss"]["share"]:
-            self.stopped += 1
+            self.dropped_count += 1
             return []
         if "late" in kinds:
             late_s = kinds["late"]["ms"] / 1000.0
         if "disorder" in kinds:
             late_s += draw.random() * kinds["disorder"]["ms"] / 1000.0
         if "spoil" in kinds and draw.random() < kinds["spoil"]["share"]:
-            at = draw.randrange(len(data))
-            data = data[:at] + bytes((data[at] ^ (1 << draw.randrange(8)),)) + data[at + 1 :]
+            index = draw.randrange(len(data))
+            data = data[:index] + bytes((data[index] ^ (1 << draw.randrange(8)),)) + data[index + 1 :]
         copies = [(late_s, data)]
         if "twice" in kinds and draw.random() < kinds["twice"]["share"]:
             copies.append((late_s + draw.random() * 0.5, data))
         return copies
 
-    def stream(self, way: tuple[str, str]) -> tuple[bool, bool, float]:
-        """Whether a stream's way is cut, or mute, and how late it is in seconds."""
-        kinds = self.held.get(way, {})
+    def stream(self, path: tuple[str, str]) -> tuple[bool, bool, float]:
+        """Whether a connection's path is cut, whether it is mute, and its delay in seconds."""
+        kinds = self.active.get(path, {})
         late_s = kinds.get("late", {}).get("ms", 0.0) / 1000.0
         return "cut" in kinds, "mute" in kinds, late_s
--- a/leadslip/lab/__init__.py
+++ b/leadslip/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: the program's own decisions on a virtual clock and a virtual network, at sizes processes don't reach."""
+"""Simulation: runs the fleet's own code on a virtual clock and network, with more members than real processes allow."""
--- a/leadslip/lab/agreed.py
+++ b/leadslip/lab/agreed.py
@@ -1,7 +1,8 @@
-"""The agreement in the lab: members of a virtual fleet of which some vote, with disks that outlive their processes.
+"""Simulates agreement on settings: a virtual fleet with some voters, whose disks outlive their processes.
 
-`Agreed` starts and kills them, has operators change documents at any of them, and looks every `LOOK_MS` at what each
-acts on at that moment. `wrong` holds what breaks A1 and A2 by that record, `lost` what breaks A3.
+`Agreed` starts and kills members, submits operators' changes at any of them, and checks every `CHECK_INTERVAL_MS`
+which rules each member applies. `wrong` lists the violations of A1 and A2 seen, `lost` those of A3 (the invariants
+are defined in leadslip/drill/check.py).
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from leadslip.lab.fleet import Fleet, Host
 from leadslip.lab.voters import Disk
 
-LOOK_MS = 10.0
-DISK_MS = (0.5, 8.0)
+CHECK_INTERVAL_MS = 10.0
+DISK_DELAY_RANGE_MS = (0.5, 8.0)
 
 
 class Agreed:
-    """A fleet whose first members vote."""
+    """A simulated fleet whose first members are voters."""
 
     def __init__(
         self,
@@ -35,28 +36,28 @@
         self.draw = Random(seed + 1)
         self.names = [f"p{i:02d}" for i in range(members)]
         self.voters = tuple(f"p{i:02d}" for i in range(voters))
-        self.disks: dict[str, tuple[str, int, Disk]] = {}  # name -> id, starts, what is on it
-        self.drawn = 0
-        self.told: list[tuple[float, str, dict]] = []  # what proxies log
-        self.contents: dict[int, tuple[int, str]] = {}  # revision -> its mark, who was first to act on it
-        self.acted: dict[str, int] = {}  # the latest revision that a proxy acted on
-        self.first_ms: dict[int, float] = {}  # when a revision was first acted on
-        self.longest_ms = 0.0  # between a newer revision first acted on and an older one last acted on
+        self.disks: dict[str, tuple[str, int, Disk]] = {}  # name -> voter id, starts, disk
+        self.disks_created = 0
+        self.told: list[tuple[float, str, dict]] = []  # log events of the members: time, event, fields
+        self.contents: dict[int, tuple[int, str]] = {}  # revision -> its checksum, first member to apply it
+        self.last_applied: dict[str, int] = {}  # "name process" -> last revision applied
+        self.first_applied_ms: dict[int, float] = {}  # revision -> when it was first applied
+        self.longest_overlap_ms = 0.0  # longest time an older revision was applied after a newer one
         self.wrong: list[str] = []
         self.acknowledged: dict[str, int] = {}
         self.refused: list[OperatorError] = []
-        self.isolated = self.looks = 0  # looks at which a proxy acted on the isolated rules; all looks
-        self.fleet.afters["agreement"] = self.after
+        self.fallback_checks = self.checks = 0  # checks that found the fallback rules in effect; all checks
+        self.fleet.part_hooks["agreement"] = self.schedule_saves
         for name in self.names:
             self.start(name)
             self.fleet.run(20.0)
-        self.fleet.clock.at(self.fleet.clock.now_ms, self.look)
+        self.fleet.clock.at(self.fleet.clock.now_ms, self.check_rules)
 
     def start(self, name: str, blank: bool = False) -> Host:
-        """Start a member; a voter with its disk, or with a blank one."""
+        """Start a member; a voter gets its previous disk, or a blank one."""
         host = self.fleet.add(name)
-        held = Agreement if name not in self.voters else self.kind
-        agreement = host.agreement = held(
+        agreement_class = Agreement if name not in self.voters else self.kind
+        agreement = host.agreement = agreement_class(
             host.view,
             self.voters,
             self.in_force_ms,
@@ -68,100 +69,106 @@
         host.disk_ms = 0.0
         if name in self.voters:
             if blank or name not in self.disks:
-                self.drawn += 1
-                self.disks[name] = f"v{self.drawn}-{name}", 0, Disk([])
+                self.disks_created += 1
+                self.disks[name] = f"v{self.disks_created}-{name}", 0, Disk([])
             id_, starts, disk = self.disks[name]
             self.disks[name] = id_, starts + 1, disk
             agreement.votes_with(id_, starts + 1, disk.kept)
-        host.parties["agreement"] = agreement
+        host.parts_by_name["agreement"] = agreement
         agreement.due(host.now_ms)
         host.view.change_facts(host.now_ms, agreement.facts())
         host.flush()
         return host
 
-    def after(self, host: Host) -> None:
-        """Saves reach the disk in order, some milliseconds later; a process that is gone writes nothing more."""
+    def schedule_saves(self, host: Host) -> None:
+        """Schedule a voter's saves: they reach the disk in order after a random delay, unless the process is killed."""
         agreement = host.agreement
         saves, agreement.saves = agreement.saves, []
         for save in saves:
             now_ms = self.fleet.clock.now_ms
-            host.disk_ms = max(host.disk_ms, now_ms) + self.draw.uniform(*DISK_MS)
-            self.fleet.clock.at(host.disk_ms, self.written, host, self.disks[host.name][2], save)
+            host.disk_ms = max(host.disk_ms, now_ms) + self.draw.uniform(*DISK_DELAY_RANGE_MS)
+            self.fleet.clock.at(host.disk_ms, self.complete_save, host, self.disks[host.name][2], save)
         if saves:
             host.view.change_facts(host.now_ms, agreement.facts())
 
-    def written(self, host: Host, disk: Disk, save: Save) -> None:
+    def complete_save(self, host: Host, disk: Disk, save: Save) -> None:
         if not host.up:
             return
         if host.stalled:
-            self.fleet.clock.at(self.fleet.clock.now_ms + 20.0, self.written, host, disk, save)
+            self.fleet.clock.at(self.fleet.clock.now_ms + 20.0, self.complete_save, host, disk, save)
             return
         disk.write(save)
         host.agreement.saved(host.now_ms, save.number)
         host.flush()
 
-    def look(self) -> None:
-        """What each acts on now."""
+    def check_rules(self) -> None:
+        """Check which revision each member applies now against A1 and A2."""
         now_ms = self.fleet.clock.now_ms
         for name, host in self.fleet.hosts.items():
             if host.stalled:
                 continue
             rules = host.agreement.in_force(host.now_ms)
-            self.looks += 1
+            self.checks += 1
             if not rules.agreed:
-                self.isolated += 1
+                self.fallback_checks += 1
                 continue
-            mark, by = self.contents.setdefault(rules.revision, (rules.mark, name))
-            if mark != rules.mark:
-                self.wrong.append(f"A1: {name} acts on other contents of revision {rules.revision} than {by}")
-            if rules.revision < self.acted.get(f"{name} {host.view.run >> 16}", 0):
+            checksum, first_name = self.contents.setdefault(rules.revision, (rules.mark, name))
+            if checksum != rules.mark:
+                self.wrong.append(
+                    f"A1: {name} applies other contents of revision {rules.revision} than {first_name}"
+                )
+            if rules.revision < self.last_applied.get(f"{name} {host.view.run >> 16}", 0):
                 self.wrong.append(f"A1: {name} goes back to revision {rules.revision}")
-            self.acted[f"{name} {host.view.run >> 16}"] = rules.revision
-            self.first_ms.setdefault(rules.revision, now_ms)
-            newer = [at_ms for revision, at_ms in self.first_ms.items() if revision > rules.revision]
-            if newer:
-                span_ms = now_ms - min(newer)
-                self.longest_ms = max(self.longest_ms, span_ms)
-                if span_ms > self.in_force_ms:
+            self.last_applied[f"{name} {host.view.run >> 16}"] = rules.revision
+            self.first_applied_ms.setdefault(rules.revision, now_ms)
+            newer_first_ms = [
+                at_ms for revision, at_ms in self.first_applied_ms.items() if revision > rules.revision
+            ]
+            if newer_first_ms:
+                overlap_ms = now_ms - min(newer_first_ms)
+                self.longest_overlap_ms = max(self.longest_overlap_ms, overlap_ms)
+                if overlap_ms > self.in_force_ms:
                     self.wrong.append(
-                        f"A2: {name} acts on revision {rules.revision} {span_ms:.0f} ms too long"
+                        f"A2: {name} applies revision {rules.revision} {overlap_ms:.0f} ms after a newer one"
                     )
-        self.fleet.clock.at(now_ms + LOOK_MS, self.look)
+        self.fleet.clock.at(now_ms + CHECK_INTERVAL_MS, self.check_rules)
 
-    def change(self, name: str, document: str, told: dict, id_: str, expect: int = -1) -> None:
-        """An operator changes a document at a member."""
+    def change(self, name: str, document: str, content: dict, id_: str, expect: int = -1) -> None:
+        """Submit an operator's change at a member; a negative `expect` means the revision that the member holds."""
         host = self.fleet.hosts[name]
         agreement = host.agreement
-        seen = agreement.held.revision if expect < 0 else expect
-        proposal = Proposal(id_, seen, {document: json.dumps(told).encode()})
+        expected_revision = agreement.held.revision if expect < 0 else expect
+        proposal = Proposal(id_, expected_revision, {document: json.dumps(content).encode()})
 
-        def done(outcome: Outcome | OperatorError) -> None:
-            if isinstance(outcome, OperatorError):
-                self.refused.append(outcome)
+        def on_result(result: Outcome | OperatorError) -> None:
+            if isinstance(result, OperatorError):
+                self.refused.append(result)
             else:
-                self.acknowledged[id_] = outcome.revision
+                self.acknowledged[id_] = result.revision
 
-        agreement.propose(host.now_ms, Propose(id_, proposal), 4000.0, done)
+        agreement.propose(host.now_ms, Propose(id_, proposal), 4000.0, on_result)
         host.flush()
 
     def led(self) -> str:
-        """The name of whoever leads; nothing while nobody does."""
-        leading = [
+        """The name of the leader of the latest term; empty without a leader."""
+        leaders = [
             name
             for name, host in self.fleet.hosts.items()
             if host.agreement.raft is not None and host.agreement.raft.role.name == "LEADER"
         ]
-        return max(leading, key=lambda name: self.fleet.hosts[name].agreement.raft.term, default="")
+        return max(leaders, key=lambda name: self.fleet.hosts[name].agreement.raft.term, default="")
 
     def same(self) -> bool:
-        """Whether all act on one agreed revision, and it is the newest."""
-        held = [(host.agreement.in_force(host.now_ms), host) for host in self.fleet.hosts.values()]
-        newest = max((rules.revision for rules, _ in held), default=0)
-        top = max([*self.acknowledged.values(), newest])
-        return bool(self.led()) and all(rules.agreed and rules.revision == top for rules, _ in held)
+        """Whether there is a leader and all members apply the newest agreed revision."""
+        rules_of_hosts = [(host.agreement.in_force(host.now_ms), host) for host in self.fleet.hosts.values()]
+        newest = max((rules.revision for rules, _ in rules_of_hosts), default=0)
+        latest = max([*self.acknowledged.values(), newest])
+        return bool(self.led()) and all(
+            rules.agreed and rules.revision == latest for rules, _ in rules_of_hosts
+        )
 
     def lost(self) -> list[str]:
-        """What was acknowledged and stands in no history of the voter that leads."""
+        """Ids of the acknowledged changes that are missing from the leader's history; all of them without a leader."""
         name = self.led()
-        known = self.fleet.hosts[name].agreement.documents.ids if name else {}
-        return [id_ for id_ in self.acknowledged if id_ not in known]
+        known_ids = self.fleet.hosts[name].agreement.documents.ids if name else {}
+        return [id_ for id_ in self.acknowledged if id_ not in known_ids]
--- a/leadslip/lab/fleet.py
+++ b/leadslip/lab/fleet.py
@@ -1,7 +1,7 @@
-"""Many members of a fleet in the lab: the very View that serves, each on a host of the virtual network.
+"""Simulates a fleet: each member runs the production View on a host of the virtual network.
 
-`Fleet` starts, stops, kills, stalls and restarts members, and records what each one's view does; `known` and `agreed`
-judge from that record.
+`Fleet` starts, kills, stalls and restarts members and records the removals that each view reports. `known`,
+`known_gone` and `agreed` compare the members' tables.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from leadslip.fleet.view.view import Compare, Me, Pace, View
 from leadslip.lab.network import Clock, Network
 
-STEP_MS = 20.0  # between two looks for a condition
-EARLY_MS = 1e-6  # rounding between a host's clock and the lab's
+CONDITION_STEP_MS = 20.0  # between two evaluations of a condition in `until`
+TIMER_TOLERANCE_MS = 1e-6  # rounding between a host's clock and the simulation's
 KEY = b"the key of the lab"
 
 
-class Party(Protocol):
-    """A further part of the fleet on a host, as net/peers.py carries it."""
+class FleetPart(Protocol):
+    """A part that exchanges messages over the fleet, as net/peers.py transports them."""
 
     out: list[tuple[int, bytes]]
     wake_ms: float
@@ -33,7 +33,7 @@
 
 
 class Host:
-    """One member: its view, whether it runs, and what waited while it was stopped."""
+    """One member: its view, its process state, and the datagrams that queue up while it is stalled."""
 
     def __init__(
         self,
@@ -41,13 +41,13 @@
         name: str,
         address: str,
         seeds: tuple[str, ...],
-        kind: type[View],
+        view_class: type[View],
         drift_ppm: float,
     ) -> None:
         self.fleet, self.name, self.address = fleet, name, address
-        self.rate = 1.0 + drift_ppm / 1e6  # of its monotonic clock
-        self.seal = wire.Seal([KEY], kind.speaks)
-        self.view = kind(
+        self.rate = 1.0 + drift_ppm / 1e6  # speed of its monotonic clock
+        self.seal = wire.Seal([KEY], view_class.speaks)
+        self.view = view_class(
             Me(name, address, f"zone{fleet.zone_of(name)}"),
             seeds,
             Random(fleet.draw.getrandbits(64)),
@@ -56,21 +56,21 @@
             fleet.most_members,
         )
         self.up, self.stalled = True, False
-        self.busy_ms = 0.0  # of each hop in which it gets no work done
-        self.full = False  # it can open nothing more
+        self.busy_ms = 0.0  # length of each stall of a busy process; 0: not busy
+        self.out_of_descriptors = False  # out of file descriptors: opens no connection
         self.inbox: list[bytes] = []
-        self.wakes_ms = float("inf")
-        self.view.listeners.append(self.changed)
-        self.parties: dict[str, Party] = {}  # further parts of the fleet on this host
+        self.next_wake_ms = float("inf")
+        self.view.listeners.append(self.on_change)
+        self.parts_by_name: dict[str, FleetPart] = {}
 
     @property
     def now_ms(self) -> float:
         return self.fleet.clock.now_ms * self.rate
 
-    def changed(self, change: Change) -> None:
-        self.fleet.recorded(self, change)
+    def on_change(self, change: Change) -> None:
+        self.fleet.record_change(self, change)
 
-    def arrive(self, data: bytes) -> None:
+    def deliver(self, data: bytes) -> None:
         if not self.up:
             return
         if self.stalled:
@@ -78,79 +78,79 @@
             return
         try:
             message = wire.decode(self.seal.open(data))
-        except wire.WireError as fault:
-            self.fleet.tally.add(f"fleet.refused.{fault}")
+        except wire.WireError as error:
+            self.fleet.tally.add(f"fleet.refused.{error}")
             return
         if isinstance(message, wire.Carried):
-            self.carried(message)
+            self.receive_part_message(message)
         else:
             self.view.received(self.now_ms, message)
         self.flush()
 
-    def carried(self, message: wire.Carried) -> None:
-        """As net/peers.py does: for the life that is lived, of a member that lives."""
-        held = self.view.table.get(message.run)
-        if message.to != self.view.run or held is None or not held.live or held.run != message.run:
+    def receive_part_message(self, message: wire.Carried) -> None:
+        """Deliver a message of a part, as net/peers.py does, if both runs are current and the sender is live."""
+        member = self.view.table.get(message.run)
+        if message.to != self.view.run or member is None or not member.live or member.run != message.run:
             return
-        if message.part in self.parties and self.view.heard.fresh(message.run, message.count):
-            self.parties[message.part].received(self.now_ms, message.run, message.body)
+        if message.part in self.parts_by_name and self.view.heard.fresh(message.run, message.count):
+            self.parts_by_name[message.part].received(self.now_ms, message.run, message.body)
 
-    def carry(self, part: str, run: int, body: bytes) -> None:
-        """A datagram where it fits; else over a connection, in one piece."""
-        held = self.view.table.get(run)
-        if held is None or not held.live or self.view.version_for(run) < 3:
+    def send_part_message(self, part: str, run: int, body: bytes) -> None:
+        """Send a message of a part in a datagram if it fits, otherwise over a connection in one exchange."""
+        member = self.view.table.get(run)
+        if member is None or not member.live or self.view.version_for(run) < 3:
             return
         message = wire.Carried(next(self.view.counts), self.view.run, run, 0, part, body)
         data = self.seal.close(wire.encode(message), 3)
         network = self.fleet.network
         if len(data) <= wire.MOST_DATAGRAM:
-            network.send(self.address, held.address, data)
+            network.send(self.address, member.address, data)
             return
 
-        def brought() -> int:
-            taker = network.hosts.get(held.address)
-            if taker is not None:
-                taker(data)
+        def deliver_stream() -> int:
+            receive = network.hosts.get(member.address)
+            if receive is not None:
+                receive(data)
             return len(data)
 
-        network.connect(self.address, held.address, brought)
+        network.connect(self.address, member.address, deliver_stream)
 
-    def wake(self) -> None:
-        if not self.up or self.stalled or self.now_ms < self.wakes_ms - EARLY_MS:
+    def on_timer(self) -> None:
+        if not self.up or self.stalled or self.now_ms < self.next_wake_ms - TIMER_TOLERANCE_MS:
             return
-        self.wakes_ms = float("inf")
+        self.next_wake_ms = float("inf")
         now_ms = self.now_ms
-        if now_ms >= self.view.wake_ms - EARLY_MS:
+        if now_ms >= self.view.wake_ms - TIMER_TOLERANCE_MS:
             self.view.due(max(now_ms, self.view.wake_ms))
-        for party in self.parties.values():
-            if now_ms >= party.wake_ms - EARLY_MS:
-                party.due(max(now_ms, party.wake_ms))
+        for part in self.parts_by_name.values():
+            if now_ms >= part.wake_ms - TIMER_TOLERANCE_MS:
+                part.due(max(now_ms, part.wake_ms))
         self.flush()
 
     def flush(self) -> None:
-        """Send what the view gives, and be woken when it asks."""
-        out, self.view.out = self.view.out, []
-        for one in out:
-            if isinstance(one, Compare):
-                self.fleet.compare(self, one.address)
+        """Send the outgoing messages of the view and the parts, and schedule the next timer."""
+        outgoing, self.view.out = self.view.out, []
+        for item in outgoing:
+            if isinstance(item, Compare):
+                self.fleet.sync_tables(self, item.address)
             else:
-                data = self.seal.close(wire.encode(one.message), self.view.version_for(one.message.to))
-                self.fleet.network.send(self.address, one.address, data)
-        for name, party in self.parties.items():
-            told, party.out = party.out, []
-            for run, body in told:
-                self.carry(name, run, body)
-            self.after(name)
-        wake_ms = min([self.view.wake_ms, *(party.wake_ms for party in self.parties.values())])
-        if wake_ms < self.wakes_ms:
-            self.wakes_ms = wake_ms
-            self.fleet.clock.at(self.wakes_ms / self.rate, self.wake)
-
-    def after(self, name: str) -> None:
-        """A part has had something to do."""
-        work = self.fleet.afters.get(name)
-        if work is not None:
-            work(self)
+                data = self.seal.close(wire.encode(item.message), self.view.version_for(item.message.to))
+                self.fleet.network.send(self.address, item.address, data)
+        for name, part in self.parts_by_name.items():
+            messages, part.out = part.out, []
+            for run, body in messages:
+                self.send_part_message(name, run, body)
+            self.run_part_hook(name)
+        wake_ms = min([self.view.wake_ms, *(part.wake_ms for part in self.parts_by_name.values())])
+        if wake_ms < self.next_wake_ms:
+            self.next_wake_ms = wake_ms
+            self.fleet.clock.at(self.next_wake_ms / self.rate, self.on_timer)
+
+    def run_part_hook(self, name: str) -> None:
+        """Run the hook registered for a part after it may have done work."""
+        hook = self.fleet.part_hooks.get(name)
+        if hook is not None:
+            hook(self)
 
     def stall(self, for_ms: float) -> None:
         if self.up and not self.stalled:
@@ -158,29 +158,29 @@
             if for_ms < float("inf"):
                 self.fleet.clock.at(self.fleet.clock.now_ms + for_ms, self.resume)
 
-    def hop(self) -> None:
-        """Be busy: no work gets done for so long, then some, until `busy_ms` is nought."""
+    def cycle_stalls(self) -> None:
+        """Simulate a busy process: alternate stalls of `busy_ms` with running for as long, until `busy_ms` is 0."""
         if self.up and self.busy_ms:
             self.stall(self.busy_ms)
-            self.fleet.clock.at(self.fleet.clock.now_ms + 2 * self.busy_ms, self.hop)
+            self.fleet.clock.at(self.fleet.clock.now_ms + 2 * self.busy_ms, self.cycle_stalls)
 
     def resume(self) -> None:
-        """As a process does: its timers first, then what waits in its sockets."""
+        """End a stall as a process does: overdue timers run first, then the datagrams queued in its sockets."""
         if not self.up or not self.stalled:
             return
         self.stalled = False
-        self.wakes_ms = float("inf")  # what was due meanwhile has passed unseen
+        self.next_wake_ms = float("inf")  # timers that fired during the stall were skipped
         self.view.due(self.now_ms)
-        for party in self.parties.values():
-            party.due(self.now_ms)
+        for part in self.parts_by_name.values():
+            part.due(self.now_ms)
         self.flush()
-        waited, self.inbox = self.inbox, []
-        for data in waited[-500:]:
-            self.arrive(data)
+        queued, self.inbox = self.inbox, []
+        for data in queued[-500:]:
+            self.deliver(data)
 
 
 class Fleet:
-    """A seeded fleet of so many members."""
+    """A simulated fleet; its course depends on the seed alone."""
 
     def __init__(self, seed: int, pace: Pace = Pace(), zones: int = 4, most_members: int = 4096) -> None:  # noqa: B008
         self.draw, self.tally, self.pace, self.zones = Random(seed), Tally(), pace, zones
@@ -188,10 +188,10 @@
         self.clock = Clock()
         self.network = Network(self.clock, Random(self.draw.getrandbits(64)))
         self.hosts: dict[str, Host] = {}
-        self.afters: dict[
+        self.part_hooks: dict[
             str, Callable[[Host], None]
-        ] = {}  # a part -> what is done after it has done something
-        self.ends: list[tuple[float, str, int, State]] = []  # when, at whom, which run, how it ended there
+        ] = {}  # part name -> hook run after the part may have done work
+        self.ends: list[tuple[float, str, int, State]] = []  # time, observer, removed run, its final state
 
     def zone_of(self, name: str) -> int:
         return sum(name.encode()) % self.zones
@@ -205,12 +205,12 @@
         kind: type[View] = View,
         drift_ppm: float = 0.0,
     ) -> Host:
-        """Start a member, also one that was there before and remembers nothing; `follow` is told of its view first."""
+        """Start a member, or restart one without its state; `follow` gets the view before it starts."""
         address = address or f"{name}:7946"
         if seeds is None:
-            seeds = tuple(f"{one}:7946" for one in list(self.hosts)[:3])
+            seeds = tuple(f"{seed_name}:7946" for seed_name in list(self.hosts)[:3])
         host = self.hosts[name] = Host(self, name, address, seeds, kind, drift_ppm)
-        self.network.hosts[address] = host.arrive
+        self.network.hosts[address] = host.deliver
         if follow is not None:
             follow(host.view)
         host.view.start(host.now_ms)
@@ -226,40 +226,47 @@
     def kill(self, name: str) -> Host:
         host = self.hosts.pop(name)
         host.up = False
-        if self.network.hosts.get(host.address) == host.arrive:
+        if self.network.hosts.get(host.address) == host.deliver:
             del self.network.hosts[host.address]
         return host
 
     def leave(self, name: str) -> Host:
-        """A member leaves in good order and is gone a moment later."""
+        """Let a member leave gracefully and end its process 300 ms later."""
         host = self.hosts[name]
         host.view.leave(host.now_ms)
         host.flush()
         self.run(300.0)
         return self.kill(name)
 
-    def compare(self, host: Host, address: str) -> None:
-        """A comparison of tables, as over TCP."""
+    def sync_tables(self, host: Host, address: str) -> None:
+        """Run an anti-entropy session between a host and an address, as over TCP."""
 
-        def work() -> int:
-            other = next((one for one in self.hosts.values() if one.address == address), None)
-            if other is None or any(not one.up or one.stalled or one.full for one in (host, other)):
+        def exchange() -> int:
+            other = next(
+                (candidate for candidate in self.hosts.values() if candidate.address == address), None
+            )
+            if other is None or any(
+                not member.up or member.stalled or member.out_of_descriptors for member in (host, other)
+            ):
                 return 0
             ask = host.view.ask(host.now_ms, other.view.hello(1), 2)
-            told = other.view.answer(other.now_ms, ask)
-            better = host.view.compared(host.now_ms, told, 1)
-            other.view.given(other.now_ms, better)
+            answer = other.view.answer(other.now_ms, ask)
+            newer_records = host.view.compared(host.now_ms, answer, 1)
+            other.view.given(other.now_ms, newer_records)
             version = host.view.version_for(other.view.run)
-            size = sum(len(wire.frame(one, version)) + wire.SEAL_SIZE + 4 for one in (ask, told, better))
+            size = sum(
+                len(wire.frame(message, version)) + wire.SEAL_SIZE + 4
+                for message in (ask, answer, newer_records)
+            )
             host.view.spent(size)
             host.flush()
             other.flush()
             return size
 
-        self.network.connect(host.address, address, work)
+        self.network.connect(host.address, address, exchange)
 
     def partition(self, *parts: Iterable[str]) -> None:
-        """Let nothing pass between these parts."""
+        """Block all paths between these groups of members."""
         part_of = {f"{name}:7946": i for i, part in enumerate(parts) for name in part}
         self.network.links.cut = lambda source, target: part_of.get(source, -1) != part_of.get(target, -1)
 
@@ -270,45 +277,49 @@
         self.clock.run(self.clock.now_ms + for_ms)
 
     def until(self, holds: Callable[[], bool], most_ms: float) -> float:
-        """Let time pass until a condition holds; how long it took, or inf."""
+        """Run until a condition holds; returns the time it took in ms, or inf if it took longer than `most_ms`."""
         began_ms = self.clock.now_ms
         while not holds():
             if self.clock.now_ms - began_ms >= most_ms:
                 return float("inf")
-            self.run(STEP_MS)
+            self.run(CONDITION_STEP_MS)
         return self.clock.now_ms - began_ms
 
-    def recorded(self, host: Host, change: Change) -> None:
-        """What a view has taken up; ends of lives are kept."""
-        was, now = change.was, change.now
-        if was is not None and was.live and (now is None or not now.live or now.run != was.run):
-            state = State.DEAD if now is None or now.live else now.state
-            self.ends.append((self.clock.now_ms, host.name, was.run, state))
+    def record_change(self, host: Host, change: Change) -> None:
+        """Record the run that a change removes from a member's view, if it removes one."""
+        previous, current = change.was, change.now
+        if (
+            previous is not None
+            and previous.live
+            and (current is None or not current.live or current.run != previous.run)
+        ):
+            state = State.DEAD if current is None or current.live else current.state
+            self.ends.append((self.clock.now_ms, host.name, previous.run, state))
 
     def agreed(self) -> bool:
-        """Whether all members hold one view, and it is the truth."""
+        """Whether all members hold the same view, and it lists exactly the running processes."""
         running = {process_of(host.view.run) for host in self.hosts.values()}
         digests = {host.view.digest() for host in self.hosts.values()}
         if len(digests) != 1:
             return False
-        held = {process_of(one.run) for one in next(iter(self.hosts.values())).view.members()}
-        return held == running
+        members = {process_of(member.run) for member in next(iter(self.hosts.values())).view.members()}
+        return members == running
 
     def known_gone(self, run: int) -> bool:
-        """Whether nobody who runs holds this run live."""
+        """Whether every running member holds this run as dead or left."""
         return all(host.view.table.standing(run) >= State.DEAD for host in self.hosts.values())
 
     def known(self, run: int) -> bool:
-        """Whether all who run hold this run live."""
+        """Whether every running member holds this run as alive or suspect."""
         return all(host.view.table.standing(run) < State.DEAD for host in self.hosts.values())
 
     def wrongly(self) -> list[tuple[float, str, int, State]]:
-        """Ends recorded of lives whose process runs still."""
+        """Recorded removals of runs whose process is still running."""
         running = {process_of(host.view.run) for host in self.hosts.values()}
-        return [one for one in self.ends if process_of(one[2]) in running]
+        return [removal for removal in self.ends if process_of(removal[2]) in running]
 
     def traffic(self) -> tuple[float, float, float]:
-        """Datagrams, bytes in datagrams, and bytes in connections, sent so far by the mean member."""
+        """Datagrams, bytes in datagrams, and bytes over connections sent so far, as the mean per member."""
         count = max(1, len(self.hosts))
         network = self.network
         return (
--- a/leadslip/lab/model.py
+++ b/leadslip/lab/model.py
@@ -1,16 +1,16 @@
-"""A model check of the view: all interleavings of what can happen to three members, by the program's own code.
+"""Model checker of the view: explores all interleavings of events at three members, running the production code.
 
-A state is what each process holds: its run, its incarnation and its table; and how the network is parted. From each
-state every act is tried: one suspects another whom its probe missed, declares one dead, tells another all it holds
-(so news are lost, late and out of order by being told at any time or never), restarts with nothing; the network parts
-and heals. Held in every state:
+A state consists of each process's run, incarnation and table, and of the network partition. From each state every
+transition is tried: a member suspects another after a missed probe, declares one dead, sends another its whole table
+(at any time or never, which covers lost, late and out-of-order updates), or restarts without its state; the network
+partitions or heals. Invariants checked in every state:
 
-- V3: who held a run dead never holds it live again;
-- a process never accuses itself, and holds itself live;
-- convergence: if from here on the network is whole, nobody suspects and all tell all until nothing changes, then all
-  hold one view, in which every process that runs is live, and none that runs is held dead.
+- V3: a member that held a run as dead never holds it as live again;
+- a process never suspects itself, and holds itself as live;
+- convergence: if from here on the network is connected, no suspicion arises and all members exchange tables until
+  nothing changes, then all hold the same view: every running process is live, and no run that has ended is.
 
-Two members that no longer run are not forgotten here, and time plays no part: timers only choose which act comes next.
+Members that no longer run are not expired, and time is not modelled: timers only decide which transition comes next.
 """
 
 from __future__ import annotations
@@ -23,171 +23,187 @@
 from leadslip.fleet.view.members import LIFE_BITS, Member, State, process_of
 from leadslip.fleet.view.view import Me, Pace, View
 
-PARTS = ((0, 0, 0), (0, 1, 1), (1, 0, 1), (1, 1, 0))  # which side each of three is on
-FIRST = 1 << 46  # the first process number; restarts count on from here
+PARTITIONS = ((0, 0, 0), (0, 1, 1), (1, 0, 1), (1, 1, 0))  # the side of each of the three members
+FIRST_PROCESS = 1 << 46  # the first process number; a restart takes a higher one
 
-Held = tuple[tuple[int, int, int], ...]  # run, state, incarnation of each process held, in order
+TableContents = tuple[tuple[int, int, int], ...]  # run, state and incarnation of each entry, in order
 
 
 @dataclass(frozen=True, slots=True)
 class World:
-    """All that matters of a state."""
+    """One state of the model; equal states are explored once."""
 
-    views: tuple[tuple[int, int, Held], ...]  # of each place: its run, incarnation and table
-    parted: int  # index into PARTS
-    started: int  # processes started so far
+    views: tuple[tuple[int, int, TableContents], ...]  # of each member: run, incarnation and table
+    partition: int  # index into PARTITIONS
+    started: int  # number of processes started so far
 
 
 class BrokenError(Exception):
-    """An invariant does not hold; the text names it, with the acts that led there."""
+    """An invariant does not hold; the text names it and the transitions that led to the violation."""
 
 
 class Model:
-    """Explores up to a depth; `kind` is the View under check, so that one with a fault can be put in."""
+    """Explores states up to a depth; `kind` is the View class under check, which may be a faulty variant."""
 
     def __init__(
-        self, kind: type[View] = View, most_incarnation: int = 2, most_life: int = 2, restarts: int = 1
+        self, kind: type[View] = View, max_incarnation: int = 2, max_generation: int = 2, restarts: int = 1
     ) -> None:
         self.kind, self.restarts = kind, restarts
-        self.most_incarnation, self.most_life = most_incarnation, most_life
+        self.max_incarnation, self.max_generation = max_incarnation, max_generation
         self.tally = Tally()
-        self.settled: dict[World, str] = {}
+        self.convergence_results: dict[World, str] = {}
 
-    def make(self, place: int, run: int, incarnation: int, held: Held) -> View:
-        """A view as a state tells it."""
-        view = self.kind(Me(f"n{place}", f"n{place}:1"), (), Random(1), self.tally, Pace(), 100)
+    def build_view(self, index: int, run: int, incarnation: int, entries: TableContents) -> View:
+        """A view with the given run, incarnation and table."""
+        view = self.kind(Me(f"n{index}", f"n{index}:1"), (), Random(1), self.tally, Pace(), 100)
         view.run, view.incarnation, view.joined = run, incarnation, True
-        for one, state, number in held:
-            where = self.place_of(one)
-            view.table._put(None, Member(one, f"n{where}", f"n{where}:1", "", State(state), number))
+        for entry_run, state, entry_incarnation in entries:
+            entry_index = self.member_index(entry_run)
+            view.table._put(
+                None,
+                Member(
+                    entry_run, f"n{entry_index}", f"n{entry_index}:1", "", State(state), entry_incarnation
+                ),
+            )
         return view
 
-    def place_of(self, run: int) -> int:
-        return (process_of(run) - FIRST) % 3
+    def member_index(self, run: int) -> int:
+        return (process_of(run) - FIRST_PROCESS) % 3
 
     @staticmethod
-    def kept(view: View) -> tuple[int, int, Held]:
-        held = sorted((one.run, int(one.state), one.incarnation if one.live else 0) for one in view.table)
-        return view.run, view.incarnation, tuple(held)
-
-    def first(self) -> World:
-        """Three that know one another."""
-        runs = [FIRST + i << LIFE_BITS for i in range(3)]
-        held = tuple((run, 0, 0) for run in runs)
-        return World(tuple((run, 0, held) for run in runs), 0, 3)
-
-    def acts(self, world: World) -> Iterator[tuple[str, World]]:
-        """Every act from a state, and the state after it."""
-        for i, (run, incarnation, held) in enumerate(world.views):
-            if run & 0xFFFF >= self.most_life or incarnation >= self.most_incarnation:
+    def contents_of(view: View) -> tuple[int, int, TableContents]:
+        entries = sorted(
+            (member.run, int(member.state), member.incarnation if member.live else 0) for member in view.table
+        )
+        return view.run, view.incarnation, tuple(entries)
+
+    def initial_world(self) -> World:
+        """The initial state: three members, each of which holds all as alive."""
+        runs = [FIRST_PROCESS + i << LIFE_BITS for i in range(3)]
+        entries = tuple((run, 0, 0) for run in runs)
+        return World(tuple((run, 0, entries) for run in runs), 0, 3)
+
+    def transitions(self, world: World) -> Iterator[tuple[str, World]]:
+        """Every transition from a state: its description and the state it leads to."""
+        for i, (run, incarnation, entries) in enumerate(world.views):
+            if run & 0xFFFF >= self.max_generation or incarnation >= self.max_incarnation:
                 continue
-            for other, state, _ in held:
+            for other, state, _ in entries:
                 if process_of(other) == process_of(run) or state >= State.DEAD:
                     continue
-                view = self.make(i, run, incarnation, held)
+                view = self.build_view(i, run, incarnation, entries)
                 if state == State.ALIVE:
                     view._suspect(0.0, other)
-                    yield f"{i} suspects {other:x}", self.after(world, i, view)
+                    yield f"{i} suspects {other:x}", self.with_view(world, i, view)
                 else:
                     view._end(0.0, other, "fleet.declared_dead")
-                    yield f"{i} declares {other:x} dead", self.after(world, i, view)
-        sides = PARTS[world.parted]
+                    yield f"{i} declares {other:x} dead", self.with_view(world, i, view)
+        sides = PARTITIONS[world.partition]
         for i in range(3):
             for j in range(3):
                 if i != j and sides[i] == sides[j]:
-                    after = self.tell(world, i, j)
-                    if after != world:
-                        yield f"{i} tells {j}", after
+                    next_world = self.send_table(world, i, j)
+                    if next_world != world:
+                        yield f"{i} sends its table to {j}", next_world
         if world.started < 3 + self.restarts:
             for i in range(3):
-                # Process numbers tell the place: the next that falls to this one.
+                # A process number determines its member: take the next one that maps to member i.
                 number = next(n for n in range(world.started, world.started + 3) if n % 3 == i)
-                run = FIRST + number << LIFE_BITS
-                fresh = (run, 0, ((run, 0, 0),))
-                views = tuple(fresh if k == i else one for k, one in enumerate(world.views))
-                yield f"{i} restarts", World(views, world.parted, number + 1)
-        for parted in range(len(PARTS)):
-            if parted != world.parted and 0 in (parted, world.parted):
-                yield f"network {PARTS[parted]}", World(world.views, parted, world.started)
-
-    def after(self, world: World, place: int, view: View) -> World:
-        views = tuple(self.kept(view) if k == place else one for k, one in enumerate(world.views))
-        return World(views, world.parted, world.started)
-
-    def tell(self, world: World, source: int, target: int) -> World:
-        """One tells another all it holds, as a comparison does."""
-        teller = self.make(source, *world.views[source])
-        hearer = self.make(target, *world.views[target])
-        hearer._merge(0.0, [one.full(0.0) for one in teller.table])
-        return self.after(world, target, hearer)
-
-    def check(self, world: World, before: World) -> str:
-        """The invariant that a state breaks, or nothing."""
-        for (run, _, held), (was_run, _, _) in zip(world.views, before.views, strict=True):
-            own = [one for one in held if process_of(one[0]) == process_of(run)]
-            if [(one[0], one[1]) for one in own] != [(run, 0)]:
+                run = FIRST_PROCESS + number << LIFE_BITS
+                restarted = (run, 0, ((run, 0, 0),))
+                views = tuple(
+                    restarted if k == i else member_view for k, member_view in enumerate(world.views)
+                )
+                yield f"{i} restarts", World(views, world.partition, number + 1)
+        for partition in range(len(PARTITIONS)):
+            if partition != world.partition and 0 in (partition, world.partition):
+                yield f"network {PARTITIONS[partition]}", World(world.views, partition, world.started)
+
+    def with_view(self, world: World, index: int, view: View) -> World:
+        views = tuple(
+            self.contents_of(view) if k == index else member_view for k, member_view in enumerate(world.views)
+        )
+        return World(views, world.partition, world.started)
+
+    def send_table(self, world: World, source: int, target: int) -> World:
+        """The state after one member has sent another its whole table, as an anti-entropy session does."""
+        sender = self.build_view(source, *world.views[source])
+        receiver = self.build_view(target, *world.views[target])
+        receiver._merge(0.0, [member.full(0.0) for member in sender.table])
+        return self.with_view(world, target, receiver)
+
+    def check(self, world: World, previous: World) -> str:
+        """The invariant that a state violates, or an empty string."""
+        for (run, _, entries), (previous_run, _, _) in zip(world.views, previous.views, strict=True):
+            own_entries = [entry for entry in entries if process_of(entry[0]) == process_of(run)]
+            if [(entry[0], entry[1]) for entry in own_entries] != [(run, 0)]:
                 return "a process holds itself live"
-            if process_of(run) == process_of(was_run) and run < was_run:
+            if process_of(run) == process_of(previous_run) and run < previous_run:
                 return "lives only grow"
-        return self.taken_back(world, before) or self.converges(world)
-
-    def taken_back(self, world: World, before: World) -> str:
-        """V3 between one state and the next."""
-        for (run, _, held), (was_run, _, was) in zip(world.views, before.views, strict=True):
-            dead = {one for one, state, _ in was if state == State.DEAD}
-            if process_of(run) == process_of(was_run) and any(
-                one in dead and state < State.DEAD for one, state, _ in held
+        return self.find_resurrection(world, previous) or self.check_convergence(world)
+
+    def find_resurrection(self, world: World, previous: World) -> str:
+        """\"V3\" if the step between two states violates it, otherwise an empty string."""
+        for (run, _, entries), (previous_run, _, previous_entries) in zip(
+            world.views, previous.views, strict=True
+        ):
+            dead = {entry_run for entry_run, state, _ in previous_entries if state == State.DEAD}
+            if process_of(run) == process_of(previous_run) and any(
+                entry_run in dead and state < State.DEAD for entry_run, state, _ in entries
             ):
                 return "V3"
         return ""
 
-    def converges(self, world: World) -> str:
-        """Whether all come to one right view once nothing breaks any more; else what is broken."""
+    def check_convergence(self, world: World) -> str:
+        """Empty if all members converge on the correct view without further faults, else the violated invariant."""
         key = World(world.views, 0, 0)
-        known = self.settled.get(key)
-        if known is not None:
-            return known
-        now, wrong = key, ""
+        cached = self.convergence_results.get(key)
+        if cached is not None:
+            return cached
+        current, violation = key, ""
         for _ in range(12):
-            then = now
+            round_start = current
             for i in range(3):
                 for j in range(3):
                     if i != j:
-                        after = self.tell(now, i, j)
-                        wrong = wrong or self.taken_back(after, now)
-                        now = after
-            if now == then or wrong:
+                        next_world = self.send_table(current, i, j)
+                        violation = violation or self.find_resurrection(next_world, current)
+                        current = next_world
+            if current == round_start or violation:
                 break
-        running = {(run, int(State.ALIVE), incarnation) for run, incarnation, _ in now.views}
-        if not all({one for one in held if one[1] < State.DEAD} == running for _, _, held in now.views):
-            wrong = wrong or "convergence"
-        self.settled[key] = wrong
-        return wrong
+        running = {(run, int(State.ALIVE), incarnation) for run, incarnation, _ in current.views}
+        if not all(
+            {entry for entry in entries if entry[1] < State.DEAD} == running
+            for _, _, entries in current.views
+        ):
+            violation = violation or "convergence"
+        self.convergence_results[key] = violation
+        return violation
 
     def explore(self, depth: int, most_states: int) -> tuple[int, int]:
-        """Breadth first; how many states were seen, and the depth that was done whole. Raises BrokenError."""
-        first = self.first()
-        seen = {first}
+        """Explore breadth first; returns the number of states seen and the last depth completed. Raises BrokenError."""
+        initial = self.initial_world()
+        seen = {initial}
         trace: dict[World, tuple[World, str]] = {}
-        level = [first]
-        for done in range(depth):
+        level = [initial]
+        for completed in range(depth):
             following = []
             for world in level:
-                for act, after in self.acts(world):
-                    if after in seen:
+                for transition, next_world in self.transitions(world):
+                    if next_world in seen:
                         continue
-                    wrong = self.check(after, world)
-                    if wrong:
-                        acts = [act]
-                        at = world
-                        while at in trace:
-                            at, one = trace[at]
-                            acts.append(one)
-                        raise BrokenError(f"{wrong}: {'; '.join(reversed(acts))}")
-                    seen.add(after)
-                    trace[after] = world, act
-                    following.append(after)
+                    violation = self.check(next_world, world)
+                    if violation:
+                        transitions = [transition]
+                        reached = world
+                        while reached in trace:
+                            reached, earlier = trace[reached]
+                            transitions.append(earlier)
+                        raise BrokenError(f"{violation}: {'; '.join(reversed(transitions))}")
+                    seen.add(next_world)
+                    trace[next_world] = world, transition
+                    following.append(next_world)
                     if len(seen) >= most_states:
-                        return len(seen), done
+                        return len(seen), completed
             level = following
         return len(seen), depth
--- a/leadslip/lab/play.py
+++ b/leadslip/lab/play.py
@@ -1,4 +1,4 @@
-"""A drill's scenario in the lab: the same schedule, faults, histories and checker, on the virtual clock."""
+"""Simulates a fault-injection scenario: the schedule, histories and checker of leadslip/drill, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -8,7 +8,15 @@
 
 from leadslip.drill import check
 from leadslip.drill.broken import Former
-from leadslip.drill.scenario import Act, Scenario, draw_schedule, drifts, formers, names, scaled
+from leadslip.drill.scenario import (
+    Act,
+    Scenario,
+    draw_drifts,
+    draw_schedule,
+    names,
+    previous_version_names,
+    scaled,
+)
 from leadslip.fleet.history import follow
 from leadslip.fleet.view.members import process_of
 from leadslip.fleet.view.view import View
@@ -19,71 +27,78 @@
 
 
 class Play:
-    """One run of a scenario with so many members."""
+    """One simulated run of a scenario, scaled to a number of members."""
 
     def __init__(self, scenario: Scenario, members: int, seed: int, acts: list[Act] | None = None) -> None:
         scenario = scaled(scenario, members)
         self.scenario, self.members, self.seed = scenario, members, seed
         self.names = names(members)
         self.acts = acts if acts is not None else draw_schedule(scenario, seed)
-        self.formers, self.drifts = formers(scenario), drifts(scenario, seed)
+        self.previous_version_names, self.drifts_ppm = (
+            previous_version_names(scenario),
+            draw_drifts(scenario, seed),
+        )
         self.fleet = Fleet(seed)
         self.histories: dict[str, list[dict]] = {}
         self.faults: list[dict] = []
-        self.traffic: list[tuple[float, float]] = []  # ms, bytes a member and second from then on
+        self.traffic: list[tuple[float, float]] = []  # start of the sample in ms, bytes per member and second
         self.starts: dict[str, int] = {}
-        self.older: dict[str, Host] = {}
+        self.older_hosts: dict[str, Host] = {}
 
-    def note(self, do: str, who: tuple[str, ...] = (), **more: object) -> None:
+    def record_fault(self, do: str, who: tuple[str, ...] = (), **more: object) -> None:
         now_ms = self.fleet.clock.now_ms
         self.faults.append({"unix_ms": now_ms, "mono_ms": now_ms, "do": do, "who": list(who)} | more)
 
     def start(self, name: str, beside: bool = False) -> None:
-        """Start a member, with a history of its own."""
+        """Start a member with its own history; `beside` keeps the older process running, as during an upgrade."""
         fleet = self.fleet
         if beside and name in fleet.hosts:
-            self.older[name] = fleet.hosts.pop(name)
-            fleet.hosts[f"{name}'"] = self.older[name]
-        own = self.starts[name] = self.starts.get(name, 0) + 1
-        told = self.histories[f"{name}-{own}"] = []
+            self.older_hosts[name] = fleet.hosts.pop(name)
+            fleet.hosts[f"{name}'"] = self.older_hosts[name]
+        start_number = self.starts[name] = self.starts.get(name, 0) + 1
+        history = self.histories[f"{name}-{start_number}"] = []
         clock = fleet.clock
 
-        def keep(record: dict) -> None:
-            told.append({"unix_ms": clock.now_ms, "mono_ms": clock.now_ms} | record)
+        def append_record(record: dict) -> None:
+            history.append({"unix_ms": clock.now_ms, "mono_ms": clock.now_ms} | record)
 
-        self.note("started", (f"{name}-{own}",))
-        seeds = tuple(f"{one}:{PORT}" for one in self.names[:3])
-        address = f"{name}:{PORT}" if not beside else f"{name}:{PORT + own}"
-        kind = Former if name in self.formers else View
-        fleet.add(name, seeds, address, lambda view: follow(view, keep), kind, self.drifts[name])
+        self.record_fault("started", (f"{name}-{start_number}",))
+        seeds = tuple(f"{seed_name}:{PORT}" for seed_name in self.names[:3])
+        address = f"{name}:{PORT}" if not beside else f"{name}:{PORT + start_number}"
+        kind = Former if name in self.previous_version_names else View
+        fleet.add(name, seeds, address, lambda view: follow(view, append_record), kind, self.drifts_ppm[name])
 
-    def sample(self, before: float) -> None:
-        """Note the traffic, again and again."""
+    def sample_traffic(self, bytes_before: float) -> None:
+        """Record the traffic since the last sample, when `bytes_before` were sent, and schedule the next one."""
         clock = self.fleet.clock
-        now = sum(self.fleet.traffic()[1:])
-        self.traffic.append((clock.now_ms - SAMPLE_MS, max(0.0, now - before) * 1000.0 / SAMPLE_MS))
-        clock.at(clock.now_ms + SAMPLE_MS, self.sample, now)
+        bytes_now = sum(self.fleet.traffic()[1:])
+        self.traffic.append(
+            (clock.now_ms - SAMPLE_MS, max(0.0, bytes_now - bytes_before) * 1000.0 / SAMPLE_MS)
+        )
+        clock.at(clock.now_ms + SAMPLE_MS, self.sample_traffic, bytes_now)
 
     def run(self) -> dict:
-        """Play it; what the checker found, figures, traffic, and a digest of the whole run."""
+        """Run the schedule; returns the checker's verdict, figures, traffic and a digest of the run."""
         fleet = self.fleet
         for name in self.names:
             self.start(name)
             fleet.run(5.0)
         joined_ms = fleet.until(fleet.agreed, 60_000.0)
-        self.note("agreed")
+        self.record_fault("agreed")
         began_ms, before = fleet.clock.now_ms, fleet.traffic()
-        fleet.clock.at(began_ms + SAMPLE_MS, self.sample, sum(before[1:]))
+        fleet.clock.at(began_ms + SAMPLE_MS, self.sample_traffic, sum(before[1:]))
         for act in self.acts:
             fleet.run(max(0.0, began_ms + act.at_s * 1000.0 - fleet.clock.now_ms))
-            self.do(act)
-        self.note("faults over")
+            self.execute(act)
+        self.record_fault("faults over")
         settled_ms = fleet.until(fleet.agreed, self.scenario.settle_s * 1000.0)
-        self.note("settled" if settled_ms < float("inf") else "not settled")
-        spent_s = (fleet.clock.now_ms - began_ms) / 1000.0
+        self.record_fault("settled" if settled_ms < float("inf") else "not settled")
+        duration_s = (fleet.clock.now_ms - began_ms) / 1000.0
         breaches, figures = check.judge(self.histories, self.faults, [], self.scenario.settle_s)
-        traffic = [(now - then) / spent_s for now, then in zip(fleet.traffic(), before, strict=True)]
-        kept = json.dumps([self.histories, self.faults, traffic]).encode()
+        traffic = [
+            (later - earlier) / duration_s for later, earlier in zip(fleet.traffic(), before, strict=True)
+        ]
+        recorded_run = json.dumps([self.histories, self.faults, traffic]).encode()
         return {
             "title": self.scenario.title,
             "members": self.members,
@@ -95,22 +110,22 @@
             "bytes_per_s": traffic[1],
             "streamed_bytes_per_s": traffic[2],
             "counts": dict(sorted(fleet.tally.counts.items())),
-            "digest": hashlib.blake2b(kept, digest_size=8).hexdigest(),
-            "breaches": [dataclasses.asdict(one) for one in breaches],
+            "digest": hashlib.blake2b(recorded_run, digest_size=8).hexdigest(),
+            "breaches": [dataclasses.asdict(breach) for breach in breaches],
         }
 
-    def do(self, act: Act) -> None:
+    def execute(self, act: Act) -> None:
         fleet = self.fleet
         if act.ways:
             for a, b in act.ways:
-                way = f"{a}:{PORT}", f"{b}:{PORT}"
+                path = f"{a}:{PORT}", f"{b}:{PORT}"
                 if act.do.startswith("end "):
-                    fleet.network.ways.take(way, act.do[4:])
+                    fleet.network.link_faults.remove(path, act.do[4:])
                 else:
-                    fleet.network.ways.put(way, act.do, act.figures)
-            self.note(act.do, ways=[list(way) for way in act.ways])
+                    fleet.network.link_faults.put(path, act.do, act.figures)
+            self.record_fault(act.do, ways=[list(path) for path in act.ways])
             return
-        self.note(act.do, act.who)
+        self.record_fault(act.do, act.who)
         for name in act.who:
             host = fleet.hosts.get(name)
             if act.do == "kill" and host is not None:
@@ -121,22 +136,22 @@
                 host.resume()
             elif act.do in ("busy", "end busy") and host is not None:
                 host.busy_ms = act.figures.get("ms", 0.0)
-                host.hop()
+                host.cycle_stalls()
             elif act.do in ("descriptors", "end descriptors") and host is not None:
-                host.full = act.do == "descriptors"
+                host.out_of_descriptors = act.do == "descriptors"
             elif act.do in ("out of service", "in service") and host is not None:
                 host.view.change_facts(host.now_ms, {"service": act.do.split()[0]})
                 host.flush()
             elif act.do == "end" and host is not None:
                 fleet.leave(name)
-            elif act.do == "end the older" and name in self.older:
+            elif act.do == "end the older" and name in self.older_hosts:
                 fleet.leave(f"{name}'")
             elif act.do in ("start", "start beside"):
                 self.start(name, beside=act.do == "start beside")
         if act.do in ("go on", "start", "start beside"):
-            self.note(f"{act.do}, done", act.who)
+            self.record_fault(f"{act.do}, done", act.who)
 
 
 def wrong_removals(fleet: Fleet) -> int:
-    """Processes that run and were declared dead by anybody."""
-    return len({process_of(one[2]) for one in fleet.wrongly()})
+    """The number of running processes that some member has removed."""
+    return len({process_of(removal[2]) for removal in fleet.wrongly()})
--- a/leadslip/lab/replicated.py
+++ b/leadslip/lab/replicated.py
@@ -1,7 +1,7 @@
-"""Replicas in the lab: members of a virtual fleet whose calls come and go, killed and back with nothing.
+"""Simulates replication: a virtual fleet whose calls begin and end, with members killed and restarted without state.
 
-Each member's calls are drawn by a seed. The lab alone keeps books of which stand, and of what a returning member has to
-know again: what some holder had acknowledged, as long as one of these holders lives.
+Each member's calls are drawn from a seed. The simulation keeps its own record of the established calls and of what a
+restarted member must recover: what a holder of its replica had acknowledged, while one of these holders still runs.
 """
 
 from __future__ import annotations
@@ -12,34 +12,38 @@
 from leadslip.fleet.view.members import process_of
 from leadslip.lab.fleet import Fleet, Host
 
-CALL_MS = 100.0  # between two steps of a member's calls
+CALL_STEP_MS = 100.0  # between two steps of the call generator
 
 
 class Replicated:
-    """A fleet of owners."""
+    """A simulated fleet in which each member owns a replicated table of calls."""
 
     def __init__(self, seed: int, members: int, copies: int = 2, kind: type[Replicas] = Replicas) -> None:
         self.fleet, self.copies, self.kind = Fleet(seed, zones=3), copies, kind
         self.draw = Random(seed + 7)
         self.names = [f"p{i:02d}" for i in range(members)]
-        self.standing: dict[str, dict[str, str]] = {name: {} for name in self.names}  # by the lab's own books
-        # Call -> the process that numbered its beginning, or its end, and the number there.
-        self.begun: dict[str, tuple[int, int]] = {}
-        self.ended: dict[str, tuple[int, int]] = {}
-        self.last: dict[str, int] = {}  # a killed member -> its process
-        self.kept: dict[str, dict[int, int]] = {}  # a killed member -> process that held it -> what that had
+        self.standing: dict[str, dict[str, str]] = {
+            name: {} for name in self.names
+        }  # member -> call -> server
+        # Call -> the process that recorded its start (or its end) and the sequence number there.
+        self.call_starts: dict[str, tuple[int, int]] = {}
+        self.call_ends: dict[str, tuple[int, int]] = {}
+        self.killed_processes: dict[str, int] = {}  # killed member -> its process number
+        self.applied_by_holder: dict[
+            str, dict[int, int]
+        ] = {}  # killed member -> holding process -> last change applied
         self.told: list[tuple[str, dict]] = []
-        self.calls, self.rate = 0, 0.3  # calls begun so far; chance of each step
+        self.calls, self.rate = 0, 0.3  # calls begun so far; chance of a new call in each step
         for name in self.names:
             self.start(name)
             self.fleet.run(15.0)
-        self.fleet.clock.at(self.fleet.clock.now_ms + CALL_MS, self.step)
+        self.fleet.clock.at(self.fleet.clock.now_ms + CALL_STEP_MS, self.step_calls)
 
     def kill(self, name: str) -> None:
-        """A process is gone; who held how much of its table is kept in the books."""
+        """Kill a process, and record who held its complete replica and up to which change."""
         run = self.fleet.hosts[name].view.run
-        self.last[name] = process_of(run)
-        self.kept[name] = {
+        self.killed_processes[name] = process_of(run)
+        self.applied_by_holder[name] = {
             process_of(host.view.run): host.replicas.held[run].table.applied
             for host in self.fleet.hosts.values()
             if run in host.replicas.held and host.replicas.held[run].table.whole()
@@ -47,29 +51,42 @@
         self.fleet.kill(name)
 
     def start(self, name: str, address: str = "") -> Host:
-        """Start a member, with nothing."""
-        if name in self.kept:
+        """Start a member without state; after a kill, drop the calls that no surviving holder knew."""
+        if name in self.applied_by_holder:
             live = {process_of(host.view.run) for host in self.fleet.hosts.values()}
-            most = max((number for run, number in self.kept.pop(name).items() if run in live), default=-1)
-            process, calls = self.last[name], self.standing[name]
-            lost = {call for call in calls if self.begun[call][0] == process and self.begun[call][1] > most}
-            self.standing[name] = {call: at for call, at in calls.items() if call not in lost and most >= 0}
-            # An end that no holder had heard of may be told again, and its call stand until then.
-            self.ended = {call: at for call, at in self.ended.items() if at[0] != process or at[1] <= most}
+            latest = max(
+                (number for run, number in self.applied_by_holder.pop(name).items() if run in live),
+                default=-1,
+            )
+            process, calls = self.killed_processes[name], self.standing[name]
+            lost = {
+                call
+                for call in calls
+                if self.call_starts[call][0] == process and self.call_starts[call][1] > latest
+            }
+            self.standing[name] = {
+                call: entry for call, entry in calls.items() if call not in lost and latest >= 0
+            }
+            # An end that no surviving holder knew is lost: its call counts as established until it is released again.
+            self.call_ends = {
+                call: entry
+                for call, entry in self.call_ends.items()
+                if entry[0] != process or entry[1] <= latest
+            }
         host = self.fleet.add(name, address=address)
         host.back = {}
-        host.replicas = host.parties["replicas"] = self.kind(
+        host.replicas = host.parts_by_name["replicas"] = self.kind(
             host.view,
             self.copies,
             self.fleet.tally,
             lambda event, **fields: self.told.append((event, fields)),
-            lambda kind, told: host.back.update({kind: told}),
+            lambda kind, result: host.back.update({kind: result}),
         )
         host.flush()
         return host
 
-    def step(self) -> None:
-        """Calls begin and end where a process runs."""
+    def step_calls(self) -> None:
+        """Begin and end calls at random on members that are not stalled."""
         for name, host in self.fleet.hosts.items():
             if host.stalled:
                 continue
@@ -77,14 +94,14 @@
             if self.draw.random() < self.rate:
                 self.begin(name)
             if calls and self.draw.random() < self.rate / 2:
-                self.end(name, self.draw.choice(list(calls)))
-        self.fleet.clock.at(self.fleet.clock.now_ms + CALL_MS, self.step)
+                self.end_call(name, self.draw.choice(list(calls)))
+        self.fleet.clock.at(self.fleet.clock.now_ms + CALL_STEP_MS, self.step_calls)
 
     def begin(self, name: str) -> str:
         self.calls += 1
         call, server = f"{self.calls:016x}", f"s{self.draw.randrange(4)}"
         self.standing[name][call] = server
-        self.begun[call] = self.put(name, call, server.encode())
+        self.call_starts[call] = self.put(name, call, server.encode())
         return call
 
     def put(self, name: str, call: str, state: bytes | None) -> tuple[int, int]:
@@ -92,16 +109,16 @@
         host.replicas.put(STANDS, call, state)
         return process_of(host.view.run), host.replicas.own.applied
 
-    def end(self, name: str, call: str) -> None:
+    def end_call(self, name: str, call: str) -> None:
         del self.standing[name][call]
-        self.ended[call] = self.put(name, call, None)
+        self.call_ends[call] = self.put(name, call, None)
 
     def knows(self, name: str) -> bool:
-        """R2, R4: whether a member knows all calls that it has to by the books."""
+        """R2, R4: whether a member's table has all calls that it is expected to have."""
         return self.standing[name].keys() <= self.fleet.hosts[name].replicas.own.all(STANDS).keys()
 
-    def copies_of(self, name: str) -> list[tuple[str, int, int]]:
-        """Who holds a running member's table: name, number, digest."""
+    def replicas_of(self, name: str) -> list[tuple[str, int, int]]:
+        """Holders of a running member's replica: name, last change applied, digest."""
         run = self.fleet.hosts[name].view.run
         return [
             (other, host.replicas.held[run].table.applied, host.replicas.held[run].table.digest())
@@ -109,34 +126,36 @@
             if run in host.replicas.held
         ]
 
-    def equal(self) -> bool:
-        """R3: every table is held by `copies` others as its owner has it, and in another zone where there is one."""
+    def replicas_equal(self) -> bool:
+        """R3: whether `copies` members hold each table as its owner does, one in another zone if there is one."""
         for name, host in self.fleet.hosts.items():
             own = host.replicas.own
-            now = own.applied, own.digest()
-            same = [who for who, number, digest in self.copies_of(name) if (number, digest) == now]
-            zones = {self.fleet.zone_of(who) for who in same}
+            current = own.applied, own.digest()
+            equal_holders = [
+                holder for holder, number, digest in self.replicas_of(name) if (number, digest) == current
+            ]
+            zones = {self.fleet.zone_of(holder) for holder in equal_holders}
             others = {self.fleet.zone_of(other) for other in self.fleet.hosts if other != name}
-            if len(same) < min(self.copies, len(self.fleet.hosts) - 1):
+            if len(equal_holders) < min(self.copies, len(self.fleet.hosts) - 1):
                 return False
             if others - {self.fleet.zone_of(name)} and not zones - {self.fleet.zone_of(name)}:
                 return False
         return True
 
     def quiet(self, most_ms: float = 10_000.0) -> float:
-        """Let calls rest and wait until all are equal; how long it took, or inf."""
-        before, self.rate = self.rate, 0.0
-        took_ms = self.fleet.until(self.equal, most_ms)
-        self.rate = before
+        """Pause the call generator and run until all replicas are equal; returns the time it took in ms, or inf."""
+        rate, self.rate = self.rate, 0.0
+        took_ms = self.fleet.until(self.replicas_equal, most_ms)
+        self.rate = rate
         return took_ms
 
     def risen(self) -> list[str]:
-        """R1: calls that have ended by the books, and stand in some copy of one that lives; to be asked in quiet."""
+        """R1: ended calls that a replica of a live member still has; meaningful once replicas are equal."""
         return [
             f"{name} holds {call}"
             for name, host in self.fleet.hosts.items()
-            for copy in host.replicas.held.values()
-            if copy.gone_ms == float("inf") and copy.table.whole()
-            for call in copy.table.all(STANDS)
-            if call in self.ended
+            for replica in host.replicas.held.values()
+            if replica.gone_ms == float("inf") and replica.table.whole()
+            for call in replica.table.all(STANDS)
+            if call in self.call_ends
         ]
--- a/tests/test_fleet_lab.py
+++ b/tests/test_fleet_lab.py
@@ -1,4 +1,4 @@
-"""The drill's scenarios in the lab: the same checker, the same course for the same seed whatever the hash seed."""
+"""Simulated fault-injection scenarios: the checker accepts them, and a run depends on its seed alone."""
 
 import json
 import os
@@ -12,31 +12,31 @@
 from leadslip.lab.play import Play
 from tests.standins import ROOT
 
-LIGHT = ["halves", "bridge", "crashes", "stalls", "upgrade", "leaves", "late", "spoilt", "mixed"]
-LIGHT += ["busy", "clocks", "descriptors", "versions"]
+FAST_SCENARIOS = ["halves", "bridge", "crashes", "stalls", "upgrade", "leaves", "late", "spoilt", "mixed"]
+FAST_SCENARIOS += ["busy", "clocks", "descriptors", "versions"]
 
 
-@pytest.mark.parametrize("name", LIGHT)
-def test_scenarios_hold_with_other_sizes(name):
-    told = Play(scenario.load(name), 10, seed=3).run()
-    assert told["held"], told["breaches"]
-    assert told["figures"]["settled_ms"] < 6000.0 and told["joined_ms"] < 4000.0
+@pytest.mark.parametrize("name", FAST_SCENARIOS)
+def test_scenarios_pass_with_another_fleet_size(name):
+    result = Play(scenario.load(name), 10, seed=3).run()
+    assert result["held"], result["breaches"]
+    assert result["figures"]["settled_ms"] < 6000.0 and result["joined_ms"] < 4000.0
 
 
-def test_a_run_is_drawn(tmp_path):
+def test_plot_of_a_run_is_written(tmp_path):
     pytest.importorskip("matplotlib", reason="an extra: pip install .[plots]")
     plot = tmp_path / "run.svg"
     with pytest.raises(SystemExit) as code:
         main(["lab", "fleet", "mixed", "--members", "8", "--plot", str(plot)])
     assert code.value.code == 0
-    drawn = plot.read_text()
-    assert all(text in drawn for text in ("All at once", "different views", "bytes a member", "stop"))
+    svg = plot.read_text()
+    assert all(text in svg for text in ("All at once", "different views", "bytes a member", "stop"))
 
 
-def test_a_course_is_the_seeds_whatever_the_hash_seed():
+def test_run_is_independent_of_the_hash_seed():
     digests = set()
     for hash_seed in ("1", "2"):
-        done = subprocess.run(
+        process = subprocess.run(
             [
                 sys.executable,
                 "-m",
@@ -56,5 +56,5 @@
             env=os.environ | {"PYTHONHASHSEED": hash_seed},
             check=True,
         )
-        digests.add(json.loads(done.stdout)["digest"])
+        digests.add(json.loads(process.stdout)["digest"])
     assert len(digests) == 1
