--- a/leadslip/drill/callers.py
+++ b/leadslip/drill/callers.py
@@ -78,6 +78,7 @@
                 await asyncio.sleep(RECONNECT_DELAY_S)
 
     def release(self, id_: bytes, writer: asyncio.StreamWriter) -> None:
+        """Request the release of a call on the connection that set it up."""
         if not writer.is_closing():
             self.calls[id_]["released"] = 0  # requested, not answered yet
             writer.write(BYE % id_)
--- a/leadslip/drill/check.py
+++ b/leadslip/drill/check.py
@@ -123,9 +123,8 @@
     """A1 to A3, and the longest overlap of two revisions in per cent of the stated time."""
     breaches: list[Breach] = []
     contents: dict[int, tuple[str, str]] = {}
-    spans: list[
-        tuple[int, str, Span]
-    ] = []  # revision, the process that applied it, from its first to its last use
+    # Revision, the process that applied it, the time from its first to its last use there.
+    spans: list[tuple[int, str, Span]] = []
     for start, history in histories.items():
         uses = [record for record in history if record["do"] == "acts"]
         latest = 0
@@ -319,7 +318,7 @@
     """V2, and the time in ms from the last fault until all processes alive at the end had the same digest."""
     faults_end_ms = next((fault["mono_ms"] for fault in faults if fault["do"] == "faults over"), None)
     if faults_end_ms is None:
-        return [Breach("V2", 0.0, "drill", "the fault record has no end of faults")], NO_END
+        return [Breach("V2", 0.0, "drill", "the fault record lacks the end of the faults")], NO_END
     alive = [start for start, spans in down.items() if spans[-1].begin_ms >= convergence_wait_end_ms(faults)]
     digests = [
         (record["mono_ms"], start, record["digest"])
--- a/leadslip/drill/clocks.py
+++ b/leadslip/drill/clocks.py
@@ -28,6 +28,7 @@
             file.write(LAYOUT.pack(offset_s, self.drift_ppm))
 
     def exists(self) -> bool:
+        """Whether the file has been written already."""
         try:
             with open(self.path, "rb") as file:
                 return len(file.read()) == LAYOUT.size
--- a/leadslip/drill/plot.py
+++ b/leadslip/drill/plot.py
@@ -102,7 +102,7 @@
         axes[3].step([seconds(ms) for ms, _ in traffic], [rate for _, rate in traffic], where="post")
         axes[3].set_ylabel("bytes a member, second")
         axes[3].set_ylim(bottom=0)
-    axes[-1].set_xlabel("seconds since all knew one another")
+    axes[-1].set_xlabel("seconds since the fleet formed")
     axes[-1].set_xlim(left=-2.0)
     figure.tight_layout()
     figure.savefig(path)
--- a/leadslip/drill/relay.py
+++ b/leadslip/drill/relay.py
@@ -30,6 +30,7 @@
         self.tasks: set[asyncio.Task] = set()
 
     async def start(self) -> None:
+        """Listen for datagrams and connections."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(self.listen_ip, PORT))
         self.server = await asyncio.start_server(self.on_connection, self.listen_ip, PORT)
@@ -48,6 +49,7 @@
                 self.forward(copy)
 
     def forward(self, data: bytes) -> None:
+        """Send a datagram to the process behind the relay."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, (self.target_ip, PORT))
 
@@ -75,6 +77,7 @@
                     open_writer.close()
 
     async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, path: tuple) -> None:
+        """Copy one direction of a connection, applying the faults of its path."""
         while data := await reader.read(65536):
             blocked, muted, late_s = self.link_faults.stream(path)
             if blocked:
@@ -89,6 +92,7 @@
             writer.write_eof()
 
     async def stop(self) -> None:
+        """Close the sockets and cancel the relayed connections."""
         if self.transport is not None:
             self.transport.close()
         if self.server is not None:
--- a/leadslip/drill/run.py
+++ b/leadslip/drill/run.py
@@ -51,7 +51,7 @@
 
 
 class DrillError(OperatorError):
-    """The run could not be carried out; this says nothing about the program under test."""
+    """The drill itself could not be held, whatever the program does."""
 
     code = "drill.not-held"
     action = "See that the machine is idle and 127/8 is free, keep the folder (--keep) and read its logs."
@@ -229,6 +229,7 @@
         self.saved_limits.clear()
 
     def signal(self, number: signal.Signals, index: int = -1) -> None:
+        """Send a signal to a process; ignored if there is none."""
         with contextlib.suppress(ProcessLookupError, IndexError):
             self.running[index].send_signal(number)
 
@@ -248,6 +249,7 @@
             await process.wait()
 
     async def kill(self) -> None:
+        """Kill all processes of this name and wait until they have ended."""
         while self.running:
             process = self.running.pop()
             with contextlib.suppress(ProcessLookupError):
@@ -418,6 +420,7 @@
             await asyncio.gather(*self.pending)
 
     async def execute(self, act: Act) -> None:
+        """Carry out one action of the schedule, and record it."""
         processes = [self.processes[name] for name in act.who]
         if act.ways:
             for path in act.ways:
--- a/leadslip/drill/scenario.py
+++ b/leadslip/drill/scenario.py
@@ -38,7 +38,7 @@
 
 
 class ScenarioError(OperatorError):
-    """A scenario is invalid; the text names the key."""
+    """A scenario of a drill makes no sense; the text names its key."""
 
     code, status = "drill.scenario", 400
     action = "Correct the key named; `leadslip drill list` shows those that come with the program."
@@ -121,6 +121,7 @@
 
 
 def names(processes: int) -> tuple[str, ...]:
+    """The names of the processes of a run."""
     return tuple(f"n{i:02d}" for i in range(processes))
 
 
--- a/leadslip/drill/ways.py
+++ b/leadslip/drill/ways.py
@@ -20,9 +20,11 @@
         self.passed_count = self.dropped_count = 0
 
     def put(self, path: tuple[str, str], kind: str, figures: dict[str, float]) -> None:
+        """Begin a fault on a path."""
         self.active.setdefault(path, {})[kind] = figures
 
     def remove(self, path: tuple[str, str], kind: str) -> None:
+        """End a fault on a path."""
         kinds = self.active.get(path, {})
         kinds.pop(kind, None)
         if not kinds:
--- a/leadslip/lab/agreed.py
+++ b/leadslip/lab/agreed.py
@@ -73,7 +73,7 @@
                 self.disks[name] = f"v{self.disks_created}-{name}", 0, Disk([])
             id_, starts, disk = self.disks[name]
             self.disks[name] = id_, starts + 1, disk
-            agreement.votes_with(id_, starts + 1, disk.kept)
+            agreement.votes_with(id_, starts + 1, disk.stored)
         host.parts_by_name["agreement"] = agreement
         agreement.due(host.now_ms)
         host.view.change_facts(host.now_ms, agreement.facts())
@@ -92,6 +92,7 @@
             host.view.change_facts(host.now_ms, agreement.facts())
 
     def complete_save(self, host: Host, disk: Disk, save: Save) -> None:
+        """Write a save to the disk and confirm it to the voter; wait while the process is stalled."""
         if not host.up:
             return
         if host.stalled:
--- a/leadslip/lab/fleet.py
+++ b/leadslip/lab/fleet.py
@@ -65,12 +65,15 @@
 
     @property
     def now_ms(self) -> float:
+        """The host's monotonic clock, with its drift."""
         return self.fleet.clock.now_ms * self.rate
 
     def on_change(self, change: Change) -> None:
+        """Report a change of the view to the fleet's record."""
         self.fleet.record_change(self, change)
 
     def deliver(self, data: bytes) -> None:
+        """Process a datagram; queue it while the process is stalled."""
         if not self.up:
             return
         if self.stalled:
@@ -116,6 +119,7 @@
         network.connect(self.address, member.address, deliver_stream)
 
     def on_timer(self) -> None:
+        """Run the timers that are due; ignored if a later wake-up has replaced this one."""
         if not self.up or self.stalled or self.now_ms < self.next_wake_ms - TIMER_TOLERANCE_MS:
             return
         self.next_wake_ms = float("inf")
@@ -153,6 +157,7 @@
             hook(self)
 
     def stall(self, for_ms: float) -> None:
+        """Stall the process for a time, or until `resume` if it is infinite."""
         if self.up and not self.stalled:
             self.stalled = True
             if for_ms < float("inf"):
@@ -188,12 +193,12 @@
         self.clock = Clock()
         self.network = Network(self.clock, Random(self.draw.getrandbits(64)))
         self.hosts: dict[str, Host] = {}
-        self.part_hooks: dict[
-            str, Callable[[Host], None]
-        ] = {}  # part name -> hook run after the part may have done work
+        # Part name -> hook run after the part may have done work.
+        self.part_hooks: dict[str, Callable[[Host], None]] = {}
         self.ends: list[tuple[float, str, int, State]] = []  # time, observer, removed run, its final state
 
     def zone_of(self, name: str) -> int:
+        """The index of a member's zone, derived from its name."""
         return sum(name.encode()) % self.zones
 
     def add(
@@ -218,12 +223,14 @@
         return host
 
     def grow(self, members: int) -> None:
+        """Start so many members and run until the views converge."""
         for i in range(members):
             self.add(f"p{i:04d}")
             self.run(10.0)
         self.until(self.agreed, 60_000.0)
 
     def kill(self, name: str) -> Host:
+        """Kill a process without notice to the others."""
         host = self.hosts.pop(name)
         host.up = False
         if self.network.hosts.get(host.address) == host.deliver:
@@ -271,9 +278,11 @@
         self.network.links.cut = lambda source, target: part_of.get(source, -1) != part_of.get(target, -1)
 
     def heal(self) -> None:
+        """End a partition."""
         self.network.links.cut = None
 
     def run(self, for_ms: float) -> None:
+        """Advance the simulation."""
         self.clock.run(self.clock.now_ms + for_ms)
 
     def until(self, holds: Callable[[], bool], most_ms: float) -> float:
--- a/leadslip/lab/model.py
+++ b/leadslip/lab/model.py
@@ -68,10 +68,12 @@
         return view
 
     def member_index(self, run: int) -> int:
+        """The member (0 to 2) that a run belongs to."""
         return (process_of(run) - FIRST_PROCESS) % 3
 
     @staticmethod
     def contents_of(view: View) -> tuple[int, int, TableContents]:
+        """The run, incarnation and table of a view; incarnations of ended runs count as 0."""
         entries = sorted(
             (member.run, int(member.state), member.incarnation if member.live else 0) for member in view.table
         )
@@ -120,6 +122,7 @@
                 yield f"network {PARTITIONS[partition]}", World(world.views, partition, world.started)
 
     def with_view(self, world: World, index: int, view: View) -> World:
+        """The state in which one member's view has been replaced."""
         views = tuple(
             self.contents_of(view) if k == index else member_view for k, member_view in enumerate(world.views)
         )
--- a/leadslip/lab/network.py
+++ b/leadslip/lab/network.py
@@ -24,6 +24,7 @@
         self.sequence = 0
 
     def at(self, due_ms: float, callback: Callable, *args: object) -> None:
+        """Schedule a callback; a time in the past means now."""
         self.sequence += 1
         heapq.heappush(self.heap, (max(due_ms, self.now_ms), self.sequence, callback, args))
 
@@ -37,23 +38,22 @@
 
 
 @dataclass
-class Links:
+class NetworkConditions:
     """Conditions that apply to all paths between hosts, and extra delays of single paths."""
 
     late_ms: tuple[float, float] = (0.3, 3.0)  # range of the one-way delay
     lost: float = 0.0  # share of datagrams lost
     twice: float = 0.0  # share of datagrams duplicated
     cut: Callable[[str, str], bool] | None = None  # (source, target) -> whether the path is blocked
-    slow: dict[tuple[str, str], float] = field(
-        default_factory=dict
-    )  # (source, target) -> extra one-way delay in ms
+    # (source, target) -> extra one-way delay in ms
+    slow: dict[tuple[str, str], float] = field(default_factory=dict)
 
 
 class Network:
     """Carries datagrams between hosts, and counts them by sender."""
 
     def __init__(self, clock: Clock, draw: Random) -> None:
-        self.clock, self.draw, self.links = clock, draw, Links()
+        self.clock, self.draw, self.links = clock, draw, NetworkConditions()
         self.link_faults = LinkFaults(draw.getrandbits(32))  # the path faults of a scenario
         self.hosts: dict[str, Callable[[bytes], None]] = {}
         self.datagrams: dict[str, int] = {}
@@ -68,6 +68,7 @@
         return not (blocked or muted or (self.links.cut is not None and self.links.cut(source, target)))
 
     def delay(self, source: str, target: str) -> float:
+        """Draw the one-way delay of a path in ms."""
         return self.draw.uniform(*self.links.late_ms) + self.links.slow.get((source, target), 0.0)
 
     def send(self, source: str, target: str, data: bytes) -> None:
--- a/leadslip/lab/play.py
+++ b/leadslip/lab/play.py
@@ -46,6 +46,7 @@
         self.older_hosts: dict[str, Host] = {}
 
     def record_fault(self, do: str, who: tuple[str, ...] = (), **more: object) -> None:
+        """Add to the fault record, as leadslip/drill/run.py does."""
         now_ms = self.fleet.clock.now_ms
         self.faults.append({"unix_ms": now_ms, "mono_ms": now_ms, "do": do, "who": list(who)} | more)
 
@@ -115,6 +116,7 @@
         }
 
     def execute(self, act: Act) -> None:
+        """Carry out one action of the schedule."""
         fleet = self.fleet
         if act.ways:
             for a, b in act.ways:
--- a/leadslip/lab/replicated.py
+++ b/leadslip/lab/replicated.py
@@ -22,17 +22,15 @@
         self.fleet, self.copies, self.kind = Fleet(seed, zones=3), copies, kind
         self.draw = Random(seed + 7)
         self.names = [f"p{i:02d}" for i in range(members)]
-        self.standing: dict[str, dict[str, str]] = {
-            name: {} for name in self.names
-        }  # member -> call -> server
+        # Member -> call -> server: the established calls.
+        self.standing: dict[str, dict[str, str]] = {name: {} for name in self.names}
         # Call -> the process that recorded its start (or its end) and the sequence number there.
         self.call_starts: dict[str, tuple[int, int]] = {}
         self.call_ends: dict[str, tuple[int, int]] = {}
         self.killed_processes: dict[str, int] = {}  # killed member -> its process number
-        self.applied_by_holder: dict[
-            str, dict[int, int]
-        ] = {}  # killed member -> holding process -> last change applied
-        self.told: list[tuple[str, dict]] = []
+        # Killed member -> process that held its replica -> last change applied there.
+        self.applied_by_holder: dict[str, dict[int, int]] = {}
+        self.told: list[tuple[str, dict]] = []  # log events of the members: event, fields
         self.calls, self.rate = 0, 0.3  # calls begun so far; chance of a new call in each step
         for name in self.names:
             self.start(name)
@@ -65,7 +63,7 @@
                 if self.call_starts[call][0] == process and self.call_starts[call][1] > latest
             }
             self.standing[name] = {
-                call: entry for call, entry in calls.items() if call not in lost and latest >= 0
+                call: server for call, server in calls.items() if call not in lost and latest >= 0
             }
             # An end that no surviving holder knew is lost: its call counts as established until it is released again.
             self.call_ends = {
@@ -98,6 +96,7 @@
         self.fleet.clock.at(self.fleet.clock.now_ms + CALL_STEP_MS, self.step_calls)
 
     def begin(self, name: str) -> str:
+        """Begin a call at a member; returns its id."""
         self.calls += 1
         call, server = f"{self.calls:016x}", f"s{self.draw.randrange(4)}"
         self.standing[name][call] = server
@@ -105,11 +104,13 @@
         return call
 
     def put(self, name: str, call: str, state: bytes | None) -> tuple[int, int]:
+        """Record a call's state, or its end, at a member; returns the process and the sequence number of the change."""
         host = self.fleet.hosts[name]
         host.replicas.put(STANDS, call, state)
         return process_of(host.view.run), host.replicas.own.applied
 
     def end_call(self, name: str, call: str) -> None:
+        """End a call at a member."""
         del self.standing[name][call]
         self.call_ends[call] = self.put(name, call, None)
 
@@ -135,10 +136,10 @@
                 holder for holder, number, digest in self.replicas_of(name) if (number, digest) == current
             ]
             zones = {self.fleet.zone_of(holder) for holder in equal_holders}
-            others = {self.fleet.zone_of(other) for other in self.fleet.hosts if other != name}
+            other_zones = {self.fleet.zone_of(other) for other in self.fleet.hosts if other != name}
             if len(equal_holders) < min(self.copies, len(self.fleet.hosts) - 1):
                 return False
-            if others - {self.fleet.zone_of(name)} and not zones - {self.fleet.zone_of(name)}:
+            if other_zones - {self.fleet.zone_of(name)} and not zones - {self.fleet.zone_of(name)}:
                 return False
         return True
 
--- a/leadslip/lab/voters.py
+++ b/leadslip/lab/voters.py
@@ -23,45 +23,55 @@
     """The persistent state of a voter; saves are atomic and in order, or lost."""
 
     def __init__(self, voters: list[str]) -> None:
-        self.kept = Kept(0, "", Snapshot(0, 0, voters, b""), [])
+        self.stored = Kept(0, "", Snapshot(0, 0, voters, b""), [])
 
     def write(self, save: Save) -> None:
-        previous = self.kept
+        previous = self.stored
         snapshot, entries = previous.snapshot, previous.entries
         if save.snapshot is not None:
             entries = [] if save.whole else [entry for entry in entries if entry.index > save.snapshot.index]
             snapshot = save.snapshot
         if save.entries:
             entries = [entry for entry in entries if entry.index <= save.after] + list(save.entries)
-        self.kept = Kept(save.term, save.vote, snapshot, entries)
+        self.stored = Kept(save.term, save.vote, snapshot, entries)
 
 
 class Voter:
     """One voter process, from its start to its crash."""
 
-    def __init__(self, lab: Voters, id_: str, disk: Disk) -> None:
-        self.lab, self.id, self.disk = lab, id_, disk
+    def __init__(self, simulation: Voters, id_: str, disk: Disk) -> None:
+        self.simulation, self.id, self.disk = simulation, id_, disk
         self.up, self.stopped = True, False
         self.queued: list = []  # callbacks queued while it is paused
-        stored = disk.kept
+        stored = disk.stored
         loaded = Kept(stored.term, stored.vote, stored.snapshot, list(stored.entries))
         self.state = self.decode_state(stored.snapshot.data)
-        self.raft = lab.kind(id_, loaded, Random(lab.draw.getrandbits(64)), lab.tally, self.commit, lab.pace)
-        self.raft.start(lab.now_ms)
+        self.raft = simulation.kind(
+            id_,
+            loaded,
+            Random(simulation.draw.getrandbits(64)),
+            simulation.tally,
+            self.commit,
+            simulation.pace,
+        )
+        self.raft.start(simulation.now_ms)
 
     @staticmethod
     def decode_state(data: bytes) -> list[bytes]:
+        """The state of the machine that a snapshot holds."""
         return msgspec.msgpack.decode(data, type=list[bytes]) if data else []
 
     def commit(self, entry: Entry) -> None:
+        """Apply a committed entry, and report it unless it is a snapshot."""
         if entry.kind == Kind.SNAPSHOT:
             self.state = self.decode_state(entry.data)
         elif entry.kind == Kind.CHANGE:
             self.state.append(entry.data)
         if entry.kind != Kind.SNAPSHOT:
-            self.lab.committed(self.id, entry)
+            self.simulation.committed(self.id, entry)
 
     def compact(self) -> None:
+        """Compact the log into a snapshot of the state."""
         self.raft.compact(msgspec.msgpack.encode(self.state))
 
     def act(self, callback: Callable[[], object]) -> None:
@@ -72,26 +82,28 @@
             self.queued.append(callback)
             return
         callback()
-        lab = self.lab
+        simulation = self.simulation
         saves, self.raft.saves = self.raft.saves, []
         for save in saves:
-            lab.disk_busy_until_ms[self.id] = max(
-                lab.disk_busy_until_ms.get(self.id, 0.0), lab.now_ms
-            ) + lab.draw.uniform(*DISK_DELAY_RANGE_MS)
-            lab.at(lab.disk_busy_until_ms[self.id], self.complete_save, save)
+            simulation.disk_busy_until_ms[self.id] = max(
+                simulation.disk_busy_until_ms.get(self.id, 0.0), simulation.now_ms
+            ) + simulation.draw.uniform(*DISK_DELAY_RANGE_MS)
+            simulation.at(simulation.disk_busy_until_ms[self.id], self.complete_save, save)
         outgoing, self.raft.out = self.raft.out, []
         for message in outgoing:
-            lab.send(message)
-        lab.at(self.raft.wake_ms, self.on_timer)
+            simulation.send(message)
+        simulation.at(self.raft.wake_ms, self.on_timer)
 
     def complete_save(self, save: Save) -> None:
+        """Write a save to the disk and confirm it to Raft, unless the process was killed."""
         if self.up:
             self.disk.write(save)
-            self.act(lambda: self.raft.saved(self.lab.now_ms, save.number))
+            self.act(lambda: self.raft.saved(self.simulation.now_ms, save.number))
 
     def on_timer(self) -> None:
-        if self.up and not self.stopped and self.lab.now_ms >= self.raft.wake_ms:
-            self.act(lambda: self.raft.due(self.lab.now_ms))
+        """Run Raft's timer if it is due."""
+        if self.up and not self.stopped and self.simulation.now_ms >= self.raft.wake_ms:
+            self.act(lambda: self.raft.due(self.simulation.now_ms))
 
 
 class Voters:
@@ -114,11 +126,13 @@
             self.start(id_)
 
     def at(self, due_ms: float, callback: Callable, *args: object) -> None:
+        """Schedule a callback; an infinite time means never."""
         if due_ms < float("inf"):
             self.sequence += 1
             heapq.heappush(self.heap, (due_ms, self.sequence, callback, args))
 
     def run(self, for_ms: float) -> None:
+        """Advance the clock, running the callbacks due in order of time."""
         until_ms = self.now_ms + for_ms
         while self.heap and self.heap[0][0] <= until_ms:
             self.now_ms, _, callback, args = heapq.heappop(self.heap)
@@ -126,6 +140,7 @@
         self.now_ms = until_ms
 
     def start(self, id_: str) -> None:
+        """Start a voter with its disk."""
         voter = self.voters[id_] = Voter(self, id_, self.disks[id_])
         voter.act(lambda: None)
 
@@ -135,9 +150,11 @@
         self.disk_busy_until_ms.pop(id_, None)
 
     def stop(self, id_: str) -> None:
+        """Pause a voter."""
         self.voters[id_].stopped = True
 
     def go_on(self, id_: str) -> None:
+        """Resume a paused voter: its timer runs first, then what was queued."""
         voter = self.voters[id_]
         voter.stopped = False
         queued, voter.queued = voter.queued, []
@@ -146,10 +163,12 @@
             voter.act(callback)
 
     def part(self, *parts: Iterable[str]) -> None:
+        """Block all paths between these groups of voters."""
         part_of = {id_: i for i, part in enumerate(parts) for id_ in part}
         self.cut = {(a, b) for a in part_of for b in part_of if part_of[a] != part_of[b]}
 
     def send(self, message: object) -> None:
+        """Send a message that may be lost, delayed for long or duplicated."""
         if (message.source, message.target) in self.cut or self.draw.random() < self.lost:
             return
         due_ms = self.now_ms + self.draw.uniform(*MESSAGE_DELAY_RANGE_MS)
@@ -160,6 +179,7 @@
         self.at(due_ms, self.deliver, message)
 
     def deliver(self, message: object) -> None:
+        """Hand a message to its target, if it runs."""
         voter = self.voters.get(message.target)
         if voter is not None:
             voter.act(lambda: voter.raft.received(self.now_ms, message))
