--- a/leadslip/cli/__main__.py
+++ b/leadslip/cli/__main__.py
@@ -1,4 +1,4 @@
-"""python -m leadslip.cli: the same as the installed command."""
+"""Entry point of `python -m leadslip.cli`, equivalent to the installed `leadslip` command."""
 
 from leadslip.cli import main
 
--- a/leadslip/cli/configure.py
+++ b/leadslip/cli/configure.py
@@ -1,4 +1,4 @@
-"""leadslip configure: the configuration of each application, written and checked."""
+"""`leadslip configure`: writes and checks the configuration files of applications."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 import click
 
-from leadslip import configure as tool
+from leadslip import configure as configuration_tool
 
 
 @click.group()
 def configure() -> None:
-    """Write and check the configuration of each application."""
+    """Write and check the configuration files of applications."""
 
 
 @configure.command()
 @click.argument("source", type=click.Path())
 @click.argument("folder", type=click.Path())
 def write(source: str, folder: str) -> None:
-    """Write the files of all applications that SOURCE lists, each into a folder of its own under FOLDER."""
-    sys.exit(tool.main(["write", source, folder]))
+    """Write the files of every application listed in SOURCE, one subfolder of FOLDER for each application."""
+    sys.exit(configuration_tool.main(["write", source, folder]))
 
 
 @configure.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def check(files: tuple[str, ...]) -> None:
-    """Check files: config.json, enum.toml, otlp.toml, logs.toml, store.toml, trunks.toml, applications."""
-    sys.exit(tool.main(["check", *files]))
+    """Check files: config.json, enum.toml, otlp.toml, logs.toml, store.toml, trunks.toml, application lists."""
+    sys.exit(configuration_tool.main(["check", *files]))
--- a/leadslip/cli/demo.py
+++ b/leadslip/cli/demo.py
@@ -1,4 +1,4 @@
-"""leadslip demo: a proxy, a stand-in server and callers in one terminal, and nothing left behind."""
+"""`leadslip demo`: runs a proxy, a toy setup server and a caller on loopback and cleans up afterwards."""
 
 from __future__ import annotations
 
@@ -12,230 +12,245 @@
 
 import click
 
-from leadslip.cli.told import as_json
+from leadslip.cli.told import json_option
 
-GAP_S = 0.25  # between two calls
-HOLD_S = 1.5  # of a call that stands
-LINES = 3  # of the stand-in server: the fourth call at once is refused
-START_S, END_S = 20.0, 12.0  # the proxy has so long to start, and the calls to end
+CALL_INTERVAL_S = 0.25
+HOLD_S = 1.5  # holding time of an established call
+LINES = 3  # of the toy server: the fourth simultaneous call is refused
+START_TIMEOUT_S, END_TIMEOUT_S = 20.0, 12.0  # for the proxy to start, and for the last calls to end
 
 
 @click.command()
-@click.option("--calls", type=click.IntRange(1, 1000), default=12, help="So many calls are placed.")
-@click.option("--lines", type=click.IntRange(1, 1000), default=LINES, help="Lines of the stand-in server.")
-@click.option("--hold-s", type=click.FloatRange(0.0, 60.0), default=HOLD_S, help="How long a call stands.")
-@as_json
+@click.option("--calls", type=click.IntRange(1, 1000), default=12, help="Number of calls to place.")
+@click.option("--lines", type=click.IntRange(1, 1000), default=LINES, help="Lines of the toy setup server.")
+@click.option("--hold-s", type=click.FloatRange(0.0, 60.0), default=HOLD_S, help="Holding time of a call.")
+@json_option
 def demo(calls: int, lines: int, hold_s: float, json_: bool) -> None:
-    """Place calls through a proxy and show them as they stand, are refused and end.
+    """Place calls through a proxy and show how they are established, refused and ended.
 
-    Starts the proxy as a process of its own with a stand-in server on loopback; needs no file, and stops all that
-    it has started.
+    Starts the proxy as a separate process and a toy setup server on loopback; needs no files, and stops everything
+    that it has started.
     """
     from twisted.internet import reactor
 
-    show = Show(quiet=json_)
+    print_status = StatusPrinter(quiet=json_)
     with tempfile.TemporaryDirectory(prefix="leadslip-demo-") as folder:
-        played = Play(reactor, Path(folder), show, calls, lines, hold_s)
-        reactor.callWhenRunning(played.start)
+        demo_run = DemoRun(reactor, Path(folder), print_status, calls, lines, hold_s)
+        reactor.callWhenRunning(demo_run.start)
         reactor.run()
     if json_:
-        click.echo(json.dumps({"placed": played.placed, **played.counts, "exit": played.code}))
+        click.echo(json.dumps({"placed": demo_run.placed, **demo_run.counts, "exit": demo_run.exit_code}))
     else:
-        show("demo", f"{played.placed} calls: " + ", ".join(f"{n} {k}" for k, n in played.counts.items()))
-    settled = played.counts["ended"] == played.counts["stand"]
-    sys.exit(0 if played.code == 0 and not played.fault and settled else 1)
+        print_status(
+            "demo",
+            f"{demo_run.placed} calls: "
+            + ", ".join(f"{count} {key}" for key, count in demo_run.counts.items()),
+        )
+    all_ended = demo_run.counts["ended"] == demo_run.counts["stand"]
+    sys.exit(0 if demo_run.exit_code == 0 and not demo_run.error and all_ended else 1)
 
 
-class Show:
-    """Prints who says what, with the seconds since the start."""
+class StatusPrinter:
+    """Prints status lines with their source and the seconds since the start."""
 
     def __init__(self, quiet: bool) -> None:
-        self.quiet, self.began = quiet, time.monotonic()
+        self.quiet, self.started_s = quiet, time.monotonic()
 
-    def __call__(self, who: str, what: str) -> None:
+    def __call__(self, source: str, text: str) -> None:
         if not self.quiet:
-            click.echo(f"{time.monotonic() - self.began:6.2f}  {who:7}  {what}")
+            click.echo(f"{time.monotonic() - self.started_s:6.2f}  {source:7}  {text}")
 
 
-class Play:
-    """One demo: starts the stand-ins, the proxy and the caller, and ends them in turn."""
+class DemoRun:
+    """One demo: starts the toy server, the proxy and the caller, and stops them in turn."""
 
     def __init__(
-        self, reactor: object, folder: Path, show: Show, calls: int, lines: int, hold_s: float
+        self,
+        reactor: object,
+        folder: Path,
+        print_status: StatusPrinter,
+        calls: int,
+        lines: int,
+        hold_s: float,
     ) -> None:
-        self.reactor, self.folder, self.show = reactor, folder, show
+        self.reactor, self.folder, self.print_status = reactor, folder, print_status
         self.calls, self.lines, self.hold_s = calls, lines, hold_s
         self.counts: Counter[str] = Counter(stand=0, refused=0, failed=0, ended=0)
         self.placed = 0
-        self.code: int | None = None
-        self.fault = ""
+        self.exit_code: int | None = None
+        self.error = ""
         self.caller: object = None
         self.proxy: object = None
 
     def start(self) -> None:
-        """Listen, and start the proxy before it."""
+        """Start the toy server and notice board, then the proxy that connects to them."""
         from twisted.internet import error, protocol
 
         from leadslip import site
         from leadslip.cli import toy
 
         server, board = toy.start(
-            self.reactor, 0, 0, self.lines, self.hold_s, lambda text: self.show("server", text)
+            self.reactor, 0, 0, self.lines, self.hold_s, lambda text: self.print_status("server", text)
         )
         (self.folder / "config.json").write_text(json.dumps(site.configuration(server, board, 0)))
-        kept = {key: value for key, value in os.environ.items() if not key.startswith(("NODE_", "LEADSLIP_"))}
-        kept["NODE_CONFIG"] = str(self.folder / "config.json")
-        kept["PYTHONPATH"] = os.pathsep.join(path for path in sys.path if path)
-        play = self
+        env = {key: value for key, value in os.environ.items() if not key.startswith(("NODE_", "LEADSLIP_"))}
+        env["NODE_CONFIG"] = str(self.folder / "config.json")
+        env["PYTHONPATH"] = os.pathsep.join(path for path in sys.path if path)
+        demo_run = self
 
         class Proxy(protocol.ProcessProtocol):
-            """The proxy's process: its log, and its end."""
+            """The proxy process: reads its log and reports its exit."""
 
             text = b""
 
             def outReceived(self, data: bytes) -> None:  # noqa: N802
                 *lines, self.text = (self.text + data).split(b"\n")
                 for line in lines:
-                    play.logged(line.decode("utf-8", "replace").split(" ", 1)[-1])
+                    demo_run.on_log_line(line.decode("utf-8", "replace").split(" ", 1)[-1])
 
             def errReceived(self, data: bytes) -> None:  # noqa: N802
-                play.show("proxy", data.decode("utf-8", "replace").strip())
+                demo_run.print_status("proxy", data.decode("utf-8", "replace").strip())
 
             def processEnded(self, reason: object) -> None:  # noqa: N802
-                done = reason.check(error.ProcessDone) is not None
-                play.ended(0 if done else reason.value.exitCode or 1)
+                succeeded = reason.check(error.ProcessDone) is not None
+                demo_run.on_proxy_exit(0 if succeeded else reason.value.exitCode or 1)
 
-        # In the folder that holds no deploy/, so that no setting of the place it is started in counts.
+        # The folder has no deploy/, so settings in the current directory do not apply.
         command = [sys.executable, "-O", "-u", "-m", "leadslip"]
         self.proxy = self.reactor.spawnProcess(
-            Proxy(), sys.executable, command, env=kept, path=str(self.folder)
+            Proxy(), sys.executable, command, env=env, path=str(self.folder)
         )
-        self.timeout = self.reactor.callLater(START_S, self.stop, "the proxy did not start")
+        self.timeout = self.reactor.callLater(START_TIMEOUT_S, self.stop, "the proxy did not start")
 
-    def logged(self, line: str) -> None:
-        """What the proxy logs; the first that counts is where it serves."""
+    def on_log_line(self, line: str) -> None:
+        """Show a log line of the proxy; connect the caller once the line reports the listening address."""
         if line.startswith("serves "):
-            self.show("proxy", line)
+            self.print_status("proxy", line)
             self.timeout.cancel()
             self.timeout = None
             port = int(line.rpartition(":")[2])
             self.reactor.connectTCP("127.0.0.1", port, CallerFactory(self))
         elif not line.startswith("counts"):
-            self.show("proxy", line)
+            self.print_status("proxy", line)
 
-    def place(self) -> None:
-        """Place the next call, until all are placed."""
+    def place_next_call(self) -> None:
+        """Place one call and schedule the next, until all are placed."""
         if self.caller is None:
             return
         self.placed += 1
         self.caller.invite(self.placed, "officer-call" if self.placed % 4 == 0 else "resident-call")
         if self.placed < self.calls:
-            self.reactor.callLater(GAP_S, self.place)
+            self.reactor.callLater(CALL_INTERVAL_S, self.place_next_call)
         else:
             self.timeout = self.reactor.callLater(
-                END_S + self.hold_s, self.stop, "calls were left without their end"
+                END_TIMEOUT_S + self.hold_s, self.stop, "some calls did not end in time"
             )
 
-    def count(self, what: str) -> None:
-        """One call stands, is refused or has ended; the demo is over when all have."""
-        self.counts[what] += 1
-        over = self.counts["refused"] + self.counts["failed"] + self.counts["ended"]
-        if over >= self.calls and self.timeout is not None:
+    def count(self, event: str) -> None:
+        """Count an established, refused, failed or ended call; stop the demo when every call is finished."""
+        self.counts[event] += 1
+        finished = self.counts["refused"] + self.counts["failed"] + self.counts["ended"]
+        if finished >= self.calls and self.timeout is not None:
             self.stop("")
 
-    def stop(self, fault: str) -> None:
-        """SIGTERM for the proxy, which drains."""
-        self.fault = fault
-        if fault:
-            self.show("demo", fault)
+    def stop(self, error: str) -> None:
+        """Send SIGTERM to the proxy, which drains; `error` is empty after a normal run."""
+        self.error = error
+        if error:
+            self.print_status("demo", error)
         if self.timeout is not None and self.timeout.active():
             self.timeout.cancel()
         self.timeout = None
         if self.proxy.pid:
-            self.show("demo", "SIGTERM to the proxy")
+            self.print_status("demo", "SIGTERM to the proxy")
             self.proxy.signalProcess("TERM")
         else:
             self.reactor.stop()
 
-    def ended(self, code: int) -> None:
-        """The proxy has ended."""
-        self.code = code
-        self.show("proxy", f"ended with exit code {code}")
+    def on_proxy_exit(self, exit_code: int) -> None:
+        """Record the exit code of the proxy and stop the reactor."""
+        self.exit_code = exit_code
+        self.print_status("proxy", f"ended with exit code {exit_code}")
         if self.timeout is not None and self.timeout.active():
             self.timeout.cancel()
         self.reactor.stop()
 
 
 def caller_class() -> type:
-    """The caller's end of SIP; made late, as Twisted is imported only by a demo that runs."""
+    """Return the caller's SIP protocol class; a function, so that other commands do not import Twisted."""
     from twisted.protocols.basic import LineReceiver
 
-    class CallerLink(LineReceiver):
-        """Places calls, and hears what becomes of them."""
+    class CallerProtocol(LineReceiver):
+        """Places calls and reports their responses."""
 
         def connectionMade(self) -> None:  # noqa: N802
-            self.head: list[str] = []
+            self.head_lines: list[str] = []
             self.numbers: dict[str, int] = {}
-            self.play.caller = self
-            self.play.place()
+            self.demo_run.caller = self
+            self.demo_run.place_next_call()
 
-        def invite(self, number: int, kind: str) -> None:
+        def invite(self, number: int, call_class: str) -> None:
             from leadslip.cli.toy import OFFER
 
-            id_ = f"{number:016x}"
-            self.numbers[id_] = number
-            self.play.show("caller", f"call {number}: {kind} to 8210{number:08d}")
+            call_id = f"{number:016x}"
+            self.numbers[call_id] = number
+            self.demo_run.print_status("caller", f"call {number}: {call_class} to 8210{number:08d}")
             head = (
-                f"INVITE sip:8210{number:08d}@net SIP/2.0\r\nVia: SIP/2.0/TCP caller\r\nCall-ID: {id_}\r\n"
-                f"CSeq: 1 INVITE\r\nPriority-Class: {kind}\r\nExpires-Ms: 3000\r\n"
+                f"INVITE sip:8210{number:08d}@net SIP/2.0\r\nVia: SIP/2.0/TCP caller\r\nCall-ID: {call_id}\r\n"
+                f"CSeq: 1 INVITE\r\nPriority-Class: {call_class}\r\nExpires-Ms: 3000\r\n"
                 f"P-Trunk-Info: dest:0;width:1;via:-1\r\nContent-Length: {len(OFFER)}\r\n\r\n"
             )
             self.transport.write(head.encode() + OFFER)
 
         def lineReceived(self, line: bytes) -> None:  # noqa: N802
             if line:
-                self.head.append(line.decode("utf-8", "replace"))
+                self.head_lines.append(line.decode("utf-8", "replace"))
                 return
-            head, self.head = self.head, []
-            fields = dict(part.split(": ", 1) for part in head[1:] if ": " in part)
-            self.left = int(fields.get("Content-Length", 0))
-            self.heard(head[0], fields)
-            if self.left:
+            head_lines, self.head_lines = self.head_lines, []
+            headers = dict(header.split(": ", 1) for header in head_lines[1:] if ": " in header)
+            self.body_bytes_left = int(headers.get("Content-Length", 0))
+            self.on_message(head_lines[0], headers)
+            if self.body_bytes_left:
                 self.setRawMode()
 
         def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-            rest, self.left = data[self.left :], max(0, self.left - len(data))
-            if not self.left:
+            rest, self.body_bytes_left = (
+                data[self.body_bytes_left :],
+                max(0, self.body_bytes_left - len(data)),
+            )
+            if not self.body_bytes_left:
                 self.setLineMode(rest)
 
-        def heard(self, start: str, fields: dict[str, str]) -> None:
-            number = self.numbers.get(fields.get("Call-ID", ""))
+        def on_message(self, start_line: str, headers: dict[str, str]) -> None:
+            number = self.numbers.get(headers.get("Call-ID", ""))
             if number is None:
                 return
-            if start.startswith("BYE "):
-                self.play.show("caller", f"call {number}: has ended ({fields.get('Reason', '')})")
-                self.play.count("ended")
-            elif " 200 " in start:
-                self.play.show("caller", f"call {number}: stands")
-                self.play.count("stand")
-            elif " 503 " in start or " 480 " in start:
-                pause = fields.get("P-Back-Off")
-                self.play.show(
-                    "caller", f"call {number}: refused" + (f", back in {pause} ms" if pause else "")
+            if start_line.startswith("BYE "):
+                self.demo_run.print_status("caller", f"call {number}: ended ({headers.get('Reason', '')})")
+                self.demo_run.count("ended")
+            elif " 200 " in start_line:
+                self.demo_run.print_status("caller", f"call {number}: established")
+                self.demo_run.count("stand")
+            elif " 503 " in start_line or " 480 " in start_line:
+                retry_after_ms = headers.get("P-Back-Off")
+                self.demo_run.print_status(
+                    "caller",
+                    f"call {number}: refused"
+                    + (f", retry after {retry_after_ms} ms" if retry_after_ms else ""),
                 )
-                self.play.count("refused")
+                self.demo_run.count("refused")
             else:
-                self.play.show("caller", f"call {number}: {start}")
-                self.play.count("failed")
+                self.demo_run.print_status("caller", f"call {number}: {start_line}")
+                self.demo_run.count("failed")
 
-    return CallerLink
+    return CallerProtocol
 
 
-def CallerFactory(play: Play) -> object:  # noqa: N802
-    """Makes the one connection of the demo's caller."""
+def CallerFactory(demo_run: DemoRun) -> object:  # noqa: N802
+    """Return the client factory of the demo's only caller connection."""
     from twisted.internet import protocol
 
     factory = protocol.ClientFactory.forProtocol(caller_class())
     factory.noisy = False
-    factory.protocol.play = play
+    factory.protocol.demo_run = demo_run
     return factory
--- a/leadslip/cli/errors.py
+++ b/leadslip/cli/errors.py
@@ -1,4 +1,4 @@
-"""The page of all errors, made from their types: python -m leadslip.cli.errors > docs/operators/errors.md"""
+"""Generates the reference page of operator errors: python -m leadslip.cli.errors > docs/operators/errors.md"""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 | code | what it means | what to do | status |
 | --- | --- | --- | --- |
 """
-NOT_LOADED = ("__main__", "leadslip.cli.errors")
+SKIPPED_MODULES = ("__main__", "leadslip.cli.errors")
 
 
 def load() -> None:
-    """Import every module, so that every type is there."""
-    for one in pkgutil.walk_packages(leadslip.__path__, "leadslip."):
-        if not one.name.endswith(NOT_LOADED):
-            importlib.import_module(one.name)
+    """Import every module, so that every subclass of OperatorError is registered."""
+    for module in pkgutil.walk_packages(leadslip.__path__, "leadslip."):
+        if not module.name.endswith(SKIPPED_MODULES):
+            importlib.import_module(module.name)
     importlib.import_module("leadslip.__main__")
 
 
 def page() -> str:
-    """The page whole, in order of codes."""
+    """Return the page as Markdown, sorted by error code."""
     load()
-    rows = sorted({(one.code, one.title(), one.action, one.status) for one in all_errors()})
+    rows = sorted({(error.code, error.title(), error.action, error.status) for error in all_errors()})
     return HEAD + "".join(
         f"| `{code}` | {title} | {action} | {status} |\n" for code, title, action, status in rows
     )
--- a/leadslip/cli/fleet.py
+++ b/leadslip/cli/fleet.py
@@ -1,4 +1,4 @@
-"""leadslip fleet: what a proxy holds of its fleet."""
+"""`leadslip fleet`: shows the fleet membership that proxies report at their operators' address."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 import click
 
-from leadslip.cli.told import as_json, table, tell
+from leadslip.cli.told import format_table, json_option, print_result
 from leadslip.errors import OperatorError
 
 if TYPE_CHECKING:
@@ -26,60 +26,70 @@
     action = "See that the address is the operators' address of a proxy that runs, and that its fleet is on."
 
 
-def asked(ops: str, path: str) -> dict:
-    """The answer of a proxy's operators' address; raises AskError where there is none."""
+def fetch(ops: str, path: str) -> dict:
+    """GET a JSON document from a proxy's operators' address; raises AskError on any failure."""
     host, _, port = ops.rpartition(":")
     try:
-        link = http.client.HTTPConnection(host, int(port), timeout=5.0)
-        link.request("GET", path)
-        answer = link.getresponse()
-        body = answer.read()
-    except (OSError, ValueError, http.client.HTTPException) as fault:
-        raise AskError(f"{ops} can't be asked: {fault}") from fault
-    if answer.status == 404:
-        raise AskError(f"{ops}: the fleet is off there")
-    if answer.status != 200:
-        raise AskError(f"{ops} answers {answer.status}")
+        connection = http.client.HTTPConnection(host, int(port), timeout=5.0)
+        connection.request("GET", path)
+        response = connection.getresponse()
+        body = response.read()
+    except (OSError, ValueError, http.client.HTTPException) as error:
+        raise AskError(f"cannot query {ops}: {error}") from error
+    if response.status == 404:
+        raise AskError(f"{ops}: the fleet part is not enabled on this proxy")
+    if response.status != 200:
+        raise AskError(f"{ops} answered with HTTP status {response.status}, expected 200")
     return json.loads(body)
 
 
-ops = click.option("--ops", required=True, metavar="ADDRESS", help="The operators' address of a proxy.")
+ops_option = click.option("--ops", required=True, metavar="ADDRESS", help="Operators' address of a proxy.")
 
 
 @click.group()
 def fleet() -> None:
-    """The fleet as a proxy sees it."""
+    """Show the fleet membership as seen by proxies."""
 
 
-COLOURS = {"alive": "green", "suspect": "yellow", "dead": "red", "left": "dim"}
+STATE_COLOURS = {"alive": "green", "suspect": "yellow", "dead": "red", "left": "dim"}
 
 
-def members_of(told: dict, title: str = "") -> Table:
-    """Who is there, as a table."""
+def member_table(view: dict, title: str = "") -> Table:
+    """Build a table of the members in a view."""
     from rich.markup import escape
     from rich.table import Table
 
-    shown = Table(title=title or None)
+    rows = Table(title=title or None)
     for name in ("name", "run", "address", "zone", "state", "way", "takes calls", "version"):
-        shown.add_column(name)
-    shown.add_column("for s", justify="right")
-    for one in told["members"]:
-        facts = one["facts"]
-        state = f"[{COLOURS[one['state']]}]{one['state']}[/]"
-        way = "straight" if one["way"] == "straight" else "through others"
-        cells = escape(one["name"]), one["run"], one["address"], escape(one["zone"]), state, way
-        service = facts.get("service", "?")
-        taking = {"in": "yes", "out": "no, out of service", "ending": "no, ending"}.get(
+        rows.add_column(name)
+    rows.add_column("for s", justify="right")
+    for member in view["members"]:
+        metadata = member["facts"]
+        state = f"[{STATE_COLOURS[member['state']]}]{member['state']}[/]"
+        network_path = "straight" if member["way"] == "straight" else "relayed"
+        cells = (
+            escape(member["name"]),
+            member["run"],
+            member["address"],
+            escape(member["zone"]),
+            state,
+            network_path,
+        )
+        service = metadata.get("service", "?")
+        takes_calls = {"in": "yes", "out": "no, out of service", "ending": "no, ending"}.get(
             service, escape(str(service))
         )
-        shown.add_row(
-            *cells, taking, escape(str(facts.get("version", "?"))), f"{one['since_ms'] / 1000.0:.1f}"
+        rows.add_row(
+            *cells,
+            takes_calls,
+            escape(str(metadata.get("version", "?"))),
+            f"{member['since_ms'] / 1000.0:.1f}",
         )
-    return shown
+    return rows
 
 
-def shown(table: Table) -> None:
-    """Print a table; as wide as it is where no terminal tells a width."""
+def print_table(table: Table) -> None:
+    """Print a table; 200 columns wide when the output is not a terminal."""
     from rich.console import Console
 
     console = Console()
@@ -89,44 +99,44 @@
 
 
 @fleet.command()
-@ops
-@as_json
+@ops_option
+@json_option
 def members(ops: str, json_: bool) -> None:
-    """Who is there."""
-    told = asked(ops, "/control/fleet")
-    live = sum(one["state"] in ("alive", "suspect") for one in told["members"])
+    """List the members of the fleet."""
+    view = fetch(ops, "/control/fleet")
+    live_count = sum(member["state"] in ("alive", "suspect") for member in view["members"])
     if json_:
-        tell(told, json_)
+        print_result(view, json_)
         return
-    shown(members_of(told))
-    click.echo(f"{live} live; digest {told['digest']}")
+    print_table(member_table(view))
+    click.echo(f"{live_count} live; digest {view['digest']}")
 
 
 @fleet.command()
-@ops
+@ops_option
 @click.option(
-    "--every", "every_s", type=float, default=1.0, show_default=True, help="Seconds between two looks."
+    "--every", "every_s", type=float, default=1.0, show_default=True, help="Polling interval in seconds."
 )
-@click.option("--looks", type=int, default=0, help="So many looks; 0: until interrupted.")
+@click.option("--looks", type=int, default=0, help="Number of polls; 0: until interrupted.")
 def watch(ops: str, every_s: float, looks: int) -> None:
-    """Show the view as it changes: on a terminal in place, with the changes above it; else the changes alone."""
+    """Poll the view and show its changes, on a terminal above a table that is updated in place."""
     from rich.console import Console
     from rich.live import Live
 
     console = Console()
-    told = asked(ops, "/control/fleet")
+    view = fetch(ops, "/control/fleet")
     if not console.is_terminal:
-        shown(members_of(told))
-    before = states_of(told)
-    live = Live(members_of(told, ops), console=console, auto_refresh=False)
+        print_table(member_table(view))
+    before = member_states(view)
+    live = Live(member_table(view, ops), console=console, auto_refresh=False)
     with live if console.is_terminal else contextlib.nullcontext():
-        for look in itertools.count(1):
-            live.update(members_of(told, ops), refresh=console.is_terminal)
-            if look == looks:
+        for poll in itertools.count(1):
+            live.update(member_table(view, ops), refresh=console.is_terminal)
+            if poll == looks:
                 break
             time.sleep(every_s)
-            told = asked(ops, "/control/fleet")
-            now = states_of(told)
+            view = fetch(ops, "/control/fleet")
+            now = member_states(view)
             for key in sorted(before.keys() | now.keys()):
                 if before.get(key) != now.get(key):
                     change = f"{key}: {before.get(key, '-')} -> {now.get(key, 'forgotten')}"
@@ -134,31 +144,37 @@
             before = now
 
 
-def states_of(told: dict) -> dict[str, str]:
-    return {f"{one['name']} {one['run']}": one["state"] for one in told["members"]}
+def member_states(view: dict) -> dict[str, str]:
+    """Map each member's name and run to its state."""
+    return {f"{member['name']} {member['run']}": member["state"] for member in view["members"]}
 
 
 @fleet.command()
 @click.option(
-    "--ops", "several", required=True, multiple=True, metavar="ADDRESS", help="Several: views are compared."
+    "--ops",
+    "several",
+    required=True,
+    multiple=True,
+    metavar="ADDRESS",
+    help="Repeatable; views are compared.",
 )
-@as_json
+@json_option
 def health(several: tuple[str, ...], json_: bool) -> None:
-    """How well proxies know the fleet; exit code 1 where they hold different views, or one is not held alive."""
-    views = {one: asked(one, "/control/fleet") for one in several}
-    digests = {told["digest"] for told in views.values()}
+    """Compare the views of proxies; exits with 1 if they differ, or if no peer has confirmed a proxy alive."""
+    views = {address: fetch(address, "/control/fleet") for address in several}
+    digests = {view["digest"] for view in views.values()}
     rows = [
         (
-            one,
-            told["self"]["name"],
-            told["digest"],
-            told["health"],
-            "never" if told["vouched_ms"] is None else round(told["vouched_ms"] / 1000.0, 1),
-            sum(member["way"] != "straight" for member in told["members"]),
+            address,
+            view["self"]["name"],
+            view["digest"],
+            view["health"],
+            "never" if view["vouched_ms"] is None else round(view["vouched_ms"] / 1000.0, 1),
+            sum(member["way"] != "straight" for member in view["members"]),
         )
-        for one, told in views.items()
+        for address, view in views.items()
     ]
-    head = ("proxy", "name", "digest", "slowness", "held alive s ago", "ways cut")
-    same = "one view" if len(digests) == 1 else f"{len(digests)} views"
-    tell({"same": len(digests) == 1, "views": views}, json_, [*table(head, rows), same])
-    sys.exit(int(len(digests) > 1 or any(told["vouched_ms"] is None for told in views.values())))
+    columns = ("proxy", "name", "digest", "slowness", "confirmed alive s ago", "blocked paths")
+    summary = "one view" if len(digests) == 1 else f"{len(digests)} views"
+    print_result({"same": len(digests) == 1, "views": views}, json_, [*format_table(columns, rows), summary])
+    sys.exit(int(len(digests) > 1 or any(view["vouched_ms"] is None for view in views.values())))
--- a/leadslip/cli/run.py
+++ b/leadslip/cli/run.py
@@ -1,4 +1,4 @@
-"""leadslip run: one proxy in the foreground."""
+"""`leadslip run`: runs one proxy in the foreground."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 
 @click.command()
 @click.option(
-    "--config", "file", type=click.Path(dir_okay=False), help="The JSON configuration; else NODE_CONFIG."
+    "--config",
+    "file",
+    type=click.Path(dir_okay=False),
+    help="JSON configuration file; default: the path in NODE_CONFIG.",
 )
 def run(file: str | None) -> None:
-    """Run one proxy until SIGTERM has been served; exit code 2 where its configuration makes no sense.
+    """Run one proxy until it has drained after SIGTERM; exits with code 2 if its configuration is invalid.
 
-    SIGHUP reads all configuration anew. `python -O -m leadslip` is the same without the checks of debug builds.
+    SIGHUP reloads the whole configuration. `python -O -m leadslip` does the same without debug assertions.
     """
     if file is not None:
         os.environ["NODE_CONFIG"] = file
--- a/leadslip/cli/told.py
+++ b/leadslip/cli/told.py
@@ -1,4 +1,4 @@
-"""What all commands share: figures as JSON or for a person, and faults as one line and exit code 2."""
+"""Shared by all commands: output as JSON or text, and errors that are reported on one line."""
 
 from __future__ import annotations
 
@@ -12,47 +12,49 @@
 
 from leadslip.errors import OperatorError
 
-as_json = click.option("--json", "json_", is_flag=True, help="Print the figures as one JSON object.")
+json_option = click.option("--json", "json_", is_flag=True, help="Print the result as one JSON object.")
 
 
-def plain(value: object) -> object:
-    """A value as JSON has it; what is not finite becomes null."""
+def to_jsonable(value: object) -> object:
+    """Convert dataclasses and nested containers for json.dumps; non-finite floats become null."""
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
-        return {field.name: plain(getattr(value, field.name)) for field in dataclasses.fields(value)}
+        return {field.name: to_jsonable(getattr(value, field.name)) for field in dataclasses.fields(value)}
     if isinstance(value, dict):
-        return {str(key): plain(inner) for key, inner in value.items()}
+        return {str(key): to_jsonable(item) for key, item in value.items()}
     if isinstance(value, list | tuple):
-        return [plain(inner) for inner in value]
+        return [to_jsonable(item) for item in value]
     if isinstance(value, float) and not math.isfinite(value):
         return None
     return value
 
 
-def tell(figures: dict, json_: bool, lines: Sequence[str] | None = None) -> None:
-    """Print figures: as JSON, or as lines (by default one for each figure)."""
+def print_result(result: dict, json_: bool, lines: Sequence[str] | None = None) -> None:
+    """Print a result as JSON, or as text lines (by default one `key: value` line for each entry)."""
     if json_:
-        click.echo(json.dumps(plain(figures)))
+        click.echo(json.dumps(to_jsonable(result)))
         return
-    for line in lines if lines is not None else [f"{key}: {shown(value)}" for key, value in figures.items()]:
+    for line in (
+        lines if lines is not None else [f"{key}: {format_value(value)}" for key, value in result.items()]
+    ):
         click.echo(line)
 
 
-def shown(value: object) -> str:
-    """A figure for a person."""
+def format_value(value: object) -> str:
+    """Format a value for text output, floats with six significant digits."""
     return f"{value:.6g}" if isinstance(value, float) else str(value)
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """Columns for a person: text to the left, figures to the right."""
-    told = [list(head)] + [[shown(cell) for cell in row] for row in rows]
-    widths = [max(len(row[i]) for row in told) for i in range(len(head))]
-    left = [all(isinstance(row[i], str) for row in rows) for i in range(len(head))]
+def format_table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
+    """Format rows as aligned columns: text columns left-justified, numeric columns right-justified."""
+    formatted = [list(head)] + [[format_value(cell) for cell in row] for row in rows]
+    widths = [max(len(row[i]) for row in formatted) for i in range(len(head))]
+    left_justified = [all(isinstance(row[i], str) for row in rows) for i in range(len(head))]
     return [
         "  ".join(
-            cell.ljust(width) if to_left else cell.rjust(width)
-            for cell, width, to_left in zip(row, widths, left, strict=True)
+            cell.ljust(width) if justify_left else cell.rjust(width)
+            for cell, width, justify_left in zip(row, widths, left_justified, strict=True)
         ).rstrip()
-        for row in told
+        for row in formatted
     ]
 
 
@@ -70,17 +72,17 @@
     action = "Install leadslip[plots], or leave the plot out."
 
 
-def faults(*kinds: type[Exception]) -> Callable:
-    """Turn faults of these kinds, of a file that a command was given, into a FileError."""
+def raise_file_error(*error_types: type[Exception]) -> Callable:
+    """Decorator for a command that reads a file: re-raises these exceptions as FileError."""
 
-    def around(work: Callable) -> Callable:
-        @wraps(work)
-        def guarded(*args: object, **named: object) -> object:
+    def decorate(command: Callable) -> Callable:
+        @wraps(command)
+        def wrapper(*args: object, **kwargs: object) -> object:
             try:
-                return work(*args, **named)
-            except kinds as fault:
-                raise FileError(str(fault)) from fault
+                return command(*args, **kwargs)
+            except error_types as error:
+                raise FileError(str(error)) from error
 
-        return guarded
+        return wrapper
 
-    return around
+    return decorate
--- a/leadslip/cli/toy.py
+++ b/leadslip/cli/toy.py
@@ -1,4 +1,4 @@
-"""A toy setup server and notice board, on the wire of the real ones: for the demo, and for a first try by hand."""
+"""Toy setup server and notice board that speak the real wire protocols, for the demo and for manual trials."""
 
 from __future__ import annotations
 
@@ -22,117 +22,120 @@
     message,
 )
 
-FULL = 34
+CAUSE_NO_CIRCUIT = 34  # cause value "no circuit/channel available" (ITU-T Q.850)
 OFFER = b"c=IN IP4 127.0.0.1\r\nm=audio 31000 RTP/AVP 0\r\n"
 
 
-class ToyServer(Int16StringReceiver):
-    """Lets a call stand while a line is free, and releases it after a time; refuses it else."""
+class ToyServerProtocol(Int16StringReceiver):
+    """One connection: answers a set-up while a line is free and releases the call after a time, else refuses it."""
 
     def connectionMade(self) -> None:  # noqa: N802
-        toy = self.factory
-        self.transport.setTcpNoDelay(
-            True
-        )  # else a release waits for the acknowledgement of the answer before it
-        toy.links.append(self)
-        told, toy.ends = toy.ends, []
-        self.say(message(STATE, bytes(8), (REPORT, toy.report())) + b"".join(told))
+        server = self.factory
+        # Otherwise Nagle's algorithm delays a release until the preceding answer is acknowledged.
+        self.transport.setTcpNoDelay(True)
+        server.connections.append(self)
+        releases, server.recent_releases = server.recent_releases, []
+        self.send(message(STATE, bytes(8), (REPORT, server.report())) + b"".join(releases))
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
-        self.factory.links.remove(self)
+        self.factory.connections.remove(self)
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        kind, call = string[0], string[1:9]
-        toy = self.factory
-        if kind == RELEASE and call in toy.standing:
-            toy.standing.pop(call).cancel()
-        if kind == TEST:
-            self.say(message(TEST_ENDED, call, (CAUSE, b"\x01")))
-        if kind != SET_UP:
+        message_type, call_id = string[0], string[1:9]
+        server = self.factory
+        if message_type == RELEASE and call_id in server.release_timers:
+            server.release_timers.pop(call_id).cancel()
+        if message_type == TEST:
+            self.send(message(TEST_ENDED, call_id, (CAUSE, b"\x01")))
+        if message_type != SET_UP:
             return
-        if len(toy.standing) >= toy.lines:
-            toy.told(f"{call.hex()} refused: {toy.lines} lines are busy")
-            told = (CAUSE, bytes((FULL,))), (NOTE, b"no_circuit"), (REPORT, toy.report())
-            self.say(message(RELEASE, call, *told))
+        if len(server.release_timers) >= server.lines:
+            server.log(f"{call_id.hex()} refused: all {server.lines} lines are busy")
+            fields = (CAUSE, bytes((CAUSE_NO_CIRCUIT,))), (NOTE, b"no_circuit"), (REPORT, server.report())
+            self.send(message(RELEASE, call_id, *fields))
             return
-        toy.told(f"{call.hex()} stands on line {len(toy.standing) + 1} of {toy.lines}")
-        toy.standing[call] = toy.reactor.callLater(toy.hold_s, self.release, call)
-        self.say(message(ANSWER, call, (DESCRIPTION, OFFER), (REPORT, toy.report())))
+        server.log(f"{call_id.hex()} established on line {len(server.release_timers) + 1} of {server.lines}")
+        server.release_timers[call_id] = server.reactor.callLater(server.hold_s, self.release, call_id)
+        self.send(message(ANSWER, call_id, (DESCRIPTION, OFFER), (REPORT, server.report())))
 
-    def release(self, call: bytes) -> None:
-        """The call has come to its end."""
-        toy = self.factory
-        del toy.standing[call]
-        told = message(RELEASE, call, (CAUSE, bytes((NORMAL,))), (REPORT, toy.report()))
-        # On the connection of its set-up, otherwise on any open one, and on the next one opened as well.
-        toy.ends = [*toy.ends[-99:], told]
-        if toy.links:
-            (self if self in toy.links else toy.links[0]).say(told)
+    def release(self, call_id: bytes) -> None:
+        """Release a call at the end of its holding time."""
+        server = self.factory
+        del server.release_timers[call_id]
+        release = message(RELEASE, call_id, (CAUSE, bytes((NORMAL,))), (REPORT, server.report()))
+        # Sent on the connection of the set-up, or on any open one, and repeated on the next one that is opened.
+        server.recent_releases = [*server.recent_releases[-99:], release]
+        if server.connections:
+            (self if self in server.connections else server.connections[0]).send(release)
 
-    def say(self, whole: bytes) -> None:
-        self.transport.write(whole)
+    def send(self, data: bytes) -> None:
+        """Write an encoded message."""
+        self.transport.write(data)
 
 
-class ToyServers(protocol.Factory):
-    """The server behind all connections to it."""
+class ToyServerFactory(protocol.Factory):
+    """State of the toy server that all its connections share."""
 
-    protocol = ToyServer
+    protocol = ToyServerProtocol
 
-    def __init__(self, reactor: object, lines: int, hold_s: float, told: Callable[[str], None]) -> None:
-        self.reactor, self.lines, self.hold_s, self.told = reactor, lines, hold_s, told
-        self.standing: dict[bytes, object] = {}  # call -> its release to come
-        self.links: list[ToyServer] = []
-        self.ends: list[bytes] = []  # told since the last connection was opened, the latest hundred
+    def __init__(self, reactor: object, lines: int, hold_s: float, log: Callable[[str], None]) -> None:
+        self.reactor, self.lines, self.hold_s, self.log = reactor, lines, hold_s, log
+        self.release_timers: dict[bytes, object] = {}  # call id -> timer of its release
+        self.connections: list[ToyServerProtocol] = []
+        self.recent_releases: list[bytes] = []  # up to 100 sent since the last connection was opened
 
     def report(self) -> bytes:
-        """Free lines and all."""
-        return b"x0:%d;x1:%d" % (self.lines - len(self.standing), self.lines)
+        """Return a load report: the free lines and all lines."""
+        return b"x0:%d;x1:%d" % (self.lines - len(self.release_timers), self.lines)
 
 
-class ToyBoard(LineReceiver):
-    """A notice board that has no news, and says so every second."""
+class ToyBoardProtocol(LineReceiver):
+    """A notice board without server list updates; sends a keep-alive comment every second."""
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         if not line:
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
-            self.comment()
+            self.send_comment()
 
-    def comment(self) -> None:
+    def send_comment(self) -> None:
+        """Send a comment of the event stream and schedule the next one."""
         if self.connected:
             self.transport.write(b": no news\n\n")
-            self.factory.reactor.callLater(1.0, self.comment)
+            self.factory.reactor.callLater(1.0, self.send_comment)
 
 
 def start(
-    reactor: object, server_port: int, board_port: int, lines: int, hold_s: float, told: Callable[[str], None]
+    reactor: object, server_port: int, board_port: int, lines: int, hold_s: float, log: Callable[[str], None]
 ) -> tuple[int, int]:
-    """Listen on loopback; tells the two ports, which the system chooses where nought is given."""
-    servers = ToyServers(reactor, lines, hold_s, told)
-    board = protocol.Factory.forProtocol(ToyBoard)
+    """Listen on loopback and return the server's and the board's port; 0 lets the system choose one."""
+    server = ToyServerFactory(reactor, lines, hold_s, log)
+    board = protocol.Factory.forProtocol(ToyBoardProtocol)
     board.reactor = reactor
     ports = (
-        reactor.listenTCP(server_port, servers, interface="127.0.0.1"),
+        reactor.listenTCP(server_port, server, interface="127.0.0.1"),
         reactor.listenTCP(board_port, board, interface="127.0.0.1"),
     )
     return tuple(port.getHost().port for port in ports)  # type: ignore[return-value]
 
 
 def serve(lines: int = 100_000, hold_s: float = 0.3) -> None:
-    """Listen on free ports, print the two on one line, and serve until ended or left by who reads that line."""
+    """Listen on free ports, print both on one line, and serve until terminated or until stdin is closed."""
     from twisted.internet import reactor, stdio
 
-    class Left(protocol.Protocol):
+    class StdinWatcher(protocol.Protocol):
+        """Stops the reactor when the parent process closes the pipe."""
+
         def connectionLost(self, reason: object = None) -> None:  # noqa: N802
             reactor.callWhenRunning(reactor.stop)
 
-    server, board = start(reactor, 0, 0, lines, hold_s, lambda text: None)
-    stdio.StandardIO(Left())
-    print(server, board, flush=True)
+    server_port, board_port = start(reactor, 0, 0, lines, hold_s, lambda text: None)
+    stdio.StandardIO(StdinWatcher())
+    print(server_port, board_port, flush=True)
     reactor.run()
 
 
 def start_by_hand() -> None:
-    """Listen where example/config.json says, until interrupted."""
+    """Listen on the ports named in example/config.json until interrupted."""
     from twisted.internet import reactor
 
     start(reactor, 3868, 4222, 10, 1.0, print)
--- a/leadslip/cli/trunks.py
+++ b/leadslip/cli/trunks.py
@@ -1,4 +1,4 @@
-"""leadslip trunks: loss formulas, sizes and reports of trunk groups."""
+"""`leadslip trunks`: loss formulas, dimensioning and traffic reports of trunk groups."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 
 import click
 
-from leadslip.cli.told import PlotError, as_json, faults, table, tell
+from leadslip.cli.told import PlotError, format_table, json_option, print_result, raise_file_error
 from leadslip.trunks import losses, plan, sizing
-from leadslip.trunks import redials as again
+from leadslip.trunks import redials as redial_model
 from leadslip.trunks.losses import LossError
 
 load_option = click.option("--erlangs", type=float, required=True, help="Offered load in erlangs.")
-trunks_option = click.option("--trunks", "trunks_", type=int, required=True, help="Trunks of the group.")
+trunks_option = click.option(
+    "--trunks", "trunks_", type=int, required=True, help="Number of trunks in the group."
+)
 
 
 @click.group()
 def trunks() -> None:
-    """Dimension trunk groups, and report what was measured of them."""
+    """Dimension trunk groups and report their measured traffic."""
 
 
 @trunks.command()
 @load_option
 @trunks_option
-@click.option("--sources", type=int, help="So many sources alone offer the load (Engset).")
-@click.option("--peakedness", type=float, default=1.0, help="Variance of the load over its mean.")
-@click.option("--persistence", type=float, default=0.0, help="The part of the lost that is dialled again.")
-@click.option("--redials", type=int, default=2, help="How often at most.")
-@as_json
+@click.option("--sources", type=int, help="Number of sources that offer the load (Engset).")
+@click.option("--peakedness", type=float, default=1.0, help="Variance-to-mean ratio of the load.")
+@click.option("--persistence", type=float, default=0.0, help="Fraction of lost attempts that are redialled.")
+@click.option("--redials", type=int, default=2, help="Maximum redials per call.")
+@json_option
 def blocking(
     erlangs: float,
     trunks_: int,
@@ -38,45 +40,51 @@
     redials: int,
     json_: bool,
 ) -> None:
-    """The part of the attempts that is lost (Erlang B; Engset, Hayward or redials where asked)."""
+    """Blocking probability (Erlang B; Engset, Hayward or redials if the options are given)."""
     if (sources is not None) + (peakedness != 1.0) + (persistence != 0.0) > 1:
-        raise LossError("sources, peakedness and persistence exclude one another")
+        raise LossError("--sources, --peakedness and --persistence exclude one another; give at most one")
     if persistence:
-        lost, erlangs = again.with_redials(trunks_, erlangs, persistence, redials)
+        blocking_probability, erlangs = redial_model.with_redials(trunks_, erlangs, persistence, redials)
     elif sources is not None:
-        lost = losses.engset(trunks_, sources, erlangs)
+        blocking_probability = losses.engset(trunks_, sources, erlangs)
     elif peakedness != 1.0:
-        lost = losses.hayward_blocking(trunks_, erlangs, peakedness)
+        blocking_probability = losses.hayward_blocking(trunks_, erlangs, peakedness)
     else:
-        lost = losses.erlang_b(trunks_, erlangs)
-    tell({"blocking": lost, "carried": erlangs * (1.0 - lost)}, json_)
+        blocking_probability = losses.erlang_b(trunks_, erlangs)
+    print_result({"blocking": blocking_probability, "carried": erlangs * (1.0 - blocking_probability)}, json_)
 
 
 @trunks.command()
 @load_option
 @trunks_option
 @click.option("--hold-s", type=float, required=True, help="Mean holding time in seconds.")
-@click.option("--over-s", type=float, default=0.0, help="The wait in question, in seconds.")
-@as_json
+@click.option("--over-s", type=float, default=0.0, help="Waiting time for p_wait_over, in seconds.")
+@json_option
 def wait(erlangs: float, trunks_: int, hold_s: float, over_s: float, json_: bool) -> None:
-    """The chance to wait, the mean wait and the chance to wait longer than --over-s (Erlang C)."""
-    figures = {
+    """Probability of waiting, mean wait, and probability of waiting longer than --over-s (Erlang C)."""
+    result = {
         "p_wait": losses.erlang_c(trunks_, erlangs),
         "mean_wait_s": losses.mean_wait_s(trunks_, erlangs, hold_s),
         "p_wait_over": losses.wait_over(trunks_, erlangs, hold_s, over_s),
     }
-    tell(figures, json_)
+    print_result(result, json_)
 
 
 @trunks.command()
 @load_option
-@click.option("--blocking", "lost", type=float, required=True, help="The part that may be lost.")
-@click.option("--module", type=int, default=1, help="Trunks come in modules of so many.")
-@click.option("--peakedness", type=float, default=1.0, help="Variance of the load over its mean.")
-@click.option("--growth", type=float, default=0.0, help="0.2: for a fifth more than that.")
-@click.option("--calls", type=float, help="The load was measured from so many calls: take its upper limit.")
-@click.option("--confidence", type=float, default=0.95, help="Of that limit, two-sided.")
-@as_json
+@click.option("--blocking", "lost", type=float, required=True, help="Permitted blocking probability.")
+@click.option(
+    "--module", type=int, default=1, help="Trunks per module: the size is rounded up to whole modules."
+)
+@click.option("--peakedness", type=float, default=1.0, help="Variance-to-mean ratio of the load.")
+@click.option("--growth", type=float, default=0.0, help="Growth allowance: 0.2 adds 20% to the load.")
+@click.option(
+    "--calls",
+    type=float,
+    help="Number of calls from which the load was measured: use its upper confidence limit.",
+)
+@click.option("--confidence", type=float, default=0.95, help="Two-sided confidence level of that limit.")
+@json_option
 def size(
     erlangs: float,
     lost: float,
@@ -87,81 +95,96 @@
     confidence: float,
     json_: bool,
 ) -> None:
-    """The trunks for a load and a grade of service."""
+    """Number of trunks for a load and a grade of service."""
     if calls is not None:
         erlangs = sizing.measured_bounds(erlangs, calls, confidence=confidence)[1]
-    found = sizing.size(erlangs, lost, module, peakedness, growth)
-    figures = {
-        "trunks": found.trunks,
-        "blocking": found.blocking,
-        "blocking_one_less": found.blocking_one_less,
-        "blocking_one_more": found.blocking_one_more,
-        "erlangs": found.load,
+    sized = sizing.size(erlangs, lost, module, peakedness, growth)
+    result = {
+        "trunks": sized.trunks,
+        "blocking": sized.blocking,
+        "blocking_one_less": sized.blocking_one_less,
+        "blocking_one_more": sized.blocking_one_more,
+        "erlangs": sized.load,
     }
-    tell(figures, json_)
+    print_result(result, json_)
 
 
 @trunks.command()
 @trunks_option
-@click.option("--blocking", "lost", type=float, required=True, help="The part that may be lost.")
-@click.option("--peakedness", type=float, default=1.0, help="Variance of the load over its mean.")
-@as_json
+@click.option("--blocking", "lost", type=float, required=True, help="Permitted blocking probability.")
+@click.option("--peakedness", type=float, default=1.0, help="Variance-to-mean ratio of the load.")
+@json_option
 def load(trunks_: int, lost: float, peakedness: float, json_: bool) -> None:
-    """The load that a group takes at a grade of service."""
-    found = (
+    """Load that a group can carry at a grade of service."""
+    load_erlangs = (
         losses.load_for(trunks_, lost)
         if peakedness == 1.0
         else losses.load_for_peaked(trunks_, peakedness, lost)
     )
-    tell({"erlangs": found, "each": found / trunks_}, json_)
+    print_result({"erlangs": load_erlangs, "each": load_erlangs / trunks_}, json_)
 
 
 @trunks.command()
 @load_option
 @trunks_option
-@as_json
+@json_option
 def overflow(erlangs: float, trunks_: int, json_: bool) -> None:
-    """Mean, variance and peakedness of what overflows from a group."""
+    """Mean, variance and peakedness of the overflow traffic of a group."""
     mean, variance = losses.overflow(trunks_, erlangs)
-    tell({"mean": mean, "variance": variance, "peakedness": variance / mean if mean else 1.0}, json_)
+    print_result({"mean": mean, "variance": variance, "peakedness": variance / mean if mean else 1.0}, json_)
 
 
 @trunks.command()
 @click.option("--carried", type=float, required=True, help="Carried load in erlangs.")
-@click.option("--blocking", "lost", type=float, required=True, help="The part of all attempts that is lost.")
-@click.option("--persistence", type=float, required=True, help="The part of the lost that is dialled again.")
-@as_json
+@click.option(
+    "--blocking", "lost", type=float, required=True, help="Measured fraction of attempts that are lost."
+)
+@click.option(
+    "--persistence", type=float, required=True, help="Fraction of lost attempts that are redialled."
+)
+@json_option
 def fresh(carried: float, lost: float, persistence: float, json_: bool) -> None:
-    """The load offered for the first time, redials left out (ITU-T E.501)."""
-    tell({"erlangs": again.fresh_load(carried, lost, persistence)}, json_)
+    """First-attempt offered load, without redials (ITU-T E.501)."""
+    print_result({"erlangs": redial_model.fresh_load(carried, lost, persistence)}, json_)
 
 
 @trunks.command()
 @trunks_option
-@click.option("--spared", type=float, required=True, help="Load of the class that is spared, in erlangs.")
-@click.option("--others", type=float, required=True, help="Load of the others, in erlangs.")
-@click.option("--blocking", "goal", type=float, required=True, help="What the spared class may lose.")
-@as_json
+@click.option("--spared", type=float, required=True, help="Load of the protected class in erlangs.")
+@click.option("--others", type=float, required=True, help="Load of the other classes in erlangs.")
+@click.option(
+    "--blocking",
+    "goal",
+    type=float,
+    required=True,
+    help="Permitted blocking probability of the protected class.",
+)
+@json_option
 def reserve(trunks_: int, spared: float, others: float, goal: float, json_: bool) -> None:
-    """Levels of trunk reservation, up to the first that spares a class enough, and what each costs the others."""
-    found = sizing.levels(trunks_, spared, others, goal)
-    lines = table(
-        ("level", "spared lose", "others lose", "carried"),
-        [(one.level, one.spared_blocking, one.others_blocking, one.carried) for one in found],
+    """Trunk reservation levels up to the first that meets the goal, with the blocking of the other classes."""
+    reserved_levels = sizing.levels(trunks_, spared, others, goal)
+    lines = format_table(
+        ("level", "protected blocking", "others blocking", "carried"),
+        [
+            (reserved.level, reserved.spared_blocking, reserved.others_blocking, reserved.carried)
+            for reserved in reserved_levels
+        ],
+    )
+    print_result(
+        {"levels": reserved_levels, "reached": reserved_levels[-1].spared_blocking <= goal}, json_, lines
     )
-    tell({"levels": found, "reached": found[-1].spared_blocking <= goal}, json_, lines)
 
 
 @trunks.command("plan")
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--store", "path", type=click.Path(dir_okay=False), help="Read measured loads from this store.")
-@as_json
-@faults(OSError, tomllib.TOMLDecodeError)
+@json_option
+@raise_file_error(OSError, tomllib.TOMLDecodeError)
 def plan_(file: str, path: str | None, json_: bool) -> None:
-    """Size all groups of a plan, those that overflow together with their final group."""
-    with open(file, "rb") as opened:
-        told = tomllib.load(opened)
-    confidence = plan.figure(told, "confidence", "", 0.01, 0.999999, 0.95)
+    """Size all groups of a plan; groups that overflow are sized together with their final group."""
+    with open(file, "rb") as plan_file:
+        fields = tomllib.load(plan_file)
+    confidence = plan.figure(fields, "confidence", "", 0.01, 0.999999, 0.95)
     measured = None
     if path is not None:
         from leadslip.trunks import report
@@ -171,58 +194,62 @@
         def measured(group: str) -> float:
             return quarters.upper_load(group, "tcbh", confidence)
 
-    found = plan.solve(plan.read(told, measured))
-    cost = sum(one.cost for one in found)
-    lines = table(
-        ("group", "role", "erlangs", "trunks", "loss", "one less", "one more", "cost", "to add"),
+    planned_groups = plan.solve(plan.read(fields, measured))
+    cost = sum(planned.cost for planned in planned_groups)
+    lines = format_table(
+        ("group", "role", "erlangs", "trunks", "blocking", "one less", "one more", "cost", "to add"),
         [
             (
-                one.name,
-                one.role,
-                one.load,
-                one.trunks,
-                one.blocking,
-                one.blocking_one_less,
-                one.blocking_one_more,
-                one.cost,
-                "" if one.more is None else one.more,
+                planned.name,
+                planned.role,
+                planned.load,
+                planned.trunks,
+                planned.blocking,
+                planned.blocking_one_less,
+                planned.blocking_one_more,
+                planned.cost,
+                "" if planned.more is None else planned.more,
             )
-            for one in found
+            for planned in planned_groups
         ],
     )
-    for one in found:
-        for level in one.levels:
+    for planned in planned_groups:
+        for level in planned.levels:
             lines.append(
-                f"{one.name}: keep {level.level}: spared lose {level.spared_blocking:.2g},"
-                f" others {level.others_blocking:.2g}"
+                f"{planned.name}: reserve {level.level}: blocking of the protected class {level.spared_blocking:.2g},"
+                f" of the others {level.others_blocking:.2g}"
             )
-    lines.append(f"cost of all: {cost:.6g}")
-    tell({"groups": found, "cost": cost}, json_, lines)
+    lines.append(f"total cost: {cost:.6g}")
+    print_result({"groups": planned_groups, "cost": cost}, json_, lines)
 
 
 @trunks.command("report")
 @click.argument("store", type=click.Path(dir_okay=False))
 @click.option(
-    "--busy-hour", "kind", type=click.Choice(["tcbh", "adph"]), default="tcbh", help="E.492 / E.500."
+    "--busy-hour",
+    "kind",
+    type=click.Choice(["tcbh", "adph"]),
+    default="tcbh",
+    help="Time-consistent (E.492) or daily peak (E.500).",
 )
-@click.option("--group", help="Of this group alone.")
-@click.option("--confidence", type=float, default=0.95, help="Of the limits of the load.")
-@click.option("--plot", type=click.Path(dir_okay=False), help="Draw the days into this SVG or PNG file.")
-@as_json
+@click.option("--group", help="Report only this group.")
+@click.option("--confidence", type=float, default=0.95, help="Confidence level of the load's limits.")
+@click.option("--plot", type=click.Path(dir_okay=False), help="Plot the days to this SVG or PNG file.")
+@json_option
 def report_(
     store: str, kind: str, group: str | None, confidence: float, plot: str | None, json_: bool
 ) -> None:
-    """The busy hour of each group, from the traffic that a proxy has measured."""
+    """Report the busy hour of each group from the traffic measured by a proxy."""
     from leadslip.trunks import report
 
     quarters = report.Quarters(store)
-    found = [quarters.told(name, kind, confidence) for name in ([group] if group else quarters.groups)]
+    reports = [quarters.told(name, kind, confidence) for name in ([group] if group else quarters.groups)]
     if plot is not None:
         try:
-            report.draw(quarters, [one.group for one in found], plot)
-        except ImportError as fault:
-            raise PlotError(f"--plot: {fault}") from fault
-    lines = table(
+            report.draw(quarters, [group_report.group for group_report in reports], plot)
+        except ImportError as error:
+            raise PlotError(f"--plot: {error}") from error
+    lines = format_table(
         (
             "group",
             "busy hour",
@@ -230,7 +257,7 @@
             "low",
             "high",
             "naive",
-            "loss",
+            "blocking",
             "redialled",
             "days",
             "surges",
@@ -238,27 +265,31 @@
         ),
         [
             (
-                one.group,
-                "-" if one.starts_s is None else str(datetime.timedelta(seconds=one.starts_s)),
-                "-" if one.load is None else one.load,
-                "-" if one.low is None else one.low,
-                "-" if one.high is None else one.high,
-                one.naive,
-                one.blocking,
-                one.persistence,
-                one.days,
-                len(one.surges),
-                len(one.gaps),
+                group_report.group,
+                "-"
+                if group_report.starts_s is None
+                else str(datetime.timedelta(seconds=group_report.starts_s)),
+                "-" if group_report.load is None else group_report.load,
+                "-" if group_report.low is None else group_report.low,
+                "-" if group_report.high is None else group_report.high,
+                group_report.naive,
+                group_report.blocking,
+                group_report.persistence,
+                group_report.days,
+                len(group_report.surges),
+                len(group_report.gaps),
             )
-            for one in found
+            for group_report in reports
         ],
     )
-    for one in found:
-        for start_s, seconds in one.gaps:
-            when = datetime.datetime.fromtimestamp(start_s, datetime.UTC)
-            lines.append(f"{one.group}: not measured for {seconds} s from {when:%Y-%m-%d %H:%M} UTC")
-        for start_s, peak in one.surges:
-            when = datetime.datetime.fromtimestamp(start_s, datetime.UTC)
-            lines.append(f"{one.group}: surge of {peak:.4g} erlangs on {when:%Y-%m-%d}, left out")
-    lines += [f"damaged, left out: {name}" for name in quarters.damaged]
-    tell({"busy_hour": kind, "groups": found, "damaged": quarters.damaged}, json_, lines)
+    for group_report in reports:
+        for start_s, duration_s in group_report.gaps:
+            start = datetime.datetime.fromtimestamp(start_s, datetime.UTC)
+            lines.append(
+                f"{group_report.group}: not measured for {duration_s} s from {start:%Y-%m-%d %H:%M} UTC"
+            )
+        for start_s, peak in group_report.surges:
+            start = datetime.datetime.fromtimestamp(start_s, datetime.UTC)
+            lines.append(f"{group_report.group}: surge of {peak:.4g} erlangs on {start:%Y-%m-%d}, excluded")
+    lines += [f"damaged record, excluded: {record}" for record in quarters.damaged]
+    print_result({"busy_hour": kind, "groups": reports, "damaged": quarters.damaged}, json_, lines)
