--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: run by hand, never in the tests; each prints its figures and the machine."""
+"""Benchmarks: run manually, not by the test suite; each prints its results."""
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,13 +1,13 @@
-"""The fleet's view in the lab: times to know, wrong removals, traffic, what Lifeguard's parts earn, and a baseline.
+"""Benchmarks of fleet membership: detection times, false removals, traffic, Lifeguard's components, a baseline.
 
 python -m benchmarks.fleet times --members 200 --rounds 50     # crash, join, leave: p50 and p99
-python -m benchmarks.fleet heal --members 200                  # one view again after partitions
-python -m benchmarks.fleet quiet --members 200 --minutes 60    # loss and stalls: wrong removals
-python -m benchmarks.fleet baseline                            # the same by all-to-all heartbeats: fixed time, phi
-python -m benchmarks.fleet traffic                             # 50 to 1,000 members, in calm
-python -m benchmarks.fleet trouble --members 200               # herd, rolling restart, flapping: traffic over calm
-python -m benchmarks.fleet cost --members 200                  # us a datagram, memory a member
-python -m benchmarks.fleet calls                               # real processes: calls with the fleet on against off
+python -m benchmarks.fleet heal --members 200                  # time to converge after partitions
+python -m benchmarks.fleet quiet --members 200 --minutes 60    # false removals under loss and stalls
+python -m benchmarks.fleet baseline                            # all-to-all heartbeats: fixed time-out, phi accrual
+python -m benchmarks.fleet traffic                             # 50 to 1,000 idle members
+python -m benchmarks.fleet trouble --members 200               # herd, rolling restart, flapping: traffic over idle
+python -m benchmarks.fleet cost --members 200                  # us per datagram, memory per member
+python -m benchmarks.fleet calls                               # real processes: calls with the fleet on and off
 """
 
 from __future__ import annotations
@@ -38,27 +38,28 @@
 from leadslip.lab.network import Clock, Network
 from leadslip.site import configuration
 
-PHI_8 = -statistics.NormalDist().inv_cdf(1e-8)  # deviations at which phi is 8
-WINDOW_S = 10  # traffic in trouble is told of the worst so many seconds, besides the whole
+PHI_8 = -statistics.NormalDist().inv_cdf(1e-8)  # standard deviations of silence at which phi is 8
+WINDOW_S = 10  # sliding window of the peak traffic that is reported besides the mean
 PARTS = ("all", "no health", "no confirmation", "no telling", "none")
 
 
-def without(parts: str) -> None:
-    """Take Lifeguard's parts out of the program, for this process."""
+def disable_lifeguard(parts: str) -> None:
+    """Disable components of Lifeguard in this process, by the option --parts."""
     if parts in ("no health", "none"):
         suspicion.Health.scaled = lambda self, span_ms: span_ms
     if parts in ("no confirmation", "none"):
         suspicion.Suspicion.due_ms = lambda self: self.since_ms + self.late_ms + self.least_ms
     if parts in ("no telling", "none"):
-        View._first = lambda self, now_ms, to: []
+        View._priority_updates = lambda self, now_ms, to: []
 
 
-def tell(**figures: object) -> None:
-    click.echo(json.dumps(figures))
+def print_json(**results: object) -> None:
+    """Print the results as one JSON object."""
+    click.echo(json.dumps(results))
 
 
-def points(values: list[float]) -> dict[str, float]:
-    """p50, p99 and the greatest, in ms."""
+def percentiles(values: list[float]) -> dict[str, float]:
+    """Return p50, p99, the maximum and the number of the values, in their unit."""
     ordered = sorted(values)
     return {
         "p50": statistics.median(ordered),
@@ -70,30 +71,30 @@
 
 @click.group()
 def main() -> None:
-    """Measure the fleet's view in the lab."""
+    """Benchmark the membership of a simulated fleet."""
 
 
-members_ = click.option("--members", type=int, default=200, show_default=True)
-seed_ = click.option("--seed", type=int, default=1, show_default=True)
-parts_ = click.option("--parts", type=click.Choice(PARTS), default="all", show_default=True)
+members_option = click.option("--members", type=int, default=200, show_default=True)
+seed_option = click.option("--seed", type=int, default=1, show_default=True)
+parts_option = click.option("--parts", type=click.Choice(PARTS), default="all", show_default=True)
 
 
 @main.command()
-@members_
-@seed_
+@members_option
+@seed_option
 @click.option("--rounds", type=int, default=50, show_default=True)
 def times(members: int, seed: int, rounds: int) -> None:
-    """A crash known to all survivors, a join known to all, a leave known to all."""
+    """Time until all members know of a crash, a join and a leave."""
     fleet = Fleet(seed)
     fleet.grow(members)
-    crash, join, leave = [], [], []
+    crash_ms, join_ms, leave_ms = [], [], []
     for i in range(rounds):
         name = fleet.draw.choice(sorted(fleet.hosts)[3:])
         run = fleet.kill(name).view.run
-        crash.append(fleet.until(lambda run=run: fleet.known_gone(run), 30_000.0))
+        crash_ms.append(fleet.until(lambda run=run: fleet.known_gone(run), 30_000.0))
         fleet.run(500.0)
-        new = fleet.add(f"new{i}")
-        join.append(fleet.until(lambda new=new: fleet.known(new.view.run), 30_000.0))
+        joined = fleet.add(f"new{i}")
+        join_ms.append(fleet.until(lambda joined=joined: fleet.known(joined.view.run), 30_000.0))
         fleet.run(500.0)
         name = fleet.draw.choice(sorted(fleet.hosts)[3:])
         host = fleet.hosts[name]
@@ -101,199 +102,226 @@
         host.view.leave(began_ms)
         host.flush()
         fleet.hosts.pop(name)
-        leave.append(fleet.until(lambda host=host: fleet.known_gone(host.view.run), 30_000.0))
+        leave_ms.append(fleet.until(lambda host=host: fleet.known_gone(host.view.run), 30_000.0))
         host.up = False
         fleet.add(f"back{i}")
         fleet.until(fleet.agreed, 30_000.0)
-    tell(members=members, seed=seed, crash=points(crash), join=points(join), leave=points(leave))
+    print_json(
+        members=members,
+        seed=seed,
+        crash=percentiles(crash_ms),
+        join=percentiles(join_ms),
+        leave=percentiles(leave_ms),
+    )
 
 
 @main.command()
-@members_
-@seed_
+@members_option
+@seed_option
 @click.option("--seconds", type=float, multiple=True, default=(1.0, 60.0, 3600.0), show_default=True)
 def heal(members: int, seed: int, seconds: tuple[float, ...]) -> None:
-    """One view again after a partition into halves."""
-    for for_s in seconds:
+    """Time until all members hold one view after a partition into halves has healed."""
+    for partition_s in seconds:
         fleet = Fleet(seed)
         fleet.grow(members)
         names = sorted(fleet.hosts)
         fleet.draw.shuffle(names)
         fleet.partition(names[: members // 2], names[members // 2 :])
-        fleet.run(for_s * 1000.0)
+        fleet.run(partition_s * 1000.0)
         before = fleet.traffic()
         fleet.heal()
-        took_ms = fleet.until(fleet.agreed, 60_000.0)
-        spent = [now - then for now, then in zip(fleet.traffic(), before, strict=True)]
-        tell(
+        healed_ms = fleet.until(fleet.agreed, 60_000.0)
+        used = [after - earlier for after, earlier in zip(fleet.traffic(), before, strict=True)]
+        print_json(
             members=members,
-            parted_s=for_s,
-            healed_ms=took_ms,
-            datagrams=spent[0],
-            bytes=spent[1],
-            streamed=spent[2],
+            parted_s=partition_s,
+            healed_ms=healed_ms,
+            datagrams=used[0],
+            bytes=used[1],
+            streamed=used[2],
         )
 
 
 @main.command()
-@members_
-@seed_
-@parts_
+@members_option
+@seed_option
+@parts_option
 @click.option("--minutes", type=float, default=10.0, show_default=True)
 @click.option("--lost", type=float, default=0.10, show_default=True)
 def quiet(members: int, seed: int, parts: str, minutes: float, lost: float) -> None:
-    """Wrong removals with datagrams lost and one in ten members stopped for a second at a time."""
-    without(parts)
+    """False removals while datagrams are lost and one in ten members is stalled for a second at a time."""
+    disable_lifeguard(parts)
     fleet = Fleet(seed)
     fleet.grow(members)
     fleet.network.links.lost = lost
-    before, stopped = fleet.traffic(), []
+    before, stalled = fleet.traffic(), []
     for second in range(int(minutes * 60)):
         if second % 300 == 299:
-            click.echo(f"after {second + 1} s: {len(fleet.wrongly())} ends of who runs", err=True)
-        # Nobody twice in a row: that were two seconds at a time.
-        stopped = fleet.draw.sample(
-            [host for host in fleet.hosts.values() if host not in stopped], members // 10 or 1
+            click.echo(f"after {second + 1} s: {len(fleet.wrongly())} removals of running members", err=True)
+        # No member twice in a row: it would be stalled for two seconds.
+        stalled = fleet.draw.sample(
+            [host for host in fleet.hosts.values() if host not in stalled], members // 10 or 1
         )
-        for host in stopped:
+        for host in stalled:
             host.stall(1000.0)
         fleet.run(1000.0)
-    wrong = {process_of(one[2]) for one in fleet.wrongly()}
-    spent = [(now - then) / (minutes * 60) for now, then in zip(fleet.traffic(), before, strict=True)]
+    falsely_removed = {process_of(removal[2]) for removal in fleet.wrongly()}
+    used = [
+        (after - earlier) / (minutes * 60) for after, earlier in zip(fleet.traffic(), before, strict=True)
+    ]
     counts = {key: fleet.tally.counts[key] for key in ("fleet.suspected", "fleet.refuted", "fleet.reborn")}
-    tell(
+    print_json(
         members=members,
         parts=parts,
         minutes=minutes,
-        wrong=len(wrong),
+        wrong=len(falsely_removed),
         **counts,
-        datagrams_s=spent[0],
-        bytes_s=spent[1],
+        datagrams_s=used[0],
+        bytes_s=used[1],
     )
 
 
 @main.command()
-@seed_
+@seed_option
 @click.option("--sizes", type=int, multiple=True, default=(50, 200, 1000), show_default=True)
 @click.option("--seconds", type=float, default=60.0, show_default=True)
 def traffic(seed: int, sizes: tuple[int, ...], seconds: float) -> None:
-    """Datagrams and bytes a member and second in calm; all-to-all heartbeats of a second beside them."""
+    """Datagrams and bytes per member and second when idle, compared with all-to-all heartbeats each second."""
     for members in sizes:
         fleet = Fleet(seed)
         fleet.grow(members)
         before = fleet.traffic()
         fleet.run(seconds * 1000.0)
-        spent = [(now - then) / seconds for now, then in zip(fleet.traffic(), before, strict=True)]
-        beat = heartbeats(seed, members, 20.0)
-        tell(members=members, datagrams_s=spent[0], bytes_s=spent[1], streamed_s=spent[2], heartbeats=beat)
+        used = [(after - earlier) / seconds for after, earlier in zip(fleet.traffic(), before, strict=True)]
+        baseline_result = heartbeats(seed, members, 20.0)
+        print_json(
+            members=members,
+            datagrams_s=used[0],
+            bytes_s=used[1],
+            streamed_s=used[2],
+            heartbeats=baseline_result,
+        )
 
 
 def heartbeats(seed: int, members: int, seconds: float, lost: float = 0.0) -> dict[str, float]:
-    """The plain baseline: each tells each once a second that it lives; dead after three seconds of silence."""
-    clock, draw = Clock(), random.Random(seed)
+    """All-to-all baseline: each member sends a heartbeat to every other once a second; dead after 3 s of silence."""
+    clock, rng = Clock(), random.Random(seed)
     network = Network(clock, random.Random(seed))
     network.links.lost = lost
     names = [f"h{i}" for i in range(members)]
-    heard = {name: dict.fromkeys(names, 0.0) for name in names}
-    beat = wire.encode(wire.Gossip(10**6, 5 << 60, 0)) + bytes(wire.SEAL_SIZE)
-    down: set[str] = set()
-    wrong = 0
+    last_received_ms = {name: dict.fromkeys(names, 0.0) for name in names}
+    heartbeat = wire.encode(wire.Gossip(10**6, 5 << 60, 0)) + bytes(wire.SEAL_SIZE)
+    crashed: set[str] = set()
+    false_suspicions = 0
 
     def arrive(name: str, source: str) -> None:
-        heard[name][source] = clock.now_ms
+        last_received_ms[name][source] = clock.now_ms
 
     def send(name: str) -> None:
-        if name in down:
+        if name in crashed:
             return
         clock.at(clock.now_ms + 1000.0, send, name)
         for other in names:
             if other != name:
                 network.datagrams[name] = network.datagrams.get(name, 0) + 1
-                if draw.random() >= lost:
-                    clock.at(clock.now_ms + draw.uniform(0.3, 3.0), arrive, other, name)
+                if rng.random() >= lost:
+                    clock.at(clock.now_ms + rng.uniform(0.3, 3.0), arrive, other, name)
 
     for name in names:
-        clock.at(draw.random() * 1000.0, send, name)
+        clock.at(rng.random() * 1000.0, send, name)
     clock.run(seconds * 500.0)
     victim = names[0]
-    down.add(victim)
-    last = {name: told[victim] for name, told in heard.items()}
+    crashed.add(victim)
+    last_from_victim = {name: received[victim] for name, received in last_received_ms.items()}
     clock.run(seconds * 1000.0)
     for name in names[1:]:
-        wrong += sum(
-            clock.now_ms - at > 3000.0 for other, at in heard[name].items() if other not in (name, victim)
+        false_suspicions += sum(
+            clock.now_ms - received_ms > 3000.0
+            for other, received_ms in last_received_ms[name].items()
+            if other not in (name, victim)
         )
     sent = sum(network.datagrams.values()) / members / seconds
-    known_ms = max(last[name] for name in names[1:]) + 3000.0 - seconds * 500.0
-    return {"datagrams_s": sent, "bytes_s": sent * len(beat), "crash_known_ms": known_ms, "wrong": wrong}
+    known_ms = max(last_from_victim[name] for name in names[1:]) + 3000.0 - seconds * 500.0
+    return {
+        "datagrams_s": sent,
+        "bytes_s": sent * len(heartbeat),
+        "crash_known_ms": known_ms,
+        "wrong": false_suspicions,
+    }
 
 
 @main.command()
 @click.option("--members", type=int, default=40, show_default=True)
-@seed_
+@seed_option
 @click.option("--minutes", type=float, default=10.0, show_default=True)
 @click.option("--lost", type=float, default=0.10, show_default=True)
 def baseline(members: int, seed: int, minutes: float, lost: float) -> None:
-    """Heartbeats of a second among all, the same faults: wrong verdicts by a fixed time of 3 s and by phi-accrual."""
-    draw = random.Random(seed)
+    """False suspicions by a fixed time-out of 3 s and by phi accrual, with the same faults and 1 s heartbeats."""
+    rng = random.Random(seed)
     names = range(members)
     seconds = int(minutes * 60)
-    stops: list[set[int]] = []
+    stalled: list[set[int]] = []
     for _ in range(seconds + 1):
-        free = [name for name in names if not stops or name not in stops[-1]]
-        stops.append(set(draw.sample(free, members // 10 or 1)))
-    phase = [draw.random() for _ in names]
+        eligible = [name for name in names if not stalled or name not in stalled[-1]]
+        stalled.append(set(rng.sample(eligible, members // 10 or 1)))
+    phases = [rng.random() for _ in names]
 
-    def awake(name: int, at_s: float) -> float:
-        """When a member gets to what falls due then."""
+    def resumed_at_s(name: int, at_s: float) -> float:
+        """Return when a member handles an event due at `at_s`: after its stall, if it is stalled then."""
         second = int(at_s)
-        return float(second + 1) if second <= seconds and name in stops[second] else at_s
+        return float(second + 1) if second <= seconds and name in stalled[second] else at_s
 
-    fixed = accrued = beats = 0
-    known: dict[str, list[float]] = {"fixed": [], "phi": []}
+    fixed_suspicions = phi_suspicions = heartbeat_count = 0
+    timeouts_s: dict[str, list[float]] = {"fixed": [], "phi": []}
     for source in names:
         for target in names:
             if source == target:
                 continue
-            last, gaps = 0.0, [1.0] * 10
+            last_s, gaps_s = 0.0, [1.0] * 10
             for second in range(seconds):
-                sent = awake(source, second + phase[source])
-                if draw.random() < lost:
+                sent_s = resumed_at_s(source, second + phases[source])
+                if rng.random() < lost:
                     continue
-                beats += 1
-                at = awake(target, sent + draw.uniform(0.0003, 0.003))
-                gap = max(0.0, at - last)
-                fixed += gap > 3.0
-                accrued += gap > dead_after(gaps)
-                gaps, last = [*gaps[-99:], gap], at
-            known["fixed"].append(3.0)
-            known["phi"].append(dead_after(gaps))
-    hours = members * (members - 1) * minutes / 60.0
-    tell(
+                heartbeat_count += 1
+                received_s = resumed_at_s(target, sent_s + rng.uniform(0.0003, 0.003))
+                gap_s = max(0.0, received_s - last_s)
+                fixed_suspicions += gap_s > 3.0
+                phi_suspicions += gap_s > phi_timeout_s(gaps_s)
+                gaps_s, last_s = [*gaps_s[-99:], gap_s], received_s
+            timeouts_s["fixed"].append(3.0)
+            timeouts_s["phi"].append(phi_timeout_s(gaps_s))
+    pair_hours = members * (members - 1) * minutes / 60.0
+    print_json(
         members=members,
         minutes=minutes,
-        beats=beats,
-        wrong_an_hour_of_one_pair={"fixed": fixed / hours, "phi": accrued / hours},
-        silence_until_dead_s={way: points(told) for way, told in known.items()},
+        beats=heartbeat_count,
+        wrong_an_hour_of_one_pair={
+            "fixed": fixed_suspicions / pair_hours,
+            "phi": phi_suspicions / pair_hours,
+        },
+        silence_until_dead_s={method: percentiles(values) for method, values in timeouts_s.items()},
     )
 
 
-def dead_after(gaps: list[float], least_std: float = 0.1) -> float:
-    """The silence after which phi (Hayashibara, 2004) passes 8, for normal gaps; seconds."""
-    mean = statistics.fmean(gaps)
-    return mean + max(least_std, statistics.pstdev(gaps, mean)) * PHI_8
+def phi_timeout_s(gaps_s: list[float], min_std_s: float = 0.1) -> float:
+    """Return the silence after which phi (Hayashibara, 2004) exceeds 8 for normally distributed gaps."""
+    mean_s = statistics.fmean(gaps_s)
+    return mean_s + max(min_std_s, statistics.pstdev(gaps_s, mean_s)) * PHI_8
 
 
 @main.command()
-@members_
-@seed_
+@members_option
+@seed_option
 def trouble(members: int, seed: int) -> None:
-    """Traffic in a herd, a rolling restart of all and a flapping partition, as multiples of calm."""
+    """Traffic in a mass restart, a rolling restart and a flapping partition, as multiples of idle traffic."""
 
-    def calm(fleet: Fleet) -> float:
+    def idle_bytes_s(fleet: Fleet) -> float:
         before = fleet.traffic()
         fleet.run(20_000.0)
-        return sum(now - then for now, then in zip(fleet.traffic()[1:], before[1:], strict=True)) / 20.0
+        return (
+            sum(after - earlier for after, earlier in zip(fleet.traffic()[1:], before[1:], strict=True))
+            / 20.0
+        )
 
     def herd(fleet: Fleet) -> None:
         names = fleet.draw.sample(sorted(fleet.hosts)[3:], int(members * 0.7))
@@ -318,48 +346,48 @@
             fleet.heal()
             fleet.run(2000.0)
 
-    for what in (herd, rolling, flapping):
+    for scenario in (herd, rolling, flapping):
         fleet = Fleet(seed)
         fleet.grow(members)
         fleet.run(10_000.0)
-        base = calm(fleet)
-        sums: list[float] = []
+        idle = idle_bytes_s(fleet)
+        totals: list[float] = []
 
-        def sample(fleet: Fleet = fleet, sums: list[float] = sums) -> None:
-            sums.append(total(fleet))
+        def sample(fleet: Fleet = fleet, totals: list[float] = totals) -> None:
+            totals.append(bytes_sent(fleet))
             fleet.clock.at(fleet.clock.now_ms + 1000.0, sample)
 
         sample()
         began_ms = fleet.clock.now_ms
-        what(fleet)
+        scenario(fleet)
         took_ms = fleet.clock.now_ms - began_ms
         settled_ms = fleet.until(fleet.agreed, 60_000.0)
         fleet.run(WINDOW_S * 1000.0)
-        rates = [(after - before) / members for before, after in itertools.pairwise(sums)]
-        whole_s = min(len(rates), max(WINDOW_S, round((took_ms + settled_ms) / 1000.0)))
+        rates = [(after - before) / members for before, after in itertools.pairwise(totals)]
+        affected_s = min(len(rates), max(WINDOW_S, round((took_ms + settled_ms) / 1000.0)))
         windows = [sum(rates[i : i + WINDOW_S]) / WINDOW_S for i in range(max(1, len(rates) - WINDOW_S + 1))]
-        tell(
-            what=what.__name__,
+        print_json(
+            what=scenario.__name__,
             members=members,
-            calm_bytes_s=base,
+            calm_bytes_s=idle,
             took_ms=took_ms,
             settled_ms=settled_ms,
-            times=sum(rates[:whole_s]) / whole_s / base,
-            worst_window=max(windows) / base,
-            worst_second=max(rates) / base,
+            times=sum(rates[:affected_s]) / affected_s / idle,
+            worst_window=max(windows) / idle,
+            worst_second=max(rates) / idle,
         )
 
 
-def total(fleet: Fleet) -> float:
-    """Bytes sent by all so far."""
+def bytes_sent(fleet: Fleet) -> float:
+    """Return the bytes sent by all members so far, as datagrams and as streams."""
     return sum(fleet.network.bytes.values()) + sum(fleet.network.streamed.values())
 
 
 @main.command()
-@members_
-@seed_
+@members_option
+@seed_option
 def cost(members: int, seed: int) -> None:
-    """Microseconds for a datagram taken and answered, sealed and all, and memory of one view."""
+    """CPU time per datagram received and answered, including its seal, and memory of one view."""
     fleet = Fleet(seed)
     fleet.grow(members)
     fleet.run(20_000.0)
@@ -375,67 +403,75 @@
     began = time.perf_counter()
     for data in pings:
         view.received(fleet.clock.now_ms, wire.decode(seal.open(data)))
-        for one in view.out:
-            seal.close(wire.encode(one.message))
+        for outgoing in view.out:
+            seal.close(wire.encode(outgoing.message))
         view.out.clear()
-    us = (time.perf_counter() - began) / len(pings) * 1e6
+    us_per_datagram = (time.perf_counter() - began) / len(pings) * 1e6
     tracemalloc.start()
-    table = [held.full(0.0) for held in view.table]
+    records = [member.full(0.0) for member in view.table]
     fresh = View(view.me, (), random.Random(1), Tally(), view.pace, 4096)
     before, _ = tracemalloc.get_traced_memory()
     fresh.start(0.0)
-    fresh._merge(0.0, table)
+    fresh._merge(0.0, records)
     after, _ = tracemalloc.get_traced_memory()
     began = time.perf_counter()
     for step in range(5 * 200):
         fresh.due(step * 10.0)
         fresh.out.clear()
-    busy = (time.perf_counter() - began) / 10.0
-    tell(members=members, us_a_datagram=us, view_kb=(after - before) / 1024.0, timers_share_of_core=busy)
+    timers_share = (time.perf_counter() - began) / 10.0
+    print_json(
+        members=members,
+        us_a_datagram=us_per_datagram,
+        view_kb=(after - before) / 1024.0,
+        timers_share_of_core=timers_share,
+    )
 
 
 @main.command()
 @click.option(
-    "--members", type=int, default=8, show_default=True, help="Of the fleet beside which is measured."
+    "--members", type=int, default=8, show_default=True, help="Size of the fleet around the measured process."
 )
-@seed_
-@click.option("--rate", type=float, default=56.0, show_default=True, help="Calls a second at one process.")
+@seed_option
+@click.option("--rate", type=float, default=56.0, show_default=True, help="Calls per second at one process.")
 @click.option("--seconds", type=float, default=10.0, show_default=True)
 @click.option("--rounds", type=int, default=6, show_default=True)
 def calls(members: int, seed: int, rate: float, seconds: float, rounds: int) -> None:
-    """Calls at one process with the fleet on against one with it off: each round both, in turn first."""
-    with tempfile.TemporaryDirectory(prefix="fleet-calls-") as place:
-        tell(
+    """Calls at a process with the fleet on and at one with it off; each round runs both in alternating order."""
+    with tempfile.TemporaryDirectory(prefix="fleet-calls-") as folder_name:
+        print_json(
             members=members,
             rate=rate,
-            **asyncio.run(paired(Path(place), members, seed, rate, seconds, rounds)),
+            **asyncio.run(compare_fleet_on_off(Path(folder_name), members, seed, rate, seconds, rounds)),
         )
 
 
-async def paired(
-    place: Path, members: int, seed: int, rate: float, seconds: float, rounds: int
+async def compare_fleet_on_off(
+    work_folder: Path, members: int, seed: int, rate: float, seconds: float, rounds: int
 ) -> dict[str, object]:
-    """Real processes on loopback, one toy server behind all of them."""
-    prefix, held = own_network()
-    toy, ports = await start_toy()
+    """Run real processes on loopback that share one toy server."""
+    prefix, network_lock = own_network()
+    toy_process, ports = await start_toy()
     running: list[asyncio.subprocess.Process] = []
     try:
-        server, board = await ports
-        (place / "fleet.key").write_text(secrets.token_hex(32) + "\n")
+        server_port, board_port = await ports
+        (work_folder / "fleet.key").write_text(secrets.token_hex(32) + "\n")
 
-        async def start(i: int, fleet: bool) -> asyncio.subprocess.Process:
-            folder = place / str(i)
+        async def start(i: int, with_fleet: bool) -> asyncio.subprocess.Process:
+            folder = work_folder / str(i)
             folder.mkdir()
-            conf = configuration(server, board, 0) | {"name": f"n{i}", "listen": f"{prefix}.{10 + i}:5060"}
+            conf = configuration(server_port, board_port, 0) | {
+                "name": f"n{i}",
+                "listen": f"{prefix}.{10 + i}:5060",
+            }
             (folder / "config.json").write_text(json.dumps(conf))
             environ = {
-                key: told for key, told in os.environ.items() if not key.startswith(("LEADSLIP", "NODE"))
+                key: value for key, value in os.environ.items() if not key.startswith(("LEADSLIP", "NODE"))
             }
             environ["NODE_CONFIG"] = str(folder / "config.json")
-            if fleet:
+            if with_fleet:
                 (folder / "fleet.toml").write_text(
                     f'enabled = true\nlisten = "{prefix}.{10 + i}:7946"\nseeds = ["{prefix}.10:7946"]\n'
-                    f'key_file = "{place / "fleet.key"}"\n'
+                    f'key_file = "{work_folder / "fleet.key"}"\n'
                 )
                 environ["LEADSLIP_FLEET"] = str(folder / "fleet.toml")
             with open(folder / "log", "wb") as log:
@@ -447,54 +483,62 @@
             running.append(await start(i, True))
         running.append(await start(members, False))
         await asyncio.sleep(5.0)
-        sides = {"on": 0, "off": members}
-        told: dict[str, list[list[float]]] = {"on": [], "off": []}
-        for one in range(rounds):
-            for side in ("on", "off") if one % 2 else ("off", "on"):
-                at = sides[side]
-                told[side].append(
-                    await called(f"{prefix}.{10 + at}", running[at].pid, rate, seconds, seed + one)
+        process_indexes = {"on": 0, "off": members}
+        results: dict[str, list[list[float]]] = {"on": [], "off": []}
+        for round_number in range(rounds):
+            for side in ("on", "off") if round_number % 2 else ("off", "on"):
+                index = process_indexes[side]
+                results[side].append(
+                    await measure_round(
+                        f"{prefix}.{10 + index}", running[index].pid, rate, seconds, seed + round_number
+                    )
                 )
-        return {side: summed(results) for side, results in told.items()}
+        return {side: summarize(measured) for side, measured in results.items()}
     finally:
-        for process in [*running, toy]:
+        for process in [*running, toy_process]:
             process.kill()
             await process.wait()
-        held.close()
+        network_lock.close()
 
 
-async def called(ip: str, pid: int, rate: float, seconds: float, seed: int) -> list[float]:
-    """One round: share answered with 200, latency p50 and p99 in ms, share of a core."""
+async def measure_round(ip: str, pid: int, rate: float, seconds: float, seed: int) -> list[float]:
+    """Measure one round: fraction answered with 200, latency p50 and p99 in ms, share of a core."""
     caller = Caller("n", (ip, 5060), rate, seed)
-    before, began = cpu_s(pid), time.monotonic()
+    cpu_before_s, began = cpu_s(pid), time.monotonic()
     task = asyncio.create_task(caller.run())
     await asyncio.sleep(seconds)
-    busy = (cpu_s(pid) - before) / (time.monotonic() - began)
+    core_share = (cpu_s(pid) - cpu_before_s) / (time.monotonic() - began)
     task.cancel()
     await asyncio.sleep(1.0)
-    good = [one for one in caller.calls.values() if [code for _, code in one["answers"]] == [200]]
-    waits = sorted(one["answers"][0][0] - one["at_ms"] for one in good)
-    for one in caller.calls.values():
-        if one not in good:
-            answers = [code for _, code in one["answers"]]
+    answered = [call for call in caller.calls.values() if [code for _, code in call["answers"]] == [200]]
+    latencies_ms = sorted(call["answers"][0][0] - call["at_ms"] for call in answered)
+    for call in caller.calls.values():
+        if call not in answered:
+            codes = [code for _, code in call["answers"]]
             click.echo(
-                f"{one['id']} {(one['at_ms'] / 1000.0) % 1000:.1f} s: {answers}, lost {one['lost']}", err=True
+                f"{call['id']} {(call['at_ms'] / 1000.0) % 1000:.1f} s: {codes}, lost {call['lost']}",
+                err=True,
             )
-    return [len(good) / len(caller.calls), statistics.median(waits), waits[int(len(waits) * 0.99)], busy]
+    return [
+        len(answered) / len(caller.calls),
+        statistics.median(latencies_ms),
+        latencies_ms[int(len(latencies_ms) * 0.99)],
+        core_share,
+    ]
 
 
 def cpu_s(pid: int) -> float:
-    """What a process has used of the processors so far."""
+    """Return the CPU time that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def summed(rounds: list[list[float]]) -> dict[str, list[float]]:
-    """Each figure of the rounds: the least, the median and the greatest."""
+def summarize(rounds: list[list[float]]) -> dict[str, list[float]]:
+    """Return minimum, median and maximum of each value over the rounds."""
     names = ("answered", "p50_ms", "p99_ms", "core")
     return {
-        name: [min(told), statistics.median(told), max(told)]
-        for name, told in zip(names, zip(*rounds, strict=True), strict=True)
+        name: [min(values), statistics.median(values), max(values)]
+        for name, values in zip(names, zip(*rounds, strict=True), strict=True)
     }
 
 
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,6 +1,6 @@
-"""Resident memory of a proxy at its start and after many calls: python -m benchmarks.memory [ROOT] [CALLS].
+"""Benchmarks the resident memory of a proxy at start and after many calls: python -m benchmarks.memory [ROOT] [CALLS].
 
-ROOT is a checkout to measure, this one by default; so that two versions can be compared on one machine.
+ROOT is the checkout to measure (default: this one), so that two versions can be compared on one machine.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 
 def resident_mb(pid: int) -> float:
-    """What the process holds, in MB."""
+    """Return the resident set size of a process in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024.0
-    raise RuntimeError("no VmRSS")
+    raise RuntimeError(f"/proc/{pid}/status has no VmRSS line")
 
 
 def measure(root: Path, calls: int) -> tuple[float, float, float]:
-    """MB at the start, MB after so many calls, and seconds that they took."""
+    """Return the memory in MB at start and after the calls, and the seconds that the calls took."""
     standins.ROOT = root
     server = standins.SetupServer("answer")
     with tempfile.TemporaryDirectory() as folder:
         program = standins.Program(Path(folder), {"s0": server.address})
         try:
-            at_start = resident_mb(program.process.pid)
+            start_mb = resident_mb(program.process.pid)
             caller = standins.Caller(program)
             began = time.monotonic()
             for i in range(calls):
@@ -36,17 +36,17 @@
                 while not caller.hear()[0].startswith(("BYE", "SIP/2.0 5")):
                     pass
             took_s = time.monotonic() - began
-            return at_start, resident_mb(program.process.pid), took_s
+            return start_mb, resident_mb(program.process.pid), took_s
         finally:
             program.stop()
 
 
 def main() -> None:
-    """Print the figures of one checkout."""
+    """Measure one checkout and print the results."""
     root = Path(sys.argv[1]).resolve() if len(sys.argv) > 1 else standins.ROOT
     calls = int(sys.argv[2]) if len(sys.argv) > 2 else 10_000
-    at_start, after, took_s = measure(root, calls)
-    print(f"{root.name}: {at_start:.1f} MB at start, {after:.1f} MB after {calls} calls in {took_s:.1f} s")
+    start_mb, end_mb, took_s = measure(root, calls)
+    print(f"{root.name}: {start_mb:.1f} MB at start, {end_mb:.1f} MB after {calls} calls in {took_s:.1f} s")
 
 
 if __name__ == "__main__":
--- a/benchmarks/trunks.py
+++ b/benchmarks/trunks.py
@@ -1,7 +1,8 @@
-"""What trunk dimensioning costs: python -m benchmarks.trunks. Ratios within one run count, not the times.
+"""Benchmarks trunk dimensioning and traffic records: python -m benchmarks.trunks. Compare ratios within one run only.
 
-Blocking and sizing against the plain recursion, the watcher's cost for a call, and appends to the store: SQLite through
-apsw, as chosen, and lmdb (pip install lmdb) where it is there, each also killed with -9 while it writes.
+Measures blocking and sizing against the plain recursion, the traffic observer's cost per call, and appends to a store:
+SQLite through apsw, which the program uses, and lmdb if it is installed (pip install lmdb); each writer is also killed
+with SIGKILL to check that acknowledged records are kept.
 """
 
 from __future__ import annotations
@@ -25,69 +26,74 @@
 ROUNDS = 5
 
 
-def seconds(work: Callable[[], object], times: int = 1) -> float:
-    """The least time of one call over some rounds."""
+def best_seconds(function: Callable[[], object], repeats: int = 1) -> float:
+    """Return the shortest mean time of one call over all rounds."""
     best = float("inf")
     for _ in range(ROUNDS):
         began = time.perf_counter()
-        for _ in range(times):
-            work()
-        best = min(best, (time.perf_counter() - began) / times)
+        for _ in range(repeats):
+            function()
+        best = min(best, (time.perf_counter() - began) / repeats)
     return best
 
 
-def plain_size(load: float, blocking: float) -> int:
-    """Sizing by the recursion alone: one step for each trunk, until little enough is lost."""
-    lost, n = 1.0, 0
-    while lost > blocking:
-        n += 1
-        lost = load * lost / (n + load * lost)
-    return n
+def size_by_recursion(load: float, blocking: float) -> int:
+    """Size a group by the recursion alone: one step per trunk until the blocking is low enough."""
+    loss, trunks = 1.0, 0
+    while loss > blocking:
+        trunks += 1
+        loss = load * loss / (trunks + load * loss)
+    return trunks
 
 
 def formulas() -> None:
-    """Blocking of one large group, and the sizes of a thousand."""
+    """Measure the blocking of single groups and the sizing of a thousand."""
     for n, load in ((100, 90.0), (10_000, 9900.0), (100_000, 99_000.0)):
-        fast = seconds(lambda n=n, load=load: losses.erlang_b(n, load), 10)
-        plain = seconds(lambda n=n, load=load: losses.erlang_b_by_recursion(n, load))
+        fast_s = best_seconds(lambda n=n, load=load: losses.erlang_b(n, load), 10)
+        recursion_s = best_seconds(lambda n=n, load=load: losses.erlang_b_by_recursion(n, load))
         print(
-            f"blocking at N={n}: {fast * 1e6:.0f} us, recursion {plain * 1e6:.0f} us, {plain / fast:.1f} times"
+            f"blocking at N={n}: {fast_s * 1e6:.0f} us, "
+            f"recursion {recursion_s * 1e6:.0f} us, ratio {recursion_s / fast_s:.1f}"
         )
-    draw = random.Random(1)
-    for name, most in (("small, up to 100 erlangs", 100.0), ("large, up to 5,000 erlangs", 5000.0)):
-        loads = [draw.uniform(0.1, most) for _ in range(1000)]
-        fast = seconds(lambda loads=loads: [losses.trunks_for(load, 0.01) for load in loads])
-        plain = seconds(lambda loads=loads: [plain_size(load, 0.01) for load in loads])
-        assert [losses.trunks_for(load, 0.01) for load in loads] == [plain_size(load, 0.01) for load in loads]
+    rng = random.Random(1)
+    for name, max_load in (("small, up to 100 erlangs", 100.0), ("large, up to 5,000 erlangs", 5000.0)):
+        loads = [rng.uniform(0.1, max_load) for _ in range(1000)]
+        fast_s = best_seconds(lambda loads=loads: [losses.trunks_for(load, 0.01) for load in loads])
+        recursion_s = best_seconds(lambda loads=loads: [size_by_recursion(load, 0.01) for load in loads])
+        assert [losses.trunks_for(load, 0.01) for load in loads] == [
+            size_by_recursion(load, 0.01) for load in loads
+        ]
         print(
-            f"1,000 groups, {name}: {fast * 1e3:.0f} ms, recursion {plain * 1e3:.0f} ms, {plain / fast:.1f} times"
+            f"1,000 groups, {name}: {fast_s * 1e3:.0f} ms, "
+            f"recursion {recursion_s * 1e3:.0f} ms, ratio {recursion_s / fast_s:.1f}"
         )
 
 
-def watcher() -> None:
-    """What a call costs that stands, and one that is refused."""
-    traffic = Traffic(0.0, lambda told: None, lambda *span: None)
+def traffic_observer() -> None:
+    """Measure the cost of an established call and of a refused one."""
+    traffic = Traffic(0.0, lambda interval: None, lambda *span: None)
     requests = [
         SimpleNamespace(destination=i % 4, call_class="plain", number=str(i), redialled=False)
         for i in range(1000)
     ]
-    attempts = [SimpleNamespace(request=one, stands=True, sent_ms=0.0) for one in requests]
+    attempts = [SimpleNamespace(request=request, stands=True, sent_ms=0.0) for request in requests]
 
-    def stand() -> None:
-        for one in attempts:
-            traffic.request_answered(one.request, "stands", 1000.0)
-            traffic.attempt_ended(one, face.Outcome.SERVED, 9000.0)
+    def establish_and_end() -> None:
+        for attempt in attempts:
+            traffic.request_answered(attempt.request, "stands", 1000.0)
+            traffic.attempt_ended(attempt, face.Outcome.SERVED, 9000.0)
 
     def refuse() -> None:
-        for one in requests:
-            traffic.request_answered(one, "refused", 1000.0)
+        for request in requests:
+            traffic.request_answered(request, "refused", 1000.0)
 
     print(
-        f"watcher: {seconds(stand) * 1e3:.2f} us a call that stands and ends, {seconds(refuse) * 1e3:.2f} refused"
+        f"traffic observer: {best_seconds(establish_and_end) * 1e3:.2f} us per established and ended call, "
+        f"{best_seconds(refuse) * 1e3:.2f} us per refused call"
     )
 
 
-WRITES = {
+STORE_SCRIPTS = {
     "apsw": """
 import sys
 from leadslip.store.base import Point, Store
@@ -109,7 +115,7 @@
         return txn.stat()["entries"]
 """,
 }
-RATE = """
+RATE_SCRIPT = """
 import time
 def rss():
     return next(int(l.split()[1]) / 1024 for l in open("/proc/self/status") if l.startswith("VmRSS"))
@@ -120,7 +126,7 @@
     print(f"{rounds * n / (time.perf_counter() - began):.0f} records/s in commits of {n}", end="; ")
 print(f"{rss():.1f} MB resident")
 """
-FOREVER = """
+ENDLESS_WRITE_SCRIPT = """
 i = int(sys.argv[2])
 while True:
     write(i, 20)
@@ -130,39 +136,41 @@
 
 
 def stores() -> None:
-    """Appends, memory, and what is there after kill -9."""
-    for name, begun in WRITES.items():
+    """Measure the append rate, the memory, and the records lost after SIGKILL."""
+    for name, script in STORE_SCRIPTS.items():
         with tempfile.TemporaryDirectory() as folder:
             path = str(Path(folder) / "bench.db")
-            done = _python(begun + RATE, path)
-            if done.returncode:
+            completed = _run_python(script + RATE_SCRIPT, path)
+            if completed.returncode:
                 print(f"store, {name}: not installed")
                 continue
-            print(f"store, {name}: {done.stdout.strip()}")
-            path, acknowledged, missing = str(Path(folder) / "kill.db"), 0, 0
-            for kill in range(20):
-                command = [sys.executable, "-c", begun + FOREVER, path, str(acknowledged)]
-                writing = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
-                for _ in range(20 + kill):
-                    acknowledged = int(writing.stdout.readline())
-                writing.send_signal(signal.SIGKILL)
-                for line in writing.communicate()[0].split():
+            print(f"store, {name}: {completed.stdout.strip()}")
+            path, acknowledged, kills_with_loss = str(Path(folder) / "kill.db"), 0, 0
+            for kill_number in range(20):
+                command = [sys.executable, "-c", script + ENDLESS_WRITE_SCRIPT, path, str(acknowledged)]
+                writer = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
+                for _ in range(20 + kill_number):
+                    acknowledged = int(writer.stdout.readline())
+                writer.send_signal(signal.SIGKILL)
+                for line in writer.communicate()[0].split():
                     acknowledged = int(line)
-                held = int(_python(begun + "print(count())", path).stdout)
-                missing += held < acknowledged
-                acknowledged = held
-            print(f"store, {name}: 20 kills -9 while writing, {missing} with an acknowledged record missing")
+                stored = int(_run_python(script + "print(count())", path).stdout)
+                kills_with_loss += stored < acknowledged
+                acknowledged = stored
+            print(
+                f"store, {name}: 20 times SIGKILL while writing, {kills_with_loss} with an acknowledged record missing"
+            )
 
 
-def _python(text: str, path: str) -> subprocess.CompletedProcess:
-    return subprocess.run([sys.executable, "-c", text, path], capture_output=True, text=True, check=False)
+def _run_python(code: str, path: str) -> subprocess.CompletedProcess:
+    return subprocess.run([sys.executable, "-c", code, path], capture_output=True, text=True, check=False)
 
 
 def main() -> None:
-    """Print all figures, and the machine."""
+    """Print the machine and all results."""
     print(f"{platform.python_implementation()} {platform.python_version()}, {os.cpu_count()} cores")
     formulas()
-    watcher()
+    traffic_observer()
     stores()
 
 
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,13 +1,13 @@
 #!/bin/sh
-# Leave all that `run` and `sim` need in .venv: what requirements.txt names, and bytecode of the kind that `-O` reads.
-# pip writes the plain kind alone, and where the file system is read-only each start would compile everything anew.
+# Creates .venv with the packages of requirements.txt and the optimized bytecode that `python -O` loads for `run` and
+# `sim`. pip writes unoptimized bytecode only; on a read-only file system every start would compile everything again.
 set -eu
 wanted="$(python3 --version; cat requirements.txt)"
 if [ ! -x .venv/bin/python ] || [ "$(cat .venv/built 2>/dev/null)" != "$wanted" ]; then
     rm -rf .venv
     python3 -m venv .venv
     .venv/bin/pip -q --disable-pip-version-check install -r requirements.txt
-    # Packages may bring templates that are no Python by themselves: those are not compiled, and not imported.
+    # Packages may contain templates that are not valid Python: these fail to compile but are never imported.
     .venv/bin/python -O -m compileall -q .venv/lib >/dev/null || true
     printf '%s\n' "$wanted" >.venv/built
 fi
--- a/example/call.py
+++ b/example/call.py
@@ -1,4 +1,4 @@
-"""Places one call through the proxy and prints what comes back until the call is over."""
+"""Places one call through the proxy and prints all responses until the call has ended."""
 
 import secrets
 import socket
@@ -15,9 +15,9 @@
 
 """.replace("\n", "\r\n")
 
-with socket.create_connection(("127.0.0.1", 5060), timeout=10) as link:
-    link.sendall(INVITE.encode() + BODY)
-    heard = b""
-    while b"BYE " not in heard:
-        heard += link.recv(4096)
-    print(heard.decode())
+with socket.create_connection(("127.0.0.1", 5060), timeout=10) as connection:
+    connection.sendall(INVITE.encode() + BODY)
+    received = b""
+    while b"BYE " not in received:
+        received += connection.recv(4096)
+    print(received.decode())
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,6 +1,6 @@
-"""A toy setup server and notice board: every call stands at once and ends after a second.
+"""Runs a toy setup server and notice board: every call is established at once and ends after one second.
 
-Start it, then the proxy (NODE_CONFIG=example/config.json), then example/call.py.
+Start this first, then the proxy (NODE_CONFIG=example/config.json), then example/call.py.
 """
 
 from leadslip.cli.toy import start_by_hand
