--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -40,11 +40,12 @@
 
 PHI_8 = -statistics.NormalDist().inv_cdf(1e-8)  # standard deviations of silence at which phi is 8
 WINDOW_S = 10  # sliding window of the peak traffic that is reported besides the mean
+# Active components of Lifeguard; "no telling" is without priority updates to suspected members.
 PARTS = ("all", "no health", "no confirmation", "no telling", "none")
 
 
 def disable_lifeguard(parts: str) -> None:
-    """Disable components of Lifeguard in this process, by the option --parts."""
+    """Disable, for this process, the Lifeguard components that the option --parts leaves out."""
     if parts in ("no health", "none"):
         suspicion.Health.scaled = lambda self, span_ms: span_ms
     if parts in ("no confirmation", "none"):
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -3,6 +3,6 @@
 Start this first, then the proxy (NODE_CONFIG=example/config.json), then example/call.py.
 """
 
-from leadslip.cli.toy import start_by_hand
+from leadslip.cli.toy import serve_on_example_ports
 
-start_by_hand()
+serve_on_example_ports()
--- a/leadslip/cli/demo.py
+++ b/leadslip/cli/demo.py
@@ -190,6 +190,7 @@
             self.demo_run.place_next_call()
 
         def invite(self, number: int, call_class: str) -> None:
+            """Send the INVITE of call `number`."""
             from leadslip.cli.toy import OFFER
 
             call_id = f"{number:016x}"
@@ -222,6 +223,7 @@
                 self.setLineMode(rest)
 
         def on_message(self, start_line: str, headers: dict[str, str]) -> None:
+            """Report and count a final response or a BYE; messages of unknown calls are ignored."""
             number = self.numbers.get(headers.get("Call-ID", ""))
             if number is None:
                 return
--- a/leadslip/cli/lab.py
+++ b/leadslip/cli/lab.py
@@ -44,6 +44,8 @@
         for breach in result["breaches"][:20]
     ]
     print_result(
-        result, json_, lines + (format_table(("invariant", "at ms", "member", "details"), rows) if rows else [])
+        result,
+        json_,
+        lines + (format_table(("invariant", "at ms", "member", "details"), rows) if rows else []),
     )
     sys.exit(int(not result["held"]))
--- a/leadslip/cli/toy.py
+++ b/leadslip/cli/toy.py
@@ -134,7 +134,7 @@
     reactor.run()
 
 
-def start_by_hand() -> None:
+def serve_on_example_ports() -> None:
     """Listen on the ports named in example/config.json until interrupted."""
     from twisted.internet import reactor
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -116,6 +116,7 @@
 
 @pytest.fixture
 def history(tmp_path):
+    """Path of a store with eight days of traffic: a surge on one day, and one missing interval."""
     path = str(tmp_path / "leadslip.db")
     store = Store(path)
     intervals = days(8, lambda day, q: (50.0 if day == 5 else 20.0) if 50 <= q < 54 else 2.0)
