--- a/leadslip/fleet/agreement/__init__.py
+++ b/leadslip/fleet/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""Settings and lists with versions, on which the proxies of a fleet agree. No I/O."""
+"""Replicated, versioned configuration shared by the proxies of a fleet: a Raft log and its readers. Performs no I/O."""
--- a/leadslip/fleet/agreement/filter.py
+++ b/leadslip/fleet/agreement/filter.py
@@ -1,7 +1,7 @@
-"""The agreed rules ahead of the decisions: what is in force is looked at in each call, at its moment. No I/O.
+"""Request filter that applies the agreed rules: the rules in effect are read anew for each call. Performs no I/O.
 
-`bars` refuses; `held`, `classes` and `reserve` are put to the engine when what is in force has changed, before the call
-that finds it changed is decided. The clock is the fleet's.
+`bars` refuses calls here; `held`, `classes` and `reserve` are passed to the engine when the rules in effect have
+changed, before the first call under the new rules is decided. The clock is the fleet's.
 """
 
 from __future__ import annotations
@@ -17,89 +17,93 @@
 from leadslip.fleet.agreement.member import Agreement, Rules
 from leadslip.request import Request
 
-TELL_MS = 250.0  # a history tells of what is still acted on again after so long
+REPORT_INTERVAL_MS = 250.0  # between two reports of unchanged rules to a history
 
 
-class Applies(Protocol):
-    """What the rules are put to: the proxy's engine and its reservation, with its own file's settings."""
+class RulesTarget(Protocol):
+    """What the rules are applied to: the proxy's engine and trunk reservation, with the settings of its own file."""
 
     def settings(self) -> face.Settings:
-        """As in the proxy's own file."""
+        """The settings of the proxy's own file."""
 
-    def adopt(self, settings: face.Settings) -> None: ...
+    def adopt(self, settings: face.Settings) -> None:
+        """Applies these settings in place of the current ones."""
 
-    def hold(self, servers: frozenset[str]) -> None: ...
+    def hold(self, servers: frozenset[str]) -> None:
+        """Takes exactly these setup servers out of rotation."""
 
-    def keep(self, lines: dict[str, int]) -> None: ...
+    def keep(self, lines: dict[str, int]) -> None:
+        """Reserves lines for the first class, by trunk group."""
 
 
 class AgreedRules:
-    """The filter."""
+    """Filter that refuses barred calls and keeps the target's settings in line with the rules in effect."""
 
     name = "agreed"
 
     def __init__(
-        self, agreement: Agreement, clock: Clock, to: Applies, tell: Callable[..., None] | None
+        self, agreement: Agreement, clock: Clock, target: RulesTarget, report: Callable[..., None] | None
     ) -> None:
-        self.agreement, self.clock, self.to, self.tell = agreement, clock, to, tell
+        self.agreement, self.clock, self.target, self.report = agreement, clock, target, report
         self.rules: Rules | None = None
         self.bars = Bars()
-        self.used_ms = self.told_ms = 0.0
+        self.last_decision_ms = self.reported_ms = 0.0
 
     def admit(self, request: Request, now_ms: float) -> Refused | None:
-        at_ms = self.clock.now_ms()
-        rules = self.agreement.in_force(at_ms)
+        """Refuses a call that the rules in effect bar; applies changed rules first."""
+        fleet_now_ms = self.clock.now_ms()
+        rules = self.agreement.in_force(fleet_now_ms)
         if rules is not self.rules:
-            self._change(rules, at_ms)
-            request.most_tries = self.to.settings().max_attempts
+            self._apply_rules(rules, fleet_now_ms)
+            request.most_tries = self.target.settings().max_attempts
             if rules.most_tries is not None:
                 request.most_tries = min(request.most_tries, rules.most_tries)
-        elif self.tell is not None and at_ms - self.told_ms > TELL_MS:
-            self._tell(rules, at_ms)
-        self.used_ms = at_ms
+        elif self.report is not None and fleet_now_ms - self.reported_ms > REPORT_INTERVAL_MS:
+            self._report_rules(rules, fleet_now_ms)
+        self.last_decision_ms = fleet_now_ms
         bars = self.bars
         if request.destination in bars.destinations or request.number.startswith(tuple(bars.prefixes)):
             return Refused()
         return None
 
-    def _tell(self, rules: Rules, at_ms: float) -> None:
-        """For a drill's history: what is acted on, and until when what was before."""
-        self.told_ms = at_ms
-        told = {"revision": rules.revision, "agreed": rules.agreed, "mark": f"{rules.mark:08x}"}
-        self.tell(do="acts", until_ms=self.used_ms, **told)
+    def _report_rules(self, rules: Rules, fleet_now_ms: float) -> None:
+        """Reports to a history which rules are applied, and until when the previous ones were."""
+        self.reported_ms = fleet_now_ms
+        fields = {"revision": rules.revision, "agreed": rules.agreed, "mark": f"{rules.mark:08x}"}
+        self.report(do="acts", until_ms=self.last_decision_ms, **fields)
 
-    def _change(self, rules: Rules, at_ms: float) -> None:
-        """Act on these from this call on."""
-        if self.tell is not None:
-            self._tell(rules, at_ms)
+    def _apply_rules(self, rules: Rules, fleet_now_ms: float) -> None:
+        """Applies these rules from this call on."""
+        if self.report is not None:
+            self._report_rules(rules, fleet_now_ms)
         self.rules = rules
         documents = rules.documents
         self.bars = documents.get("bars", Bars())
-        settings = self.to.settings()
+        settings = self.target.settings()
         classes = documents.get("classes")
         if isinstance(classes, Classes):
-            told = {one.name: one for one in classes.classes}
-            held = tuple(
+            agreed_classes = {agreed_class.name: agreed_class for agreed_class in classes.classes}
+            merged_classes = tuple(
                 replace(
-                    kind,
-                    worth=told[kind.name].worth,
-                    late_worth=told[kind.name].late_worth,
-                    aim_ms=told[kind.name].aim_ms,
-                    deadline_ms=told[kind.name].deadline_ms,
+                    call_class,
+                    worth=agreed_classes[call_class.name].worth,
+                    late_worth=agreed_classes[call_class.name].late_worth,
+                    aim_ms=agreed_classes[call_class.name].aim_ms,
+                    deadline_ms=agreed_classes[call_class.name].deadline_ms,
                 )
-                if kind.name in told
-                else kind
-                for kind in settings.classes
+                if call_class.name in agreed_classes
+                else call_class
+                for call_class in settings.classes
             )
-            settings = replace(settings, classes=held)
+            settings = replace(settings, classes=merged_classes)
         if rules.most_tries is not None:
             settings = replace(settings, max_attempts=min(settings.max_attempts, rules.most_tries))
-        self.to.adopt(settings)
-        self.to.hold(frozenset(documents.get("held", Held()).servers))
-        self.to.keep(documents.get("reserve", Reserve()).lines)
+        self.target.adopt(settings)
+        self.target.hold(frozenset(documents.get("held", Held()).servers))
+        self.target.keep(documents.get("reserve", Reserve()).lines)
 
     def stood(self, request: Request, now_ms: float) -> None:
-        """Nothing is held of a call."""
+        """Does nothing: the filter keeps no state per call."""
 
     def ended(self, request: Request, now_ms: float) -> None:
-        """Nothing is held of a call."""
+        """Does nothing: the filter keeps no state per call."""
--- a/leadslip/fleet/agreement/member.py
+++ b/leadslip/fleet/agreement/member.py
@@ -1,14 +1,16 @@
-"""One proxy's part in the agreement: a voter or a learner, and what of the agreed may be acted on now. No I/O.
-
-Driven by `received`, `vouched_by`, `seen` (the view has changed), `saved`, `due` and the operators' acts; it gives
-messages in `out`, saves in `saves` and a time to be woken at. Voters hold the log (raft.py) and what it amounts to
-(documents.py). All others learn: who hears in an answer that a newer revision is vouched for asks its teller for the
-list of hashes, and then for the bodies that it lacks, a piece at a time, from whoever has them; what has come so far is
-kept when the teller goes. A body is taken by its hash alone.
-
-Copies that differ: an answer tells a mark of the contents of its revision. A learner whose own copy has another mark
-asks a voter; if the voter's differs too, its copy is quarantined (dropped, counted, told by name) and fetched anew, and
-else it was the teller's that is wrong. A voter that differs from its leader stops by name.
+"""Agreement member of one proxy: a Raft voter or a learner, and the rules that may be applied now. Performs no I/O.
+
+Driven by `received`, `vouched_by`, `on_view_change`, `saved`, `due` and operators' requests; it leaves
+messages in `out`, saves in `saves` and the next wake-up in `wake_ms`. Voters have the log (raft.py) and apply it to
+the documents (documents.py). All other members are learners: one that sees in an answer that a newer revision is
+known asks the answering member for the hashes of its documents, and then for the bodies that it lacks, one chunk at a
+time, from any member that has them. Chunks already received are retained when that member goes away. A body is
+accepted by its hash alone.
+
+Diverging replicas: an answer contains a checksum of its revision's contents. A learner whose own checksum differs asks
+a voter; if the voter's differs too, the learner's replica is quarantined (dropped, counted, logged) and fetched anew,
+otherwise the replica of the answering member is the wrong one. A voter that diverges from its leader stops with an
+error.
 """
 
 from __future__ import annotations
@@ -22,7 +24,7 @@
 
 from leadslip.checks import Tally
 from leadslip.errors import OperatorError
-from leadslip.fleet.agreement import raft as log
+from leadslip.fleet.agreement import raft as raft_messages
 from leadslip.fleet.agreement.documents import (
     Classes,
     Documents,
@@ -35,15 +37,15 @@
     read,
 )
 from leadslip.fleet.agreement.raft import Entry, Kept, Kind, Pace, Raft, RaftError, Role, Save, Snapshot
-from leadslip.fleet.agreement.vouch import Vouched
+from leadslip.fleet.agreement.vouch import Freshness
 from leadslip.fleet.view.members import Change, Member, process_of
 from leadslip.fleet.view.view import View
 
-PIECE = 32 * 1024  # bytes of a body in one message
-ASK_AGAIN_MS = 400.0  # an unanswered question is put again after so long
-COMPACT_EVERY = 200  # entries behind the snapshot from which on there is a new one
-MOST_ASKED = 256  # changes that others have proposed here and that are not settled yet
-CONFIRM_MS = 100.0  # between two looks whether we still lead
+CHUNK_BYTES = 32 * 1024  # of a body in one message
+RETRY_MS = 400.0  # between two sends of an unanswered request
+COMPACT_AFTER_ENTRIES = 200  # applied entries after the snapshot that trigger the next one
+MAX_UNCOMMITTED_PROPOSALS = 256  # proposed here and not committed yet
+BOOTSTRAP_INTERVAL_MS = 100.0  # between two bootstrap attempts or messages
 
 
 class StoppedError(OperatorError):
@@ -71,22 +73,22 @@
     action = "Read the settings anew, make the change to them, and send it with their revision and a new id."
 
 
-class Found(msgspec.Struct, array_like=True, frozen=True, tag=30):
-    """The first list of voters, by the ids on their blank disks."""
+class Bootstrap(msgspec.Struct, array_like=True, frozen=True, tag=30):
+    """Bootstrap: the first list of voters, by the ids on their empty disks."""
 
     voters: list[str]
 
 
 class Propose(msgspec.Struct, array_like=True, frozen=True, tag=31):
-    """A change, or a list of voters, to be settled by the leader; it may come again under the same id."""
+    """A change, or a list of voters, for the leader to commit; may be sent again under the same id."""
 
     id: str
     change: Proposal | None
     voters: list[str] = []
 
 
-class Proposed(msgspec.Struct, array_like=True, frozen=True, tag=32):
-    """What became of it: settled with an outcome, refused by a rule, or `leader` is to be asked."""
+class ProposeReply(msgspec.Struct, array_like=True, frozen=True, tag=32):
+    """Reply to Propose: its result, the rule that refuses it, or in `leader` the voter to ask."""
 
     id: str
     revision: int = -1
@@ -95,43 +97,59 @@
     leader: str = ""
 
 
-class AskList(msgspec.Struct, array_like=True, frozen=True, tag=33):
-    """What do you hold, if it is of this revision or newer?"""
+class HashesRequest(msgspec.Struct, array_like=True, frozen=True, tag=33):
+    """Asks for the document hashes of the newest revision, if it is this one or newer."""
 
     revision: int
 
 
-class Listed(msgspec.Struct, array_like=True, frozen=True, tag=34):
+class RevisionHashes(msgspec.Struct, array_like=True, frozen=True, tag=34):
     """A revision and the hash of each of its documents."""
 
     revision: int
     hashes: dict[str, str]
 
 
-class AskPiece(msgspec.Struct, array_like=True, frozen=True, tag=35):
-    """Of the body with this hash, from this byte on."""
+class ChunkRequest(msgspec.Struct, array_like=True, frozen=True, tag=35):
+    """Asks for a chunk of the body with this hash, from this byte on."""
 
     hash: str
-    at: int
+    offset: int
 
 
-class Piece(msgspec.Struct, array_like=True, frozen=True, tag=36):
-    """A piece of a body; `whole` tells how long the body is (0: it is not held here)."""
+class Chunk(msgspec.Struct, array_like=True, frozen=True, tag=36):
+    """A chunk of a body; `size` is the length of the complete body (0: the sender does not have it)."""
 
     hash: str
-    at: int
-    whole: int
+    offset: int
+    size: int
     data: bytes
 
 
-Said = log.Any | Found | Propose | Proposed | AskList | Listed | AskPiece | Piece
-_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Said)
-RAFT = (log.AskVote, log.Vote, log.Append, log.Appended, log.Install, log.Succeed)
+Message = (
+    raft_messages.AnyMessage
+    | Bootstrap
+    | Propose
+    | ProposeReply
+    | HashesRequest
+    | RevisionHashes
+    | ChunkRequest
+    | Chunk
+)
+_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
+RAFT_MESSAGES = (
+    raft_messages.VoteRequest,
+    raft_messages.VoteReply,
+    raft_messages.AppendEntries,
+    raft_messages.AppendReply,
+    raft_messages.InstallSnapshot,
+    raft_messages.TimeoutNow,
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What a proxy acts on: agreed documents read, or the isolated rules in their place."""
+    """The rules that a proxy applies: the parsed documents of a revision, or the fallback rules."""
 
     revision: int
     agreed: bool
@@ -139,24 +157,27 @@
     documents: Mapping[str, Strict]
 
     @classmethod
-    def of(cls, held: Held) -> Rules | None:
-        """The rules of a revision; None where this version can't read one of its documents."""
+    def of(cls, contents: RevisionContents) -> Rules | None:
+        """Returns the rules of a revision; None if this version of the program can't read one of its documents."""
         try:
             return cls(
-                held.revision, True, held.mark, {name: read(name, body) for name, body in held.bodies.items()}
+                contents.revision,
+                True,
+                contents.mark,
+                {name: read(name, body) for name, body in contents.bodies.items()},
             )
         except RefusedError:
             return None
 
     @classmethod
-    def alone(cls, isolated: Isolated, revision: int = 0, mark: int = 0) -> Rules:
-        """The isolated rules, as of a revision."""
+    def fallback(cls, isolated: Isolated, revision: int = 0, mark: int = 0) -> Rules:
+        """Returns the fallback rules as of a revision."""
         documents = {"bars": isolated.bars, "held": isolated.held, "reserve": isolated.reserve}
         return cls(revision, False, mark, documents | {"isolated": isolated})
 
     @property
     def most_tries(self) -> int | None:
-        """Attempts that a call may have; None: as in the proxy's own file."""
+        """Maximum number of attempts per call; None: as in the proxy's own file."""
         if not self.agreed:
             return self.documents["isolated"].most_tries
         classes = self.documents.get("classes")
@@ -164,52 +185,57 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """A revision's documents, whole."""
+class RevisionContents:
+    """The complete documents of a revision, and their checksum."""
 
     revision: int
     bodies: Mapping[str, bytes]
     mark: int
 
     @classmethod
-    def of(cls, revision: int, bodies: Mapping[str, bytes]) -> Held:
-        return cls(revision, dict(bodies), mark_of(revision, {n: hash_of(b) for n, b in bodies.items()}))
+    def of(cls, revision: int, bodies: Mapping[str, bytes]) -> RevisionContents:
+        """Copies the bodies and computes their checksum."""
+        return cls(
+            revision,
+            dict(bodies),
+            contents_checksum(revision, {name: hash_of(body) for name, body in bodies.items()}),
+        )
 
 
-def mark_of(revision: int, hashes: Mapping[str, str]) -> int:
-    """32 bits of a revision's contents."""
-    told = f"{revision} {sorted(hashes.items())}"
-    return int.from_bytes(blake2b(told.encode(), digest_size=4, person=b"leadslip-mark").digest())
+def contents_checksum(revision: int, hashes: Mapping[str, str]) -> int:
+    """Returns a 32-bit checksum of a revision's contents."""
+    text = f"{revision} {sorted(hashes.items())}"
+    return int.from_bytes(blake2b(text.encode(), digest_size=4, person=b"leadslip-mark").digest())
 
 
 @dataclass(slots=True)
 class Fetch:
-    """A revision on its way here: its hashes, and what has come of the bodies that we lack."""
+    """A revision being fetched: its document hashes, and the received parts of the missing bodies."""
 
-    run: int  # of who is asked
+    run: int  # of the member that is asked; 0: choose another
     asked_ms: float
-    want: int  # the least revision
-    listed: Listed | None = None
-    parts: dict[str, bytearray] = field(default_factory=dict)  # hash -> what has come
+    min_revision: int
+    revision_hashes: RevisionHashes | None = None
+    received: dict[str, bytearray] = field(default_factory=dict)  # hash -> bytes received so far
 
 
 @dataclass(slots=True)
-class Act:
-    """A change of an operator here, on its way to whoever leads."""
+class PendingProposal:
+    """A change that an operator has proposed here, until the leader has answered it."""
 
-    propose: Propose
-    until_ms: float
+    request: Propose
+    deadline_ms: float
     done: Callable[[Outcome | OperatorError], None]
     asked_ms: float = -float("inf")
-    leader: str = ""  # as the voter that answered last told
-    told_ms: float = -float("inf")  # when the leader itself was asked last
+    leader: str = ""  # as named by the voter that answered last
+    leader_asked_ms: float = -float("inf")  # when the leader itself was last asked
 
 
-NONE = Held(0, {}, mark_of(0, {}))
+NO_REVISION = RevisionContents(0, {}, contents_checksum(0, {}))
 
 
 class Agreement:
-    """One proxy's part."""
+    """The agreement member of one proxy."""
 
     def __init__(
         self,
@@ -219,387 +245,434 @@
         isolated: Isolated,
         draw: Random,
         tally: Tally,
-        tell: Callable[..., None],
+        log_event: Callable[..., None],
         pace: Pace = Pace(),  # noqa: B008
     ) -> None:
-        self.view, self.names, self.isolated, self.draw, self.tally, self.tell = (
+        self.view, self.voter_names, self.isolated, self.draw, self.tally, self.log_event = (
             view,
             voters,
             isolated,
             draw,
             tally,
-            tell,
+            log_event,
         )
         self.pace = pace
         self.out: list[tuple[int, bytes]] = []
         self.saves: list[Save] = []
         self.wake_ms = float("inf")
-        self.vouched = Vouched(in_force_ms)
-        self.held, self.next = NONE, NONE  # acted on, and the newest that is here whole
-        self.rules: Rules | None = Rules.of(NONE)
-        self.alone = Rules.alone(isolated)
+        self.freshness = Freshness(in_force_ms)
+        self.held, self.newest = NO_REVISION, NO_REVISION  # applied, and the newest that is complete here
+        self.rules: Rules | None = Rules.of(NO_REVISION)
+        self.alone = Rules.fallback(isolated)
         self.fetch: Fetch | None = None
-        self.acts: dict[str, Act] = {}
-        # Of a voter alone:
-        self.id, self.starts, self.blank, self.stopped = "", 0, True, ""
-        self.kept: Kept | None = None
+        self.pending: dict[str, PendingProposal] = {}  # by change id
+        # Used by voters only:
+        self.id, self.starts, self.blank, self.stop_reason = "", 0, True, ""
+        self.persistent_state: Kept | None = None
         self.raft: Raft | None = None
         self.documents = Documents()
-        self.revision_at: list[tuple[int, int]] = [(0, 0)]  # an entry's index -> the revision as of it
-        self.told_ms = -float("inf")  # when those in the first list were told of it
-        self.asked: dict[str, int] = {}  # changes proposed here by others -> their run
+        self.revision_at: list[tuple[int, int]] = [(0, 0)]  # (index of an entry, the revision as of it)
+        self.bootstrap_sent_ms = -float("inf")  # when the first list was last sent to the others
+        self.proposers: dict[str, int] = {}  # uncommitted change id -> run of the proposing member
         view.vouch, view.vouched_by = self.vouch, self.vouched_by
-        view.listeners.append(self.seen)
+        view.listeners.append(self.on_view_change)
 
-    # The life of it.
+    # Start, bootstrap and stop.
 
-    def votes_with(self, id_: str, starts: int, kept: Kept) -> None:
-        """This proxy has a voter's disk."""
-        self.id, self.starts, self.kept = id_, starts, kept
-        self.blank = not kept.snapshot.voters
+    def votes_with(self, id_: str, starts: int, persistent_state: Kept) -> None:
+        """Makes this member a voter, with the id, start counter and state of its disk."""
+        self.id, self.starts, self.persistent_state = id_, starts, persistent_state
+        self.blank = not persistent_state.snapshot.voters
 
     def facts(self) -> dict[str, str | int]:
-        """What other members have to know of this voter."""
+        """Returns the metadata by which other members recognize this voter."""
         if not self.id:
             return {}
         return {"voter": self.id, "starts": self.starts, "blank": int(self.blank)}
 
     def due(self, now_ms: float) -> None:
-        """Do what is due; to be called at wake_ms, and no harm if sooner or later."""
-        self._vote(now_ms)
+        """Runs the expired timers; to be called at wake_ms, but calls at other times are harmless."""
+        self._start_voting(now_ms)
         if self.raft is not None:
             self.raft.due(now_ms)
-            self._led(now_ms)
-        self._drive(now_ms)
+            self._after_raft_step(now_ms)
+        self._step(now_ms)
 
-    def _vote(self, now_ms: float) -> None:
-        """Begin to vote, once it is known who has been here before and, at the first time, who votes."""
+    def _start_voting(self, now_ms: float) -> None:
+        """Starts voting unless the view shows a later use of this disk; at first only once the voters are known."""
         if (
             self.raft is not None
-            or self.kept is None
-            or self.stopped
-            or not (self.view.joined or len(self.names) == 1)
+            or self.persistent_state is None
+            or self.stop_reason
+            or not (self.view.joined or len(self.voter_names) == 1)
         ):
             return
-        if self._old_copy():
-            self._stop("its disk is an older copy of itself")
+        if self._is_disk_outdated():
+            self._stop("its disk is an older copy of the disk that it last voted with")
             return
         if self.blank:
-            self._found()
+            self._bootstrap()
         if not self.blank:
             self._begin(now_ms)
 
     def _begin(self, now_ms: float) -> None:
-        kept = self.kept
-        self.documents = Documents.load(kept.snapshot.data)
-        self.revision_at = [(kept.snapshot.index, self.documents.revision)]
-        self.raft = Raft(self.id, kept, self.draw, self.tally, self._committed, self.pace)
+        persistent_state = self.persistent_state
+        self.documents = Documents.load(persistent_state.snapshot.data)
+        self.revision_at = [(persistent_state.snapshot.index, self.documents.revision)]
+        self.raft = Raft(self.id, persistent_state, self.draw, self.tally, self._on_committed, self.pace)
         self.raft.start(now_ms)
-        if self.documents.revision > self.next.revision:
-            self.next = Held.of(self.documents.revision, self.documents.bodies)
+        if self.documents.revision > self.newest.revision:
+            self.newest = RevisionContents.of(self.documents.revision, self.documents.bodies)
 
-    def _voters_there(self) -> dict[str, Member]:
-        """Members that live and tell a voter's id, by it."""
-        return {str(one.facts["voter"]): one for one in self.view.members() if "voter" in one.facts}
+    def _live_voters(self) -> dict[str, Member]:
+        """Returns the live members that announce a voter id, by that id."""
+        return {
+            str(member.facts["voter"]): member for member in self.view.members() if "voter" in member.facts
+        }
 
-    def _old_copy(self) -> bool:
-        """Whether a process before us had this voter's disk at a later start than ours."""
-        mine = process_of(self.view.run)
+    def _is_disk_outdated(self) -> bool:
+        """Whether another process has announced this voter's id with a start counter not below ours."""
+        own_process = process_of(self.view.run)
         return any(
-            one.facts.get("voter") == self.id
-            and process_of(one.run) != mine
-            and int(one.facts.get("starts", 0)) >= self.starts
-            for one in self.view.table
+            member.facts.get("voter") == self.id
+            and process_of(member.run) != own_process
+            and int(member.facts.get("starts", 0)) >= self.starts
+            for member in self.view.table
         )
 
-    def _found(self) -> None:
-        """The first named founds the list, once all named are there and blank; the others take it from it alone.
+    def _bootstrap(self) -> None:
+        """Creates the first list of voters once all named voters are live with empty disks.
 
-        Guards against two first lists: only one process may make one, and only for those who hold none.
+        Prevents two first lists: only the first named voter may create one, and only for voters without a list.
         """
-        if self.view.me.name != self.names[0]:
+        if self.view.me.name != self.voter_names[0]:
             return
-        there = {one.name: one for one in self._voters_there().values() if one.facts.get("blank")}
-        if not all(name in there for name in self.names):
+        blank_voters = {
+            member.name: member for member in self._live_voters().values() if member.facts.get("blank")
+        }
+        if not all(name in blank_voters for name in self.voter_names):
             return
-        self._founded(sorted(str(there[name].facts["voter"]) for name in self.names))
+        self._accept_voters(sorted(str(blank_voters[name].facts["voter"]) for name in self.voter_names))
 
-    def _founded(self, voters: list[str]) -> None:
+    def _accept_voters(self, voters: list[str]) -> None:
         snapshot = Snapshot(0, 0, voters, b"")
-        self.kept = Kept(0, "", snapshot, [])
+        self.persistent_state = Kept(0, "", snapshot, [])
         self.blank = False
         self.saves.append(Save(0, 0, "", snapshot=snapshot))
         self.tally.add("agreement.founded")
 
-    def _found_others(self, now_ms: float) -> None:
-        """Tell the first list to those in it who are blank still."""
+    def _bootstrap_others(self, now_ms: float) -> None:
+        """Sends the first list to its voters whose disks are still empty."""
         raft = self.raft
-        if raft is None or raft.snapshot.index or self.view.me.name != self.names[0]:
+        if raft is None or raft.snapshot.index or self.view.me.name != self.voter_names[0]:
             return
-        there = self._voters_there()
-        blank = [id_ for id_ in raft.snapshot.voters if id_ in there and there[id_].facts.get("blank")]
-        if blank and now_ms - self.told_ms > CONFIRM_MS:
-            self.told_ms = now_ms
+        live_voters = self._live_voters()
+        blank = [
+            id_ for id_ in raft.snapshot.voters if id_ in live_voters and live_voters[id_].facts.get("blank")
+        ]
+        if blank and now_ms - self.bootstrap_sent_ms > BOOTSTRAP_INTERVAL_MS:
+            self.bootstrap_sent_ms = now_ms
             for id_ in blank:
                 if id_ != self.id:
-                    self._say(there[id_].run, Found(raft.snapshot.voters))
+                    self._send(live_voters[id_].run, Bootstrap(raft.snapshot.voters))
 
-    def _stop(self, why: str) -> None:
-        self.stopped, self.raft = why, None
+    def _stop(self, reason: str) -> None:
+        self.stop_reason, self.raft = reason, None
         self.tally.add("agreement.stopped")
-        fault = StoppedError(f"voter {self.id} has stopped: {why}")
-        self.tell("agreement.stopped", level="error", **fault.fields())
+        error = StoppedError(f"voter {self.id} has stopped: {reason}")
+        self.log_event("agreement.stopped", level="error", **error.fields())
 
-    def failed(self, why: str) -> None:
-        """A save did not reach the disk."""
-        if not self.stopped:
-            self._stop(why)
+    def on_save_failed(self, reason: str) -> None:
+        """Stops the voter, as a save could not be written."""
+        if not self.stop_reason:
+            self._stop(reason)
 
     def saved(self, now_ms: float, number: int) -> None:
-        """All saves up to this one are on disk."""
+        """Handles the report that all saves up to this number are on disk."""
         if self.raft is not None and number:
             self.raft.saved(now_ms, number)
-            self._led(now_ms)
-        self._drive(now_ms)
-
-    def seen(self, change: Change) -> None:
-        """The view has changed: there may be voters to begin with, or one that was here before us."""
-        about = self.raft is not None and change.now is not None and change.now.facts.get("voter") == self.id
-        if about and self._old_copy():
-            self._stop("another process has its disk, at a later start")
+            self._after_raft_step(now_ms)
+        self._step(now_ms)
+
+    def on_view_change(self, change: Change) -> None:
+        """Handles a change of the view: voters may have appeared, or another process with this voter's disk."""
+        may_be_our_disk = (
+            self.raft is not None and change.now is not None and change.now.facts.get("voter") == self.id
+        )
+        if may_be_our_disk and self._is_disk_outdated():
+            self._stop("another process runs with its disk, started later")
         self.wake_ms = min(self.wake_ms, 0.0)
 
-    # What arrives.
+    # Messages.
 
     def received(self, now_ms: float, run: int, body: bytes) -> None:
-        """A member's message."""
+        """Handles a message of another member."""
         try:
-            told = _decoder.decode(body)
+            message = _decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             self.tally.add("agreement.unknown")
             return
-        match told:
-            case Found():
-                if self.blank and self.id in told.voters and self.raft is None and not self.stopped:
-                    self._founded(told.voters)
-                    self._vote(now_ms)
+        match message:
+            case Bootstrap():
+                if self.blank and self.id in message.voters and self.raft is None and not self.stop_reason:
+                    self._accept_voters(message.voters)
+                    self._start_voting(now_ms)
             case Propose():
-                self._proposed(now_ms, run, told)
-            case Proposed():
-                self._answered(now_ms, told)
-            case AskList():
-                if self.next.revision >= told.revision:
-                    hashes = {name: hash_of(one) for name, one in self.next.bodies.items()}
-                    self._say(run, Listed(self.next.revision, hashes))
-            case Listed():
-                self._listed(now_ms, run, told)
-            case AskPiece():
-                held = next((one for one in self.next.bodies.values() if hash_of(one) == told.hash), b"")
-                self._say(run, Piece(told.hash, told.at, len(held), held[told.at : told.at + PIECE]))
-            case Piece():
-                self._piece(now_ms, run, told)
+                self._on_propose(now_ms, run, message)
+            case ProposeReply():
+                self._on_propose_reply(now_ms, message)
+            case HashesRequest():
+                if self.newest.revision >= message.revision:
+                    hashes = {name: hash_of(document) for name, document in self.newest.bodies.items()}
+                    self._send(run, RevisionHashes(self.newest.revision, hashes))
+            case RevisionHashes():
+                self._on_hashes(now_ms, run, message)
+            case ChunkRequest():
+                document_body = next(
+                    (
+                        document
+                        for document in self.newest.bodies.values()
+                        if hash_of(document) == message.hash
+                    ),
+                    b"",
+                )
+                self._send(
+                    run,
+                    Chunk(
+                        message.hash,
+                        message.offset,
+                        len(document_body),
+                        document_body[message.offset : message.offset + CHUNK_BYTES],
+                    ),
+                )
+            case Chunk():
+                self._on_chunk(now_ms, run, message)
             case _:
-                fits = self._is_voter(run, told.source) and not self.stopped
-                leads = isinstance(told, log.Append | log.Install) and told.target == self.id
-                if fits and leads and self.raft is None and self.blank:
-                    # A leader that has us in its list: who votes stands in the log.
-                    self._founded([])
+                is_valid = self._is_voter(run, message.source) and not self.stop_reason
+                is_from_leader = (
+                    isinstance(message, raft_messages.AppendEntries | raft_messages.InstallSnapshot)
+                    and message.target == self.id
+                )
+                if is_valid and is_from_leader and self.raft is None and self.blank:
+                    # A leader has us in its list; the log that it sends contains the voters.
+                    self._accept_voters([])
                     self._begin(now_ms)
-                if fits and self.raft is not None:
-                    self.raft.received(now_ms, told)
-                    self._led(now_ms)
-        self._drive(now_ms)
+                if is_valid and self.raft is not None:
+                    self.raft.received(now_ms, message)
+                    self._after_raft_step(now_ms)
+        self._step(now_ms)
 
     def _is_voter(self, run: int, id_: str) -> bool:
-        held = self.view.table.get(run)
-        return held is not None and held.facts.get("voter") == id_
+        member = self.view.table.get(run)
+        return member is not None and member.facts.get("voter") == id_
 
-    def _say(self, run: int, message: object) -> None:
+    def _send(self, run: int, message: object) -> None:
         self.out.append((run, _encoder.encode(message)))
 
-    # The log of a voter.
+    # Log of a voter.
 
-    def _committed(self, entry: Entry) -> None:
+    def _on_committed(self, entry: Entry) -> None:
         if entry.kind == Kind.SNAPSHOT:
             self.documents = Documents.load(entry.data)
         elif entry.kind == Kind.CHANGE:
             proposal = msgspec.msgpack.decode(entry.data, type=Proposal)
-            self._settled(proposal.id, self.documents.apply(proposal))
+            self._on_result(proposal.id, self.documents.apply(proposal))
         self.revision_at.append((entry.index, self.documents.revision))
         del self.revision_at[:-64]
-        if self.documents.revision > self.next.revision:
-            self.next = Held.of(self.documents.revision, self.documents.bodies)
-
-    def _settled(self, id_: str, outcome: Outcome) -> None:
-        run = self.asked.pop(id_, 0)
-        told = Proposed(id_, outcome.revision, outcome.conflict)
-        if run == self.view.run or (not run and id_ in self.acts):
-            self._answered(-float("inf"), told)
+        if self.documents.revision > self.newest.revision:
+            self.newest = RevisionContents.of(self.documents.revision, self.documents.bodies)
+
+    def _on_result(self, id_: str, outcome: Outcome) -> None:
+        run = self.proposers.pop(id_, 0)
+        reply = ProposeReply(id_, outcome.revision, outcome.conflict)
+        if run == self.view.run or (not run and id_ in self.pending):
+            self._on_propose_reply(-float("inf"), reply)
         elif run:
-            self._say(run, told)
+            self._send(run, reply)
 
-    def _led(self, now_ms: float) -> None:
-        """After each step of the log: what we lead is confirmed, messages find their voters, the log is kept short."""
+    def _after_raft_step(self, now_ms: float) -> None:
+        """After each Raft step: records the freshness known as leader, sends messages, compacts the log."""
         raft = self.raft
         if raft is None:
             return
         if raft.role is not Role.LEADER:
-            self.asked.clear()  # their askers ask again
+            self.proposers.clear()  # the proposers send them again
         confirmed = raft.confirmed(now_ms)
         if confirmed is not None:
             index, age_ms = confirmed
-            revision = next((held for at, held in reversed(self.revision_at) if at <= index), None)
-            if revision is not None and age_ms < self.vouched.most_ms:
-                self.vouched.heard(now_ms, revision, age_ms)
-        there = self._voters_there()
+            revision = next(
+                (revision for entry_index, revision in reversed(self.revision_at) if entry_index <= index),
+                None,
+            )
+            if revision is not None and age_ms < self.freshness.max_age_ms:
+                self.freshness.record_report(now_ms, revision, age_ms)
+        live_voters = self._live_voters()
         out, raft.out = raft.out, []
         for message in out:
-            to = there.get(message.target)
-            if to is not None:
-                self._say(to.run, message)
+            target = live_voters.get(message.target)
+            if target is not None:
+                self._send(target.run, message)
         self.saves += raft.saves
         raft.saves = []
-        if raft.applied - raft.snapshot.index > COMPACT_EVERY:
+        if raft.applied - raft.snapshot.index > COMPACT_AFTER_ENTRIES:
             raft.compact(self.documents.dump())
             self.saves += raft.saves
             raft.saves = []
 
-    # What is vouched for.
+    # Freshness reports.
 
     def vouch(self, now_ms: float) -> list[int]:
-        """What an answer of ours vouches for: the newest revision known to us, its age, and a mark if we hold it."""
+        """Returns the freshness report for an answer: [newest revision known, its age in ms, checksum].
+
+        The checksum is 0 if this member does not have that revision; the report is empty if it would be too old.
+        """
         if self.raft is not None and self.raft.role is Role.LEADER:
-            self._led(now_ms)
-        told = self.vouched.told(now_ms)
-        if told is None or told[1] > self.vouched.most_ms:
+            self._after_raft_step(now_ms)
+        report = self.freshness.report(now_ms)
+        if report is None or report[1] > self.freshness.max_age_ms:
             return []
-        revision, age_ms = told
-        return [revision, int(age_ms) + 1, self.next.mark if self.next.revision == revision else 0]
+        revision, age_ms = report
+        return [revision, int(age_ms) + 1, self.newest.mark if self.newest.revision == revision else 0]
 
-    def vouched_by(self, run: int, sent_ms: float, told: list[int]) -> None:
-        """A member answers our ping of then with what it vouches for."""
-        if len(told) < 3:
+    def vouched_by(self, run: int, sent_ms: float, report: list[int]) -> None:
+        """Handles the report in a member's answer to our ping of `sent_ms`."""
+        if len(report) < 3:
             return
-        revision, age_ms, mark = told[:3]
-        self.vouched.heard(sent_ms, revision, float(age_ms))
-        if revision == self.next.revision and mark and mark != self.next.mark:
-            self._differs(run, revision)
-        elif revision > self.next.revision and self.raft is None and self.fetch is None and mark:
+        revision, age_ms, checksum = report[:3]
+        self.freshness.record_report(sent_ms, revision, float(age_ms))
+        if revision == self.newest.revision and checksum and checksum != self.newest.mark:
+            self._on_divergence(run, revision)
+        elif revision > self.newest.revision and self.raft is None and self.fetch is None and checksum:
             self.fetch = Fetch(run, -float("inf"), revision)
         self.wake_ms = min(self.wake_ms, sent_ms)
 
-    def _differs(self, run: int, revision: int) -> None:
-        """Another copy of one revision has other contents: one of the two is wrong, and a voter tells which."""
+    def _on_divergence(self, run: int, revision: int) -> None:
+        """Handles a replica of our revision with other contents; a voter decides which of the two is wrong."""
         self.tally.add("agreement.differs")
-        teller = self.view.table.get(run)
+        reporter = self.view.table.get(run)
         if self.raft is not None:
-            if teller is not None and teller.facts.get("voter") == self.raft.leader:
+            if reporter is not None and reporter.facts.get("voter") == self.raft.leader:
                 self._stop(f"its revision {revision} differs from the leader's")
             return
         if self.fetch is None:
-            voters = [one.run for one in self._voters_there().values()]
+            voters = [member.run for member in self._live_voters().values()]
             self.fetch = Fetch(
                 run if run in voters else self.draw.choice(voters or [run]), -float("inf"), revision
             )
 
-    # Learning.
+    # Fetching a revision.
 
-    def _listed(self, now_ms: float, run: int, told: Listed) -> None:
+    def _on_hashes(self, now_ms: float, run: int, reply: RevisionHashes) -> None:
         fetch = self.fetch
-        if fetch is None or fetch.run != run or told.revision < self.next.revision:
+        if fetch is None or fetch.run != run or reply.revision < self.newest.revision:
             return
-        if told.revision == self.next.revision:
+        if reply.revision == self.newest.revision:
             self.fetch = None
-            if mark_of(told.revision, told.hashes) == self.next.mark:
-                return  # ours is the voters'
-            self._quarantine(told)
-        fetch.listed = told
+            if contents_checksum(reply.revision, reply.hashes) == self.newest.mark:
+                return  # our replica matches the voter's
+            self._quarantine(reply)
+        fetch.revision_hashes = reply
         self.fetch = fetch
         fetch.asked_ms = -float("inf")
 
-    def _quarantine(self, told: Listed) -> None:
-        """Our copy is the wrong one: dropped by name, and fetched anew."""
-        own = {name: hash_of(body) for name, body in self.next.bodies.items()}
-        wrong = sorted(
-            name for name in own.keys() | told.hashes.keys() if own.get(name) != told.hashes.get(name)
+    def _quarantine(self, voter_hashes: RevisionHashes) -> None:
+        """Drops our diverging replica and logs the documents that differ; it is then fetched anew."""
+        own_hashes = {name: hash_of(body) for name, body in self.newest.bodies.items()}
+        differing = sorted(
+            name
+            for name in own_hashes.keys() | voter_hashes.hashes.keys()
+            if own_hashes.get(name) != voter_hashes.hashes.get(name)
         )
         self.tally.add("agreement.quarantined")
-        self.tell(
-            "agreement.quarantined", level="error", revision=self.next.revision, documents=",".join(wrong)
+        self.log_event(
+            "agreement.quarantined",
+            level="error",
+            revision=self.newest.revision,
+            documents=",".join(differing),
         )
-        self.held = self.next = NONE
+        self.held = self.newest = NO_REVISION
         self.rules = None
-        self.vouched.revision, self.vouched.as_of_ms = 0, -float("inf")
+        self.freshness.revision, self.freshness.as_of_ms = 0, -float("inf")
 
-    def _piece(self, now_ms: float, run: int, told: Piece) -> None:
+    def _on_chunk(self, now_ms: float, run: int, chunk: Chunk) -> None:
         fetch = self.fetch
-        if fetch is None or fetch.listed is None or told.hash not in fetch.listed.hashes.values():
+        if (
+            fetch is None
+            or fetch.revision_hashes is None
+            or chunk.hash not in fetch.revision_hashes.hashes.values()
+        ):
             return
-        part = fetch.parts.setdefault(told.hash, bytearray())
-        if not told.whole:
-            # Not there: perhaps the revision has been outrun. Another is asked what there is; what has come stays.
-            fetch.asked_ms, fetch.run, fetch.listed = -float("inf"), 0, None
-        elif told.at == len(part):
-            part += told.data
+        received = fetch.received.setdefault(chunk.hash, bytearray())
+        if not chunk.size:
+            # The member does not have it, perhaps as a newer revision has replaced it. Another member is asked for its
+            # hashes; what has been received stays.
+            fetch.asked_ms, fetch.run, fetch.revision_hashes = -float("inf"), 0, None
+        elif chunk.offset == len(received):
+            received += chunk.data
             fetch.asked_ms = -float("inf")
-            if len(part) >= told.whole and hash_of(bytes(part)) != told.hash:
+            if len(received) >= chunk.size and hash_of(bytes(received)) != chunk.hash:
                 self.tally.add("agreement.spoilt")
-                del fetch.parts[told.hash]
+                del fetch.received[chunk.hash]
                 fetch.run = 0
 
-    def _learn(self, now_ms: float) -> float:
-        """Ask for what is missing of a revision on its way; when to look again."""
+    def _continue_fetch(self, now_ms: float) -> float:
+        """Requests what is missing of the revision being fetched; returns when to call again."""
         fetch = self.fetch
         if fetch is None:
             return float("inf")
-        if fetch.listed is not None:
-            own = {hash_of(body): body for body in self.next.bodies.values()}
-            here = own | {
-                key: bytes(part) for key, part in fetch.parts.items() if hash_of(bytes(part)) == key
+        if fetch.revision_hashes is not None:
+            own_bodies = {hash_of(body): body for body in self.newest.bodies.values()}
+            available = own_bodies | {
+                key: bytes(received)
+                for key, received in fetch.received.items()
+                if hash_of(bytes(received)) == key
             }
-            lacking = [key for key in fetch.listed.hashes.values() if key not in here]
-            if not lacking:
-                bodies = {name: here[key] for name, key in fetch.listed.hashes.items()}
+            missing = [key for key in fetch.revision_hashes.hashes.values() if key not in available]
+            if not missing:
+                bodies = {name: available[key] for name, key in fetch.revision_hashes.hashes.items()}
                 self.fetch = None
-                self.next = Held.of(fetch.listed.revision, bodies)
+                self.newest = RevisionContents.of(fetch.revision_hashes.revision, bodies)
                 return float("inf")
-        if now_ms < fetch.asked_ms + ASK_AGAIN_MS:
-            return fetch.asked_ms + ASK_AGAIN_MS
-        held = self.view.table.get(fetch.run) if fetch.run else None
+        if now_ms < fetch.asked_ms + RETRY_MS:
+            return fetch.asked_ms + RETRY_MS
+        member = self.view.table.get(fetch.run) if fetch.run else None
         unanswered = fetch.asked_ms > -float("inf")
-        if held is None or not held.live or unanswered:  # another may have it; what has come stays
+        if member is None or not member.live or unanswered:
+            # Ask another member; what has been received stays.
             others = [
-                one.run for one in self.view.members() if process_of(one.run) != process_of(self.view.run)
+                candidate.run
+                for candidate in self.view.members()
+                if process_of(candidate.run) != process_of(self.view.run)
             ]
             if not others:
-                return now_ms + ASK_AGAIN_MS
+                return now_ms + RETRY_MS
             fetch.run = self.draw.choice(others)
         fetch.asked_ms = now_ms
-        if fetch.listed is None:
-            self._say(fetch.run, AskList(fetch.want))
+        if fetch.revision_hashes is None:
+            self._send(fetch.run, HashesRequest(fetch.min_revision))
         else:
-            self._say(fetch.run, AskPiece(lacking[0], len(fetch.parts.get(lacking[0], b""))))
-        return now_ms + ASK_AGAIN_MS
+            self._send(fetch.run, ChunkRequest(missing[0], len(fetch.received.get(missing[0], b""))))
+        return now_ms + RETRY_MS
 
-    # In force.
+    # Rules in effect.
 
-    def _adopt(self, now_ms: float) -> None:
-        """Act on the newest that is here, once it is vouched for, or once what is acted on no longer is."""
-        if self.next is self.held:
+    def _apply_newest(self, now_ms: float) -> None:
+        """Applies the newest complete revision if it is known to be the newest, or the current one is not fresh."""
+        if self.newest is self.held:
             return
-        if self.vouched.newest == self.next.revision or not self.vouched.good(now_ms):
-            self.held = self.next
-            self.vouched.hold(self.held.revision)
+        if self.freshness.newest == self.newest.revision or not self.freshness.is_fresh(now_ms):
+            self.held = self.newest
+            self.freshness.apply_revision(self.held.revision)
             self.rules = Rules.of(self.held)
             isolated = self.rules.documents.get("isolated") if self.rules is not None else None
-            kept = isolated if isinstance(isolated, Isolated) else self.isolated
-            self.alone = Rules.alone(kept, self.held.revision, self.held.mark)
+            fallback = isolated if isinstance(isolated, Isolated) else self.isolated
+            self.alone = Rules.fallback(fallback, self.held.revision, self.held.mark)
             if self.rules is None:
                 self.tally.add("agreement.unread")
 
     def in_force(self, now_ms: float) -> Rules:
-        """What may be acted on at this moment: the agreed rules, or the isolated ones."""
-        if self.rules is not None and self.vouched.good(now_ms):
+        """Returns the rules to apply at this moment: the agreed rules while they are fresh, or the fallback rules."""
+        if self.rules is not None and self.freshness.is_fresh(now_ms):
             return self.rules
         return self.alone
 
@@ -608,107 +681,115 @@
     def propose(
         self, now_ms: float, propose: Propose, wait_ms: float, done: Callable[[Outcome | OperatorError], None]
     ) -> None:
-        """Have a change settled, by whoever leads; `done` is told once. One that comes again joins the first."""
-        self.acts[propose.id] = Act(propose, now_ms + wait_ms, done)
-        self._drive(now_ms)
+        """Proposes a change to the leader; `done` is called once with its result or an error.
+
+        A change that is sent again under the same id replaces the earlier pending one.
+        """
+        self.pending[propose.id] = PendingProposal(propose, now_ms + wait_ms, done)
+        self._step(now_ms)
 
-    def _proposed(self, now_ms: float, run: int, told: Propose) -> None:
-        """A member brings a change."""
+    def _on_propose(self, now_ms: float, run: int, request: Propose) -> None:
+        """Handles a change that a member, or this one, proposes."""
         raft = self.raft
-        if told.change is not None and told.id in self.documents.ids and raft is not None:
-            known = self.documents.ids[told.id]
-            self._reply(run, Proposed(told.id, known.revision, known.conflict))
+        if request.change is not None and request.id in self.documents.ids and raft is not None:
+            result = self.documents.ids[request.id]
+            self._reply(run, ProposeReply(request.id, result.revision, result.conflict))
             return
-        if raft is None or raft.role is not Role.LEADER or len(self.asked) >= MOST_ASKED:
-            self._reply(run, Proposed(told.id, leader=raft.leader if raft is not None else ""))
+        if raft is None or raft.role is not Role.LEADER or len(self.proposers) >= MAX_UNCOMMITTED_PROPOSALS:
+            self._reply(run, ProposeReply(request.id, leader=raft.leader if raft is not None else ""))
             return
-        if told.id in self.asked:
-            return  # on its way
+        if request.id in self.proposers:
+            return  # not committed yet
         try:
-            if told.change is None:
-                if raft.voters != told.voters:
-                    raft.change_voters(now_ms, told.voters)
-                elif raft.settled():
-                    self._reply(run, Proposed(told.id, self.documents.revision))
+            if request.change is None:
+                if raft.voters != request.voters:
+                    raft.change_voters(now_ms, request.voters)
+                elif raft.voters_settled():
+                    self._reply(run, ProposeReply(request.id, self.documents.revision))
             else:
-                self.documents.check(told.change)
-                raft.propose(now_ms, msgspec.msgpack.encode(told.change))
-                self.asked[told.id] = run
-        except OperatorError as fault:
-            leader = raft.leader if isinstance(fault, RaftError) else ""
-            refused = "" if isinstance(fault, RaftError) and told.change is not None else str(fault)
-            self._reply(run, Proposed(told.id, refused=refused, leader=leader))
-        self._led(now_ms)
-
-    def _reply(self, run: int, told: Proposed) -> None:
+                self.documents.check(request.change)
+                raft.propose(now_ms, msgspec.msgpack.encode(request.change))
+                self.proposers[request.id] = run
+        except OperatorError as error:
+            leader = raft.leader if isinstance(error, RaftError) else ""
+            refused = "" if isinstance(error, RaftError) and request.change is not None else str(error)
+            self._reply(run, ProposeReply(request.id, refused=refused, leader=leader))
+        self._after_raft_step(now_ms)
+
+    def _reply(self, run: int, reply: ProposeReply) -> None:
         if run == self.view.run:
-            self._answered(-float("inf"), told)
+            self._on_propose_reply(-float("inf"), reply)
         else:
-            self._say(run, told)
+            self._send(run, reply)
 
-    def _answered(self, now_ms: float, told: Proposed) -> None:
-        act = self.acts.get(told.id)
-        if act is None:
+    def _on_propose_reply(self, now_ms: float, reply: ProposeReply) -> None:
+        pending = self.pending.get(reply.id)
+        if pending is None:
             return
-        if told.refused:
-            self._done(told.id, RefusedError(told.refused))
-        elif told.revision >= 0:
-            conflict = told.conflict
-            self._done(
-                told.id, ConflictError(conflict) if conflict else Outcome(told.revision, told.conflict)
+        if reply.refused:
+            self._finish(reply.id, RefusedError(reply.refused))
+        elif reply.revision >= 0:
+            conflict = reply.conflict
+            self._finish(
+                reply.id, ConflictError(conflict) if conflict else Outcome(reply.revision, reply.conflict)
             )
-        elif told.leader:
-            act.leader = told.leader
-            if now_ms >= act.told_ms + ASK_AGAIN_MS:
-                act.asked_ms = -float("inf")
-
-    def _done(self, id_: str, outcome: Outcome | OperatorError) -> None:
-        self.acts.pop(id_).done(outcome)
-
-    def _bring(self, now_ms: float) -> float:
-        """Bring what operators asked for here to whoever leads; when to look again."""
-        again_ms = float("inf")
-        for id_, act in list(self.acts.items()):
-            if now_ms >= act.until_ms:
-                self._done(id_, NoAgreementError("no majority of the voters has settled it in time"))
+        elif reply.leader:
+            pending.leader = reply.leader
+            if now_ms >= pending.leader_asked_ms + RETRY_MS:
+                pending.asked_ms = -float("inf")
+
+    def _finish(self, id_: str, result: Outcome | OperatorError) -> None:
+        self.pending.pop(id_).done(result)
+
+    def _send_pending(self, now_ms: float) -> float:
+        """Sends the pending changes to the leader; returns when to call again."""
+        next_ms = float("inf")
+        for id_, pending in list(self.pending.items()):
+            if now_ms >= pending.deadline_ms:
+                self._finish(
+                    id_,
+                    NoAgreementError(
+                        "no majority of the voters has committed it in time; it may still be committed"
+                    ),
+                )
                 continue
-            if now_ms >= act.asked_ms + ASK_AGAIN_MS:
-                unanswered = act.asked_ms == act.told_ms > -float("inf")
-                act.asked_ms = now_ms
-                there = self._voters_there()
+            if now_ms >= pending.asked_ms + RETRY_MS:
+                unanswered = pending.asked_ms == pending.leader_asked_ms > -float("inf")
+                pending.asked_ms = now_ms
+                live_voters = self._live_voters()
                 raft = self.raft
                 leader = self.id if raft is not None and raft.role is Role.LEADER else ""
-                leader = leader or (raft.leader if raft is not None else "") or act.leader
-                if leader not in there or unanswered:
-                    leader = self.draw.choice(sorted(there)) if there else ""
+                leader = leader or (raft.leader if raft is not None else "") or pending.leader
+                if leader not in live_voters or unanswered:
+                    leader = self.draw.choice(sorted(live_voters)) if live_voters else ""
                 else:
-                    act.told_ms = now_ms
+                    pending.leader_asked_ms = now_ms
                 if leader == self.id and leader:
-                    self._proposed(now_ms, self.view.run, act.propose)
+                    self._on_propose(now_ms, self.view.run, pending.request)
                 elif leader:
-                    self._say(there[leader].run, act.propose)
-                if id_ not in self.acts:
+                    self._send(live_voters[leader].run, pending.request)
+                if id_ not in self.pending:
                     continue
-            again_ms = min(again_ms, act.asked_ms + ASK_AGAIN_MS, act.until_ms)
-        return again_ms
-
-    def _drive(self, now_ms: float) -> None:
-        """After each step: what follows from it, and when to be woken."""
-        self._vote(now_ms)
-        again_ms = min(self._learn(now_ms), self._bring(now_ms))
-        self._adopt(now_ms)
+            next_ms = min(next_ms, pending.asked_ms + RETRY_MS, pending.deadline_ms)
+        return next_ms
+
+    def _step(self, now_ms: float) -> None:
+        """Performs all pending work after any event and sets the next wake-up."""
+        self._start_voting(now_ms)
+        next_ms = min(self._continue_fetch(now_ms), self._send_pending(now_ms))
+        self._apply_newest(now_ms)
         if self.raft is not None:
-            self._led(now_ms)
-            self._found_others(now_ms)
-            again_ms = min(again_ms, self.raft.wake_ms)
-        elif self.kept is not None and not self.stopped:
-            again_ms = min(again_ms, now_ms + CONFIRM_MS)
-        self.wake_ms = again_ms
+            self._after_raft_step(now_ms)
+            self._bootstrap_others(now_ms)
+            next_ms = min(next_ms, self.raft.wake_ms)
+        elif self.persistent_state is not None and not self.stop_reason:
+            next_ms = min(next_ms, now_ms + BOOTSTRAP_INTERVAL_MS)
+        self.wake_ms = next_ms
 
     def told(self, now_ms: float) -> dict:
-        """How things stand, for operators."""
+        """Returns the status shown to operators."""
         rules = self.in_force(now_ms)
-        newest = self.vouched.told(now_ms)
+        newest = self.freshness.report(now_ms)
         raft = self.raft
         return {
             "revision": self.held.revision,
@@ -721,7 +802,7 @@
             else {
                 "id": self.id,
                 "starts": self.starts,
-                "stopped": self.stopped,
+                "stopped": self.stop_reason,
                 "founded": not self.blank,
                 "role": raft.role.name.lower() if raft is not None else "",
                 "term": raft.term if raft is not None else 0,
--- a/leadslip/fleet/agreement/raft.py
+++ b/leadslip/fleet/agreement/raft.py
@@ -1,15 +1,15 @@
-"""Consensus on one log among a few voters: Raft (Ongaro, 2014) with pre-vote, check-quorum, transfer and snapshots.
+"""Raft consensus on one log (Ongaro, 2014) with pre-vote, check-quorum, leadership transfer and snapshots.
 
-One object for each voter, driven by `received`, `due`, `saved` and the operators' acts; it gives messages in `out`,
-what is to be made durable in `saves`, and tells committed entries to `commit`. Times are milliseconds of the voter's
-monotonic clock. No I/O, no clock of its own; randomness is handed in.
+One `Raft` object per voter, driven by `received`, `due`, `saved` and the calls of operators. It leaves messages in
+`out` and data to be made durable in `saves`, and passes committed entries to `commit`. Times are milliseconds of the
+voter's monotonic clock. Pure: no I/O, time and randomness are passed in.
 
-Nothing counts before it is durable: a message that rests on a save is held back until `saved` tells that this save is
-on disk, and so is this voter's own part of a majority. What is in memory may be ahead of the disk; nobody else sees
-it.
+Nothing counts before it is durable: a message that depends on a save is deferred until `saved` reports that the save
+is on disk, and so is this voter's own share of a majority. The state in memory may be ahead of the disk, but no other
+voter sees it.
 
-Voters are told by an id that their disk bears. One that lost its disk draws another id: it is in no list of voters
-until operators put it there, so it can't vote as the one it was.
+A voter is identified by an id stored on its disk. A voter that lost its disk draws a new id, which is in no list of
+voters until operators add it, so it can't vote again as the voter that it was.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 from leadslip.checks import Tally
 from leadslip.errors import OperatorError
 
-MOST_BATCH = 64  # entries in one message
-MOST_BATCH_BYTES = 256 * 1024  # of their data; a single entry goes whatever its size
+MAX_BATCH_ENTRIES = 64  # in one message
+MAX_BATCH_BYTES = 256 * 1024  # of their data; a single entry is sent whatever its size
 
 
 class Kind(IntEnum):
-    """What an entry is for."""
+    """Kinds of log entries."""
 
-    NOTHING = 0  # a leader's first, as it may commit what it found only behind one of its own term
-    CHANGE = 1  # to the documents
-    VOTERS = 2  # the voters from here on, as a list of ids
-    SNAPSHOT = 3  # never in a log: told to `commit` where a snapshot takes the place of entries
+    NOTHING = 0  # a new leader's first: older entries may be committed only after one of its own term
+    CHANGE = 1  # a change of the documents
+    VOTERS = 2  # the list of voter ids that applies from here on
+    SNAPSHOT = 3  # never in a log: passed to `commit` when a snapshot replaces entries
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry of the log; `data` is its kind's own."""
+    """One entry of the log; the format of `data` depends on the kind."""
 
     index: int
     term: int
@@ -47,7 +47,7 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """All that entries up to an index amount to, and who votes after them."""
+    """The state after all entries up to an index, and the voters as of that index."""
 
     index: int
     term: int
@@ -56,15 +56,15 @@
 
 
 class RaftMessage(msgspec.Struct, array_like=True, frozen=True):
-    """What every message of voters begins with."""
+    """Fields common to all messages between voters."""
 
     source: str
     target: str
     term: int
 
 
-class AskVote(RaftMessage, tag=20, frozen=True):
-    """Would you vote for me (`pre`), or do? `forced`: the leader itself has handed over to me."""
+class VoteRequest(RaftMessage, tag=20, frozen=True):
+    """Asks for a vote, or with `pre` whether it would be granted; `forced`: sent after a leadership transfer."""
 
     last_index: int
     last_term: int
@@ -72,50 +72,50 @@
     forced: bool = False
 
 
-class Vote(RaftMessage, tag=21, frozen=True):
-    """The answer."""
+class VoteReply(RaftMessage, tag=21, frozen=True):
+    """Reply to VoteRequest."""
 
     granted: bool
     pre: bool
 
 
-class Append(RaftMessage, tag=22, frozen=True):
-    """A leader's entries after one that the follower should hold; `round` comes back in the answer."""
+class AppendEntries(RaftMessage, tag=22, frozen=True):
+    """Entries that follow the entry (`prev_index`, `prev_term`); the reply repeats `round`."""
 
-    before_index: int
-    before_term: int
+    prev_index: int
+    prev_term: int
     entries: list[Entry]
     committed: int
     round: int
 
 
-class Appended(RaftMessage, tag=23, frozen=True):
-    """Held up to `index`; or, where not `held`, look for what we share from `index` on down."""
+class AppendReply(RaftMessage, tag=23, frozen=True):
+    """Reply: the log matches up to `index`; if not `success`, the leader retries from `index` downwards."""
 
-    held: bool
+    success: bool
     index: int
     round: int
 
 
-class Install(RaftMessage, tag=24, frozen=True):
-    """A snapshot in place of entries that the leader holds no more."""
+class InstallSnapshot(RaftMessage, tag=24, frozen=True):
+    """A snapshot in place of entries that the leader has already compacted."""
 
     snapshot: Snapshot
     round: int
 
 
-class Succeed(RaftMessage, tag=25, frozen=True):
-    """The leader hands over: stand for election now."""
+class TimeoutNow(RaftMessage, tag=25, frozen=True):
+    """The leader transfers its leadership: the target starts an election at once."""
 
 
-Any = AskVote | Vote | Append | Appended | Install | Succeed
+AnyMessage = VoteRequest | VoteReply | AppendEntries | AppendReply | InstallSnapshot | TimeoutNow
 
 
 class Role(IntEnum):
-    """What a voter is at the moment."""
+    """Role of a voter."""
 
     FOLLOWER = 0
-    WOULD_BE = 1  # asks whether it would be elected
+    WOULD_BE = 1  # pre-candidate: asks whether it would be elected
     CANDIDATE = 2
     LEADER = 3
 
@@ -129,29 +129,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """Milliseconds. An election takes about two of the longest waits where no two stand at once."""
+    """Raft timing in ms. An election takes about two of the longest time-outs unless two voters start at once."""
 
-    beat_ms: float = 100.0  # between a leader's messages to each follower
-    patience_ms: float = 500.0  # a follower waits so long for a leader, and up to as long again
-    transfer_ms: float = 1000.0  # a handing over that has not come about by then is given up
+    heartbeat_ms: float = 100.0  # between two messages of a leader to each follower
+    election_timeout_ms: float = 500.0  # minimum; the actual time-out is drawn between this and twice this
+    transfer_timeout_ms: float = 1000.0  # a leadership transfer that takes longer is abandoned
 
 
 @dataclass(slots=True)
 class Save:
-    """To be made durable, in the order given: who was voted for, and a piece of the log or a snapshot in its place."""
+    """State to be made durable, in order: term and vote, and a part of the log or a snapshot that replaces it."""
 
     number: int
     term: int
     vote: str
-    after: int = 0  # entries behind this index are replaced by:
+    after: int = 0  # entries after this index are replaced by `entries`
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
-    whole: bool = False  # nothing of the log before stays, as it does not fit the snapshot
+    whole: bool = False  # the snapshot replaces the entire log, as the log does not match it
 
 
 @dataclass(slots=True)
 class Kept:
-    """What a voter finds on its disk when it starts."""
+    """The persistent state that a voter starts with."""
 
     term: int
     vote: str
@@ -160,19 +160,19 @@
 
 
 class Follower:
-    """What a leader knows of another voter."""
+    """A leader's record of another voter."""
 
-    __slots__ = ("match", "next", "heard_ms", "round", "sent_ms")
+    __slots__ = ("match_index", "next_index", "last_received_ms", "round", "last_sent_ms")
 
-    def __init__(self, next_: int, now_ms: float) -> None:
-        self.match, self.next = 0, next_
-        self.heard_ms = now_ms
-        self.round = 0  # the latest that it has answered
-        self.sent_ms = -float("inf")
+    def __init__(self, next_index: int, now_ms: float) -> None:
+        self.match_index, self.next_index = 0, next_index
+        self.last_received_ms = now_ms
+        self.round = 0  # the latest heartbeat round that it has answered
+        self.last_sent_ms = -float("inf")
 
 
 class Raft:
-    """One voter."""
+    """The consensus state machine of one voter."""
 
     def __init__(
         self, id_: str, kept: Kept, draw: Random, tally: Tally, commit: Callable[[Entry], None], pace: Pace
@@ -182,95 +182,107 @@
         self.snapshot, self.entries = kept.snapshot, list(kept.entries)
         self.role, self.leader = Role.FOLLOWER, ""
         self.committed = self.applied = kept.snapshot.index
-        self.out: list[Any] = []
+        self.out: list[AnyMessage] = []
         self.saves: list[Save] = []
-        self.numbered = self.durable = 0  # saves given, and those known to be on disk
+        self.issued_save = self.durable_save = (
+            0  # number of the last save issued, and of the last known to be on disk
+        )
         self.durable_index = self.last_index
-        self.held: list[tuple[int, Any]] = []  # messages that wait for a save
-        self.ballots: set[str] = set()
+        self.deferred: list[
+            tuple[int, AnyMessage]
+        ] = []  # messages that wait for a save: (its number, message)
+        self.votes_received: set[str] = set()
         self.followers: dict[str, Follower] = {}
         self.round = 0
-        self.rounds: dict[int, tuple[float, int]] = {}  # a leader's rounds -> when begun, committed then
+        self.rounds: dict[int, tuple[float, int]] = {}  # round -> (start, committed index then)
         self.confirmed_ms, self.confirmed_index = -float("inf"), 0
-        self.own_index = 0  # of our first entry as a leader
-        self.heir, self.heir_ms = "", 0.0
-        self.heard_ms = -float("inf")  # from a leader of our term
+        self.term_start_index = 0  # index of our first entry in the term that we lead
+        self.transfer_target, self.transfer_started_ms = "", 0.0
+        self.last_leader_contact_ms = -float("inf")  # last message from a leader of our term
         self.wake_ms = float("inf")
-        self.election_ms = float("inf")
-        self.beat_due_ms = float("inf")
+        self.election_due_ms = float("inf")
+        self.heartbeat_due_ms = float("inf")
 
     # The log.
 
     @property
     def last_index(self) -> int:
+        """Index of the last entry, or of the snapshot if there is none after it."""
         return self.entries[-1].index if self.entries else self.snapshot.index
 
     @property
     def last_term(self) -> int:
+        """Term of the last entry, or of the snapshot if there is none after it."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int:
-        """The term of an entry that is held; -1 where it is not."""
+        """Returns the term of an entry; -1 if the log does not have it."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        at = index - self.snapshot.index - 1
-        return self.entries[at].term if 0 <= at < len(self.entries) else -1
+        offset = index - self.snapshot.index - 1
+        return self.entries[offset].term if 0 <= offset < len(self.entries) else -1
 
-    def after(self, index: int) -> list[Entry]:
-        """The entries behind an index, as many as one message takes."""
-        told, size = [], 0
-        for entry in self.entries[index - self.snapshot.index :][:MOST_BATCH]:
+    def entries_after(self, index: int) -> list[Entry]:
+        """Returns the entries after an index, as many as fit into one message."""
+        batch, size = [], 0
+        for entry in self.entries[index - self.snapshot.index :][:MAX_BATCH_ENTRIES]:
             size += len(entry.data)
-            if told and size > MOST_BATCH_BYTES:
+            if batch and size > MAX_BATCH_BYTES:
                 break
-            told.append(entry)
-        return told
+            batch.append(entry)
+        return batch
 
     @property
     def voters(self) -> list[str]:
-        """Who votes: by the latest list in the log, committed or not."""
+        """The current voters: the latest list in the log, committed or not."""
         for entry in reversed(self.entries):
             if entry.kind == Kind.VOTERS:
                 return msgspec.msgpack.decode(entry.data, type=list[str])
         return self.snapshot.voters
 
-    def _majority(self, of: Sequence[str]) -> bool:
+    def _majority(self, supporters: Sequence[str]) -> bool:
+        """Whether these are a majority of the current voters; others among them do not count."""
         voters = self.voters
-        return 2 * sum(one in voters for one in of) > len(voters)
+        return 2 * sum(voter in voters for voter in supporters) > len(voters)
 
-    # The life of a voter.
+    # Timers and saves.
 
     def start(self, now_ms: float) -> None:
-        self._wait(now_ms)
+        """Starts as a follower that waits for a leader."""
+        self._reset_election_timer(now_ms)
 
     def due(self, now_ms: float) -> None:
-        """Do what is due; to be called at wake_ms, and no harm if sooner or later."""
+        """Runs the expired timers; to be called at wake_ms, but calls at other times are harmless."""
         if self.role is Role.LEADER:
-            if now_ms >= self.beat_due_ms:
-                self._lead_on(now_ms)
-        elif now_ms >= self.election_ms:
-            self._stand(now_ms, pre=True)
-        self._wake()
+            if now_ms >= self.heartbeat_due_ms:
+                self._send_heartbeats(now_ms)
+        elif now_ms >= self.election_due_ms:
+            self._start_election(now_ms, pre=True)
+        self._update_wake_time()
 
-    def _wake(self) -> None:
-        self.wake_ms = self.beat_due_ms if self.role is Role.LEADER else self.election_ms
+    def _update_wake_time(self) -> None:
+        self.wake_ms = self.heartbeat_due_ms if self.role is Role.LEADER else self.election_due_ms
 
-    def _wait(self, now_ms: float) -> None:
-        """Wait for a leader, for a time of our own."""
-        self.election_ms = now_ms + self.pace.patience_ms * (1.0 + self.draw.random())
-        self._wake()
+    def _reset_election_timer(self, now_ms: float) -> None:
+        """Restarts the election timer with a random time-out."""
+        self.election_due_ms = now_ms + self.pace.election_timeout_ms * (1.0 + self.draw.random())
+        self._update_wake_time()
 
-    def _save(self, **what: object) -> None:
-        self.numbered += 1
-        self.saves.append(Save(self.numbered, self.term, self.vote, **what))
+    def _save(self, **fields: object) -> None:
+        self.issued_save += 1
+        self.saves.append(Save(self.issued_save, self.term, self.vote, **fields))
 
     def saved(self, now_ms: float, number: int) -> None:
-        """All saves up to this one are on disk."""
-        self.durable = max(self.durable, number)
-        if self.durable == self.numbered:
+        """Handles the report that all saves up to this number are on disk."""
+        self.durable_save = max(self.durable_save, number)
+        if self.durable_save == self.issued_save:
             self.durable_index = self.last_index
-        ready = [message for needs, message in self.held if needs <= self.durable]
-        self.held = [(needs, message) for needs, message in self.held if needs > self.durable]
+        ready = [message for save_number, message in self.deferred if save_number <= self.durable_save]
+        self.deferred = [
+            (save_number, message)
+            for save_number, message in self.deferred
+            if save_number > self.durable_save
+        ]
         for message in ready:
             if message.target == self.id:
                 self.received(now_ms, message)
@@ -279,39 +291,39 @@
         if self.role is Role.LEADER:
             self._advance(now_ms)
 
-    def _say(self, message: Any, durable: bool = False) -> None:
-        """Send, `durable`: once all that was given to be saved is on disk."""
-        if durable and self.durable < self.numbered:
-            self.held.append((self.numbered, message))
+    def _send(self, message: AnyMessage, durable: bool = False) -> None:
+        """Sends a message; with `durable` only once all saves issued so far are on disk."""
+        if durable and self.durable_save < self.issued_save:
+            self.deferred.append((self.issued_save, message))
         else:
             self.out.append(message)
 
-    def _follow(self, now_ms: float, term: int, leader: str = "") -> None:
-        """Be a follower, in a term that may be a later one."""
+    def _become_follower(self, now_ms: float, term: int, leader: str = "") -> None:
+        """Becomes a follower, in this term or a later one."""
         if term > self.term:
             self.term, self.vote = term, ""
             self._save(after=self.last_index)
         if self.role is Role.LEADER:
             self.tally.add("agreement.stood_down")
         if self.role is not Role.FOLLOWER or leader != self.leader:
-            self._wait(now_ms)
+            self._reset_election_timer(now_ms)
         self.role, self.leader = Role.FOLLOWER, leader
-        self.heir = ""
+        self.transfer_target = ""
         self.followers.clear()
         self.rounds.clear()
 
     # Elections.
 
-    def _stand(self, now_ms: float, pre: bool, forced: bool = False) -> None:
-        """Ask to be elected; before that (`pre`) whether we would be, so that terms are not used up in vain.
+    def _start_election(self, now_ms: float, pre: bool, forced: bool = False) -> None:
+        """Starts an election; with `pre` a pre-vote, which asks whether we would be elected without raising the term.
 
-        Guards against one that was cut off: on its return it does not push a leader out that all others hear.
+        Pre-vote prevents a voter that was partitioned from deposing, on its return, a leader that all others follow.
         """
-        self._wait(now_ms)
+        self._reset_election_timer(now_ms)
         self.leader = ""
         if self.id not in self.voters:
             return
-        self.ballots = set()
+        self.votes_received = set()
         if pre:
             self.role = Role.WOULD_BE
         else:
@@ -319,51 +331,65 @@
             self.term, self.vote = self.term + 1, self.id
             self._save(after=self.last_index)
             self.tally.add("agreement.elections")
-        asked = self.term + 1 if pre else self.term
+        requested_term = self.term + 1 if pre else self.term
         for voter in self.voters:
             if voter != self.id:
-                ask = AskVote(self.id, voter, asked, self.last_index, self.last_term, pre, forced)
-                self._say(ask, durable=not pre)
-        own = Vote(self.id, self.id, asked, True, pre)
-        if pre or self.durable == self.numbered:
-            self._counted(now_ms, own)
+                request = VoteRequest(
+                    self.id, voter, requested_term, self.last_index, self.last_term, pre, forced
+                )
+                self._send(request, durable=not pre)
+        own_vote = VoteReply(self.id, self.id, requested_term, True, pre)
+        if pre or self.durable_save == self.issued_save:
+            self._on_vote_reply(now_ms, own_vote)
         else:
-            self.held.append((self.numbered, own))  # our own vote counts once it is on disk, too
+            self.deferred.append(
+                (self.issued_save, own_vote)
+            )  # our own vote counts only once it is on disk, too
 
-    def _asked(self, now_ms: float, ask: AskVote) -> None:
-        hears = self.role is Role.LEADER or (self.leader and now_ms - self.heard_ms < self.pace.patience_ms)
-        if hears and not ask.forced:
-            # Check-quorum's other half: who hears a leader lets nobody take its place.
-            self._say(Vote(self.id, ask.source, ask.term if ask.pre else self.term, False, ask.pre))
+    def _on_vote_request(self, now_ms: float, request: VoteRequest) -> None:
+        has_leader = self.role is Role.LEADER or (
+            self.leader and now_ms - self.last_leader_contact_ms < self.pace.election_timeout_ms
+        )
+        if has_leader and not request.forced:
+            # Leader stickiness, which goes with check-quorum: a voter in contact with a leader grants no votes.
+            self._send(
+                VoteReply(
+                    self.id, request.source, request.term if request.pre else self.term, False, request.pre
+                )
+            )
             return
-        if ask.term > self.term and not ask.pre:
-            self._follow(now_ms, ask.term)
-        known = (ask.last_term, ask.last_index) >= (self.last_term, self.last_index)
-        if ask.pre:
-            self._say(Vote(self.id, ask.source, ask.term, known and ask.term > self.term, True))
+        if request.term > self.term and not request.pre:
+            self._become_follower(now_ms, request.term)
+        up_to_date = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
+        if request.pre:
+            self._send(
+                VoteReply(
+                    self.id, request.source, request.term, up_to_date and request.term > self.term, True
+                )
+            )
             return
-        granted = ask.term == self.term and known and self.vote in ("", ask.source)
+        granted = request.term == self.term and up_to_date and self.vote in ("", request.source)
         if granted and not self.vote:
-            self.vote = ask.source
+            self.vote = request.source
             self._save(after=self.last_index)
         if granted:
-            self._wait(now_ms)
-        self._say(Vote(self.id, ask.source, self.term, granted, False), durable=True)
+            self._reset_election_timer(now_ms)
+        self._send(VoteReply(self.id, request.source, self.term, granted, False), durable=True)
 
-    def _counted(self, now_ms: float, vote: Vote) -> None:
-        if vote.pre != (self.role is Role.WOULD_BE) or self.role not in (Role.WOULD_BE, Role.CANDIDATE):
+    def _on_vote_reply(self, now_ms: float, reply: VoteReply) -> None:
+        if reply.pre != (self.role is Role.WOULD_BE) or self.role not in (Role.WOULD_BE, Role.CANDIDATE):
             return
-        if vote.term != (self.term + 1 if vote.pre else self.term) or not vote.granted:
+        if reply.term != (self.term + 1 if reply.pre else self.term) or not reply.granted:
             return
-        self.ballots.add(vote.source)
-        if not self._majority(self.ballots):
+        self.votes_received.add(reply.source)
+        if not self._majority(self.votes_received):
             return
-        if vote.pre:
-            self._stand(now_ms, pre=False)
+        if reply.pre:
+            self._start_election(now_ms, pre=False)
         else:
-            self._lead(now_ms)
+            self._become_leader(now_ms)
 
-    def _lead(self, now_ms: float) -> None:
+    def _become_leader(self, now_ms: float) -> None:
         self.role, self.leader = Role.LEADER, self.id
         self.tally.add("agreement.leads")
         self.followers = {
@@ -371,148 +397,162 @@
         }
         self.rounds.clear()
         self.confirmed_ms = -float("inf")
-        self.heir = ""
-        # The very first leader writes the list of voters into the log: who comes blank later finds it there.
-        first = not self.snapshot.index and all(entry.kind != Kind.VOTERS for entry in self.entries)
-        self._put(*((Kind.VOTERS, msgspec.msgpack.encode(self.voters)) if first else (Kind.NOTHING, b"")))
-        self.own_index = self.last_index
-        self._lead_on(now_ms)
+        self.transfer_target = ""
+        # The very first leader writes the list of voters into the log, for voters that join later with an empty disk.
+        is_first_leader = not self.snapshot.index and all(entry.kind != Kind.VOTERS for entry in self.entries)
+        self._append(
+            *((Kind.VOTERS, msgspec.msgpack.encode(self.voters)) if is_first_leader else (Kind.NOTHING, b""))
+        )
+        self.term_start_index = self.last_index
+        self._send_heartbeats(now_ms)
         self._advance(now_ms)
 
     # Replication.
 
     def propose(self, now_ms: float, data: bytes) -> int:
-        """A change for the log; its index. Raises RaftError where we don't lead, or hand over just now."""
-        self._must_lead()
-        index = self._put(Kind.CHANGE, data)
-        self._lead_on(now_ms)
+        """Appends a change to the log and returns its index. Raises RaftError unless leader, or during a transfer."""
+        self._require_leader()
+        index = self._append(Kind.CHANGE, data)
+        self._send_heartbeats(now_ms)
         self._advance(now_ms)
         return index
 
-    def _must_lead(self) -> None:
+    def _require_leader(self) -> None:
         if self.role is not Role.LEADER:
-            raise RaftError("another voter leads" if self.leader else "no voter leads")
-        if self.heir:
-            raise RaftError("the lead is being handed over")
+            raise RaftError("this voter is not the leader" if self.leader else "there is no leader")
+        if self.transfer_target:
+            raise RaftError("a leadership transfer is in progress")
 
-    def _put(self, kind: Kind, data: bytes) -> int:
+    def _append(self, kind: Kind, data: bytes) -> int:
         entry = Entry(self.last_index + 1, self.term, int(kind), data)
         self.entries.append(entry)
         self._save(after=entry.index - 1, entries=(entry,))
         return entry.index
 
-    def _lead_on(self, now_ms: float) -> None:
-        """A round of messages to all followers; who hears no majority for long leads no more."""
-        self.beat_due_ms = now_ms + self.pace.beat_ms
-        heard = [self.id] + [
+    def _send_heartbeats(self, now_ms: float) -> None:
+        """Sends a heartbeat round to all followers; steps down if no majority answered for two election time-outs."""
+        self.heartbeat_due_ms = now_ms + self.pace.heartbeat_ms
+        reachable = [self.id] + [
             voter
-            for voter, held in self.followers.items()
-            if now_ms - held.heard_ms < 2 * self.pace.patience_ms
+            for voter, follower in self.followers.items()
+            if now_ms - follower.last_received_ms < 2 * self.pace.election_timeout_ms
         ]
-        if not self._majority(heard):
+        if not self._majority(reachable):
             self.tally.add("agreement.no_majority")
-            self._follow(now_ms, self.term)
+            self._become_follower(now_ms, self.term)
             return
-        if self.heir and now_ms - self.heir_ms > self.pace.transfer_ms:
-            self.heir = ""
+        if self.transfer_target and now_ms - self.transfer_started_ms > self.pace.transfer_timeout_ms:
+            self.transfer_target = ""
         self.round += 1
         self.rounds[self.round] = now_ms, self.committed
-        for old in [number for number in self.rounds if number < self.round - 50]:
-            del self.rounds[old]
+        for old_round in [number for number in self.rounds if number < self.round - 50]:
+            del self.rounds[old_round]
         for voter in self.followers:
-            self._feed(now_ms, voter)
+            self._replicate(now_ms, voter)
         self._confirm(now_ms)
-        self._wake()
-
-    def _feed(self, now_ms: float, voter: str) -> None:
-        held = self.followers[voter]
-        held.sent_ms = now_ms
-        before = held.next - 1
-        term = self.term_at(before)
-        if term < 0:
-            self._say(Install(self.id, voter, self.term, self.snapshot, self.round))
+        self._update_wake_time()
+
+    def _replicate(self, now_ms: float, voter: str) -> None:
+        follower = self.followers[voter]
+        follower.last_sent_ms = now_ms
+        prev_index = follower.next_index - 1
+        prev_term = self.term_at(prev_index)
+        if prev_term < 0:
+            self._send(InstallSnapshot(self.id, voter, self.term, self.snapshot, self.round))
             return
-        entries = self.after(before)
-        self._say(Append(self.id, voter, self.term, before, term, entries, self.committed, self.round))
-        held.next = before + len(entries) + 1  # taken for sent; an answer that says otherwise sets it back
-
-    def _appends(self, now_ms: float, told: Append) -> None:
-        self.heard_ms = now_ms
-        self._wait(now_ms)
-        if told.before_index < self.snapshot.index:
-            # Covered by what is committed here: what is behind it fits.
-            entries = [entry for entry in told.entries if entry.index > self.snapshot.index]
-            before = self.snapshot.index
-            if told.before_index + len(told.entries) < before:
-                self._say(Appended(self.id, told.source, self.term, True, before, told.round), durable=True)
+        entries = self.entries_after(prev_index)
+        self._send(
+            AppendEntries(
+                self.id, voter, self.term, prev_index, prev_term, entries, self.committed, self.round
+            )
+        )
+        follower.next_index = prev_index + len(entries) + 1  # optimistic; a rejecting reply sets it back
+
+    def _on_append(self, now_ms: float, message: AppendEntries) -> None:
+        self.last_leader_contact_ms = now_ms
+        self._reset_election_timer(now_ms)
+        if message.prev_index < self.snapshot.index:
+            # The snapshot covers the start; everything in it is committed, so later entries match.
+            entries = [entry for entry in message.entries if entry.index > self.snapshot.index]
+            prev_index = self.snapshot.index
+            if message.prev_index + len(message.entries) < prev_index:
+                self._send(
+                    AppendReply(self.id, message.source, self.term, True, prev_index, message.round),
+                    durable=True,
+                )
                 return
         else:
-            entries, before = list(told.entries), told.before_index
-            if self.term_at(before) != told.before_term:
-                hint = min(before, self.last_index + 1) - 1
-                while hint > self.committed and self.term_at(hint) > told.before_term:
+            entries, prev_index = list(message.entries), message.prev_index
+            if self.term_at(prev_index) != message.prev_term:
+                hint = min(prev_index, self.last_index + 1) - 1
+                while hint > self.committed and self.term_at(hint) > message.prev_term:
                     hint -= 1
-                self._say(Appended(self.id, told.source, self.term, False, hint, told.round))
+                self._send(AppendReply(self.id, message.source, self.term, False, hint, message.round))
                 return
-        fresh = [entry for entry in entries if self.term_at(entry.index) != entry.term]
-        if fresh:
-            keep = fresh[0].index - 1
-            self.tally.must(keep >= self.committed, "what is committed is not replaced")
-            del self.entries[keep - self.snapshot.index :]
-            self.entries += entries[entries.index(fresh[0]) :]
-            self._save(after=keep, entries=tuple(self.entries[keep - self.snapshot.index :]))
-        last = before + len(entries)
-        self._commit(min(told.committed, last))
-        self._say(Appended(self.id, told.source, self.term, True, last, told.round), durable=True)
-
-    def _appended(self, now_ms: float, told: Appended) -> None:
-        held = self.followers.get(told.source)
-        if held is None or self.role is not Role.LEADER:
+        new_entries = [entry for entry in entries if self.term_at(entry.index) != entry.term]
+        if new_entries:
+            keep_index = new_entries[0].index - 1
+            self.tally.must(keep_index >= self.committed, "what is committed is not replaced")
+            del self.entries[keep_index - self.snapshot.index :]
+            self.entries += entries[entries.index(new_entries[0]) :]
+            self._save(after=keep_index, entries=tuple(self.entries[keep_index - self.snapshot.index :]))
+        last = prev_index + len(entries)
+        self._commit(min(message.committed, last))
+        self._send(AppendReply(self.id, message.source, self.term, True, last, message.round), durable=True)
+
+    def _on_append_reply(self, now_ms: float, message: AppendReply) -> None:
+        follower = self.followers.get(message.source)
+        if follower is None or self.role is not Role.LEADER:
             return
-        held.heard_ms = now_ms
-        held.round = max(held.round, told.round)
-        if told.held:
-            held.match = max(held.match, told.index)
-            held.next = max(held.next, held.match + 1)
+        follower.last_received_ms = now_ms
+        follower.round = max(follower.round, message.round)
+        if message.success:
+            follower.match_index = max(follower.match_index, message.index)
+            follower.next_index = max(follower.next_index, follower.match_index + 1)
             self._advance(now_ms)
-            if held.next <= self.last_index and held.match == held.next - 1:
-                self._feed(now_ms, told.source)
-            if self.heir == told.source and held.match == self.last_index:
-                self._say(Succeed(self.id, self.heir, self.term))
+            if follower.next_index <= self.last_index and follower.match_index == follower.next_index - 1:
+                self._replicate(now_ms, message.source)
+            if self.transfer_target == message.source and follower.match_index == self.last_index:
+                self._send(TimeoutNow(self.id, self.transfer_target, self.term))
         else:
-            held.next = max(held.match, min(told.index, held.next - 1)) + 1
-            self._feed(now_ms, told.source)
+            follower.next_index = max(follower.match_index, min(message.index, follower.next_index - 1)) + 1
+            self._replicate(now_ms, message.source)
         self._confirm(now_ms)
 
-    def _installs(self, now_ms: float, told: Install) -> None:
-        self.heard_ms = now_ms
-        self._wait(now_ms)
-        new = told.snapshot
-        if new.index > self.committed:
-            fits = self.term_at(new.index) == new.term
-            self.entries = self.entries[new.index - self.snapshot.index :] if fits else []
-            self.snapshot = new
-            self.committed = self.applied = new.index
-            self._save(after=self.last_index, snapshot=new, whole=not fits)
-            self.commit(Entry(new.index, new.term, int(Kind.SNAPSHOT), new.data))
+    def _on_install_snapshot(self, now_ms: float, message: InstallSnapshot) -> None:
+        self.last_leader_contact_ms = now_ms
+        self._reset_election_timer(now_ms)
+        snapshot = message.snapshot
+        if snapshot.index > self.committed:
+            matches = self.term_at(snapshot.index) == snapshot.term
+            self.entries = self.entries[snapshot.index - self.snapshot.index :] if matches else []
+            self.snapshot = snapshot
+            self.committed = self.applied = snapshot.index
+            self._save(after=self.last_index, snapshot=snapshot, whole=not matches)
+            self.commit(Entry(snapshot.index, snapshot.term, int(Kind.SNAPSHOT), snapshot.data))
             self.tally.add("agreement.installed")
-        index = max(new.index, self.committed)
-        self._say(Appended(self.id, told.source, self.term, True, index, told.round), durable=True)
+        index = max(snapshot.index, self.committed)
+        self._send(AppendReply(self.id, message.source, self.term, True, index, message.round), durable=True)
 
     def _advance(self, now_ms: float) -> None:
-        """Commit what a majority holds on disk, if it is of our own term: older entries count only behind such."""
+        """Commits up to the index that a majority has on disk, if that entry is of our term (Raft, section 5.4.2)."""
         voters = self.voters
-        own = [self.durable_index] if self.id in voters else []
-        marks = sorted(own + [held.match for voter, held in self.followers.items() if voter in voters])
-        if not marks:
+        own_index = [self.durable_index] if self.id in voters else []
+        match_indexes = sorted(
+            own_index
+            + [follower.match_index for voter, follower in self.followers.items() if voter in voters]
+        )
+        if not match_indexes:
             return
-        reached = marks[(len(voters) - 1) // 2] if len(marks) == len(voters) else 0
-        if reached > self.committed and self.term_at(reached) == self.term:
-            self._commit(reached)
-            self.beat_due_ms = min(self.beat_due_ms, now_ms)  # followers learn of it at once
-            self._wake()
+        majority_index = match_indexes[(len(voters) - 1) // 2] if len(match_indexes) == len(voters) else 0
+        if majority_index > self.committed and self.term_at(majority_index) == self.term:
+            self._commit(majority_index)
+            self.heartbeat_due_ms = min(
+                self.heartbeat_due_ms, now_ms
+            )  # reports the new index to the followers at once
+            self._update_wake_time()
             if self.id not in voters:
-                self._follow(now_ms, self.term)  # we took ourselves out
+                self._become_follower(now_ms, self.term)  # we are no longer a voter
 
     def _commit(self, index: int) -> None:
         self.committed = max(self.committed, index)
@@ -521,7 +561,7 @@
             self.commit(self.entries[self.applied - self.snapshot.index - 1])
 
     def compact(self, data: bytes) -> None:
-        """All that is committed so far amounts to `data`: a snapshot takes the place of those entries."""
+        """Replaces all applied entries by a snapshot; `data` is the state after them."""
         index = self.applied
         if index == self.snapshot.index:
             return
@@ -534,94 +574,98 @@
         self.snapshot = snapshot
         self._save(after=self.last_index, snapshot=snapshot)
 
-    # What operators ask.
+    # Operators' requests.
 
     def confirmed(self, now_ms: float) -> tuple[int, float] | None:
-        """(index, age): so long ago nothing behind this index was committed anywhere; None where we can't tell.
+        """Returns (index, age): `age` ms ago nothing after this index was committed anywhere; None if not known.
 
-        A leader's answer: a majority has answered a round begun then, so no other could have been elected before.
-        It holds of rounds begun when an entry of its own term was committed: before that, it may not know what is.
+        Known to a leader alone: a majority has answered a round that began then, so no other leader could have been
+        elected before. It holds for rounds begun after an entry of the leader's own term was committed: before that,
+        the leader may not know which entries are committed.
         """
-        if self.role is not Role.LEADER or self.confirmed_index < self.own_index:
+        if self.role is not Role.LEADER or self.confirmed_index < self.term_start_index:
             return None
         return self.confirmed_index, now_ms - self.confirmed_ms
 
     def _confirm(self, now_ms: float) -> None:
-        """The latest round that a majority has answered: what was committed when it began is the newest as of then."""
+        """Records the latest round that a majority has answered: its committed index was the newest when it began."""
         voters = self.voters
-        answered = sorted(
+        answered_rounds = sorted(
             ([self.round] if self.id in voters else [])
-            + [held.round for voter, held in self.followers.items() if voter in voters]
+            + [follower.round for voter, follower in self.followers.items() if voter in voters]
         )
-        if len(answered) < len(voters):
+        if len(answered_rounds) < len(voters):
             return
-        number = answered[(len(voters) - 1) // 2]
-        if number in self.rounds:
-            self.confirmed_ms, self.confirmed_index = self.rounds[number]
+        round_ = answered_rounds[(len(voters) - 1) // 2]
+        if round_ in self.rounds:
+            self.confirmed_ms, self.confirmed_index = self.rounds[round_]
 
     def change_voters(self, now_ms: float, voters: list[str]) -> int:
-        """Put one voter more, or one less, in the log; its index. Raises RaftError: one at a time, each committed."""
-        self._must_lead()
+        """Appends a list with one voter more or one less and returns its index.
+
+        Raises RaftError if more than one voter differs, or if an earlier change is not committed yet.
+        """
+        self._require_leader()
         if len(set(voters) ^ set(self.voters)) != 1 or len(set(voters)) != len(voters):
-            raise RaftError("voters change one at a time")
+            raise RaftError("voters must change one at a time: add or remove exactly one")
         pending = any(entry.kind == Kind.VOTERS and entry.index > self.committed for entry in self.entries)
-        if pending or self.committed < self.own_index:
-            # Guards against two changes that overlap: their majorities might not (Ongaro's correction of 2015).
+        if pending or self.committed < self.term_start_index:
+            # Two overlapping changes could have majorities that don't overlap (Ongaro's correction of 2015).
             raise RaftError("a change of voters, or the first entry of this term, is not committed yet")
-        index = self._put(Kind.VOTERS, msgspec.msgpack.encode(voters))
+        index = self._append(Kind.VOTERS, msgspec.msgpack.encode(voters))
         for voter in voters:
             if voter != self.id and voter not in self.followers:
                 self.followers[voter] = Follower(self.last_index + 1, now_ms)
         for voter in set(self.followers) - set(voters):
             del self.followers[voter]
-        self._lead_on(now_ms)
+        self._send_heartbeats(now_ms)
         self._advance(now_ms)
         return index
 
-    def settled(self) -> bool:
-        """Whether no change of the voters is on its way."""
+    def voters_settled(self) -> bool:
+        """Whether no change of the voters is uncommitted."""
         return all(entry.kind != Kind.VOTERS or entry.index <= self.committed for entry in self.entries)
 
-    def transfer(self, now_ms: float, to: str) -> None:
-        """Hand the lead over, once `to` holds all we do. Raises RaftError."""
-        self._must_lead()
-        if to not in self.followers:
-            raise RaftError("only another voter can lead")
-        self.heir, self.heir_ms = to, now_ms
-        if self.followers[to].match == self.last_index:
-            self._say(Succeed(self.id, to, self.term))
+    def transfer(self, now_ms: float, target: str) -> None:
+        """Transfers leadership to `target` once its log has caught up. Raises RaftError."""
+        self._require_leader()
+        if target not in self.followers:
+            raise RaftError(f"leadership can be transferred only to another voter, not to {target!r}")
+        self.transfer_target, self.transfer_started_ms = target, now_ms
+        if self.followers[target].match_index == self.last_index:
+            self._send(TimeoutNow(self.id, target, self.term))
         else:
-            self._feed(now_ms, to)
+            self._replicate(now_ms, target)
 
-    # What arrives.
+    # Messages.
 
-    def received(self, now_ms: float, message: Any) -> None:
-        """Take a message of another voter, or of this one to itself."""
+    def received(self, now_ms: float, message: AnyMessage) -> None:
+        """Handles a message of another voter, or of this voter to itself."""
         if message.target != self.id:
             return
         match message:
-            case AskVote():
-                self._asked(now_ms, message)
-            case Vote():
+            case VoteRequest():
+                self._on_vote_request(now_ms, message)
+            case VoteReply():
                 if message.term > self.term and not message.pre:
-                    self._follow(now_ms, message.term)
-                self._counted(now_ms, message)
+                    self._become_follower(now_ms, message.term)
+                self._on_vote_reply(now_ms, message)
             case _:
                 if message.term > self.term or (
-                    message.term == self.term and isinstance(message, Append | Install)
+                    message.term == self.term and isinstance(message, AppendEntries | InstallSnapshot)
                 ):
-                    leader = message.source if isinstance(message, Append | Install) else ""
-                    self._follow(now_ms, message.term, leader)
+                    leader = message.source if isinstance(message, AppendEntries | InstallSnapshot) else ""
+                    self._become_follower(now_ms, message.term, leader)
                 if message.term < self.term:
-                    if isinstance(message, Append | Install):
-                        # It leads no more, and has to hear of it.
-                        self._say(Appended(self.id, message.source, self.term, False, 0, 0))
-                elif isinstance(message, Append):
-                    self._appends(now_ms, message)
-                elif isinstance(message, Install):
-                    self._installs(now_ms, message)
-                elif isinstance(message, Appended):
-                    self._appended(now_ms, message)
+                    if isinstance(message, AppendEntries | InstallSnapshot):
+                        # A deposed leader: the reply carries the newer term.
+                        self._send(AppendReply(self.id, message.source, self.term, False, 0, 0))
+                elif isinstance(message, AppendEntries):
+                    self._on_append(now_ms, message)
+                elif isinstance(message, InstallSnapshot):
+                    self._on_install_snapshot(now_ms, message)
+                elif isinstance(message, AppendReply):
+                    self._on_append_reply(now_ms, message)
                 elif message.term == self.term:
-                    self._stand(now_ms, pre=False, forced=True)
-        self._wake()
+                    self._start_election(now_ms, pre=False, forced=True)
+        self._update_wake_time()
--- a/leadslip/fleet/agreement/saver.py
+++ b/leadslip/fleet/agreement/saver.py
@@ -1,4 +1,4 @@
-"""The one thread that uses a voter's disk in a running proxy: saves in the order given, each told once it is there."""
+"""Thread that writes a voter's saves to its disk, in order, and reports each one once it is durable."""
 
 from __future__ import annotations
 
@@ -14,38 +14,40 @@
 
 
 class Saver:
-    """Writes what it is given; `call` brings a function to the thread that decides.
+    """Writes queued saves; `call_in_main` runs a function in the thread that drives the voter.
 
-    What can't be written stops it: a voter that goes on without its disk could take back what it has said.
+    The first failed write ends the thread and is reported to `failed`: a voter that went on without its disk could
+    contradict votes or acknowledgements that it has already sent.
     """
 
     def __init__(
         self,
         disk: Disk,
-        call: Callable[[Callable[[], None]], None],
+        call_in_main: Callable[[Callable[[], None]], None],
         saved: Callable[[int], None],
         failed: Callable[[str], None],
     ) -> None:
-        self.disk, self.call, self.saved, self.failed = disk, call, saved, failed
-        self.waiting: queue.SimpleQueue[Save | None] = queue.SimpleQueue()
+        self.disk, self.call_in_main, self.saved, self.failed = disk, call_in_main, saved, failed
+        self.queue: queue.SimpleQueue[Save | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._run, name="agreement-disk", daemon=True)
         self.thread.start()
 
     def put(self, save: Save) -> None:
-        self.waiting.put(save)
+        """Queues a save."""
+        self.queue.put(save)
 
-    def close(self, seconds: float) -> None:
-        """Write what waits and end, within so long."""
-        self.waiting.put(None)
-        self.thread.join(seconds)
+    def close(self, timeout_s: float) -> None:
+        """Writes what is queued and ends the thread; waits for it at most `timeout_s` seconds."""
+        self.queue.put(None)
+        self.thread.join(timeout_s)
 
     def _run(self) -> None:
-        while (save := self.waiting.get()) is not None:
+        while (save := self.queue.get()) is not None:
             try:
                 self.disk.write(save)
-            except (apsw.Error, StoreError) as fault:
-                told = f"{type(fault).__name__}: {fault}"
-                self.call(lambda told=told: self.failed(told))
+            except (apsw.Error, StoreError) as error:
+                message = f"{type(error).__name__}: {error}"
+                self.call_in_main(lambda message=message: self.failed(message))
                 return
-            self.call(lambda number=save.number: self.saved(number))
+            self.call_in_main(lambda number=save.number: self.saved(number))
         self.disk.close()
--- a/leadslip/parts/agreement/__init__.py
+++ b/leadslip/parts/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""Settings and lists on which the proxies of a fleet agree (fleet/agreement/)."""
+"""Part that gives a proxy the configuration replicated over the fleet (fleet/agreement/)."""
--- a/leadslip/parts/agreement/part.py
+++ b/leadslip/parts/agreement/part.py
@@ -1,4 +1,4 @@
-"""The agreement wired into a proxy: messages, a thread for a voter's disk, a filter, operators' calls."""
+"""Connects the agreement to a proxy: fleet messages, the disk thread of a voter, a filter and control endpoints."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from leadslip.filters import Filter
 from leadslip.fleet.agreement.disk import Disk
 from leadslip.fleet.agreement.documents import (
-    MOST_BYTES,
+    MAX_DOCUMENT_BYTES,
     SCHEMAS,
     Isolated,
     Outcome,
@@ -27,8 +27,8 @@
 from leadslip.operators import Answer, Asked, Calls, Verbs, as_json, problem
 from leadslip.parts.part import Part
 
-WAIT_MS, MOST_WAIT_MS = 3000.0, 30_000.0  # for a majority, unless a call says otherwise; at the most
-CLOSE_S = 1.0
+DEFAULT_WAIT_MS, MAX_WAIT_MS = 3000.0, 30_000.0  # how long a request waits for a majority
+CLOSE_TIMEOUT_S = 1.0
 
 
 class NoDocumentError(OperatorError):
@@ -39,7 +39,7 @@
 
 
 class AgreementPart(Part):
-    """This proxy as a voter, if its name is one's and it has a disk, and as one that acts on what is agreed."""
+    """Runs this proxy's agreement member, as a voter if its name is in the list, and applies the agreed rules."""
 
     agreement: Agreement | None = None
     saver: Saver | None = None
@@ -48,35 +48,38 @@
         node, conf = self.node, self.conf
         self.peers = node.parts["fleet"].peers
         isolated = Isolated(most_tries=conf.isolated_most_tries)
-        draw = random.Random(random.SystemRandom().getrandbits(64))
-        kind = Agreement
+        rng = random.Random(random.SystemRandom().getrandbits(64))
+        agreement_class = Agreement
         if self.peers.conf.broken:
             from leadslip.drill.broken import AGREEMENTS
 
-            kind = AGREEMENTS.get(self.peers.conf.broken, Agreement)
-        self.agreement = kind(
-            self.peers.view, conf.voters, conf.in_force_ms, isolated, draw, node.tally, node.log
+            agreement_class = AGREEMENTS.get(self.peers.conf.broken, Agreement)
+        self.agreement = agreement_class(
+            self.peers.view, conf.voters, conf.in_force_ms, isolated, rng, node.tally, node.log
         )
         if self.peers.view.me.name in conf.voters:
             if not conf.disk:
-                raise MissingError("agreement.disk is missing, and this proxy is named as a voter")
+                raise MissingError(
+                    "agreement.disk is missing: this proxy is listed in agreement.voters and needs a file"
+                )
             disk = Disk(conf.disk)
-            self.agreement.votes_with(disk.id, disk.starts, disk.kept([]))
-            self.saver = Saver(disk, node.reactor.callFromThread, self.saved, self.agreement.failed)
+            self.agreement.votes_with(disk.id, disk.starts, disk.load([]))
+            self.saver = Saver(disk, node.reactor.callFromThread, self.saved, self.agreement.on_save_failed)
         self.carrier = self.peers.join("agreement", self.agreement, self.save)
         self.peers.tell_facts()
         node.filter()
 
-    # Between the fleet and the agreement.
+    # Between the fleet transport and the agreement.
 
     def saved(self, number: int) -> None:
+        """Handles the report of the disk thread that a save is durable."""
         self.agreement.saved(self.peers.clock.now_ms(), number)
         self.carrier.flush()
 
     def save(self) -> None:
-        """Hand over what is to be made durable."""
-        held = self.agreement
-        saves, held.saves = held.saves, []
+        """Queues the pending saves for the disk thread."""
+        agreement = self.agreement
+        saves, agreement.saves = agreement.saves, []
         for save in saves:
             self.saver.put(save)
         if saves and not self.peers.stopped:
@@ -87,9 +90,9 @@
 
     def close(self) -> None:
         if self.saver is not None:
-            self.saver.close(CLOSE_S)
+            self.saver.close(CLOSE_TIMEOUT_S)
 
-    # What the rules are put to (filter.py).
+    # RulesTarget (filter.py).
 
     def filters(self) -> list[Filter]:
         if self.agreement is None:
@@ -110,9 +113,9 @@
     def keep(self, lines: dict[str, int]) -> None:
         trunks = self.node.parts.get("trunks")
         if trunks is not None and trunks.reservation is not None:
-            trunks.reservation.keep(lines, [kind.name for kind in self.settings().classes])
+            trunks.reservation.keep(lines, [call_class.name for call_class in self.settings().classes])
 
-    # What operators ask.
+    # Control endpoints.
 
     def figures(self) -> dict[str, Callable[[], int]]:
         return {"agreed_revision": lambda: self.agreement.held.revision if self.agreement is not None else 0}
@@ -120,51 +123,65 @@
     def calls(self) -> Calls:
         return {
             b"settings": Verbs(
-                {b"GET": self.told, b"PUT": self.put, b"DELETE": self.put},
+                {b"GET": self.get_settings, b"PUT": self.put_settings, b"DELETE": self.put_settings},
                 below=True,
-                most_body=len(SCHEMAS) * MOST_BYTES,
+                most_body=len(SCHEMAS) * MAX_DOCUMENT_BYTES,
             ),
-            b"voters": Verbs({b"GET": self.voters, b"PUT": self.put_voters}),
+            b"voters": Verbs({b"GET": self.get_voters, b"PUT": self.put_voters}),
         }
 
-    def there(self) -> Agreement:
+    def require_agreement(self) -> Agreement:
+        """Returns the agreement. Raises StoppedError before the part has started."""
         if self.agreement is None:
-            raise StoppedError("the agreement has not begun yet")
+            raise StoppedError("the agreement has not started on this proxy yet")
         return self.agreement
 
-    def told(self, asked: Asked) -> Answer:
-        """All that is agreed, or one document."""
-        held = self.there()
-        if not asked.path:
+    def get_settings(self, request: Asked) -> Answer:
+        """Answers with all that is agreed, or with one document."""
+        agreement = self.require_agreement()
+        if not request.path:
             documents = {
-                name: {"hash": hash_of(body), "bytes": len(body)} for name, body in held.held.bodies.items()
+                name: {"hash": hash_of(body), "bytes": len(body)}
+                for name, body in agreement.held.bodies.items()
             }
             history = [
-                {"revision": one.number, "changed": one.changed, "author": one.author, "why": one.why}
-                | {"unix_ms": one.unix_ms, "id": one.id}
-                for one in held.documents.history[-20:]
+                {
+                    "revision": revision.number,
+                    "changed": revision.changed,
+                    "author": revision.author,
+                    "why": revision.reason,
+                }
+                | {"unix_ms": revision.unix_ms, "id": revision.id}
+                for revision in agreement.documents.history[-20:]
             ]
-            told = held.told(self.peers.clock.now_ms())
-            return as_json(told | {"documents": documents, "history": history})
-        name = "/".join(asked.path)
-        if name not in held.held.bodies:
-            raise NoDocumentError(f"{name} is no document that is agreed on")
-        told = {"name": name, "revision": held.held.revision, "document": json.loads(held.held.bodies[name])}
-        return as_json(told)
-
-    def put(self, asked: Asked) -> Answer | None:
-        """Change one document (or, without a name, those in the body) if none has changed since `expect`."""
-        held, name = self.there(), "/".join(asked.path)
+            status = agreement.told(self.peers.clock.now_ms())
+            return as_json(status | {"documents": documents, "history": history})
+        name = "/".join(request.path)
+        if name not in agreement.held.bodies:
+            raise NoDocumentError(f"no document {name} is agreed on")
+        answer = {
+            "name": name,
+            "revision": agreement.held.revision,
+            "document": json.loads(agreement.held.bodies[name]),
+        }
+        return as_json(answer)
+
+    def put_settings(self, request: Asked) -> Answer | None:
+        """Proposes a change of the named document, or of those in the body, if unchanged since revision `expect`."""
+        agreement, name = self.require_agreement(), "/".join(request.path)
         if name:
-            bodies = {name: asked.body}
+            bodies = {name: request.body}
         else:
             try:
-                told = json.loads(asked.body)
-                bodies = {key: b"" if one is None else json.dumps(one).encode() for key, one in told.items()}
-            except (ValueError, AttributeError) as fault:
-                raise RefusedError(f"the body is no JSON object of documents: {fault}") from fault
-        expect = number(asked, "expect", held.held.revision)
-        query = asked.query
+                documents = json.loads(request.body)
+                bodies = {
+                    key: b"" if document is None else json.dumps(document).encode()
+                    for key, document in documents.items()
+                }
+            except (ValueError, AttributeError) as error:
+                raise RefusedError(f"the body must be a JSON object of documents by name: {error}") from error
+        expect = query_number(request, "expect", agreement.held.revision)
+        query = request.query
         change = Proposal(
             query.get("id") or secrets.token_hex(8),
             int(expect),
@@ -173,46 +190,46 @@
             query.get("why", ""),
             self.node.clock.now_ms(),
         )
-        held.documents.check(change) if held.raft is not None else None
-        return self.bring(asked, Propose(change.id, change))
+        agreement.documents.check(change) if agreement.raft is not None else None
+        return self.propose(request, Propose(change.id, change))
 
-    def voters(self, asked: Asked) -> Answer:
-        """Who votes, as this proxy knows it, and which voters' disks are in the fleet."""
-        held = self.there()
+    def get_voters(self, request: Asked) -> Answer:
+        """Answers with the voters as this proxy knows them, and the voter ids of all live members."""
+        agreement = self.require_agreement()
         there = {
-            str(one.facts["voter"]): {"name": one.name, "blank": bool(one.facts.get("blank"))}
-            for one in self.peers.view.members()
-            if "voter" in one.facts
+            str(member.facts["voter"]): {"name": member.name, "blank": bool(member.facts.get("blank"))}
+            for member in self.peers.view.members()
+            if "voter" in member.facts
         }
-        return as_json({"voter": held.told(self.peers.clock.now_ms())["voter"], "there": there})
+        return as_json({"voter": agreement.told(self.peers.clock.now_ms())["voter"], "there": there})
 
-    def put_voters(self, asked: Asked) -> Answer | None:
-        """Let these vote from now on: ids, joined by commas; one more or one less than now."""
-        ids = [one for one in asked.query.get("ids", "").split(",") if one]
+    def put_voters(self, request: Asked) -> Answer | None:
+        """Proposes a new list of voters (comma-separated ids), with one voter more or one less than now."""
+        ids = [id_ for id_ in request.query.get("ids", "").split(",") if id_]
         if not ids:
-            raise RefusedError("ids names no voter")
-        return self.bring(asked, Propose(secrets.token_hex(8), None, ids))
+            raise RefusedError("ids is empty: it must list the voters' ids, separated by commas")
+        return self.propose(request, Propose(secrets.token_hex(8), None, ids))
 
-    def bring(self, asked: Asked, propose: Propose) -> None:
-        """Have it settled, and answer then."""
-        wait_ms = min(number(asked, "wait_ms", WAIT_MS), MOST_WAIT_MS)
+    def propose(self, request: Asked, proposal: Propose) -> None:
+        """Proposes a change and replies once its result is known."""
+        wait_ms = min(query_number(request, "wait_ms", DEFAULT_WAIT_MS), MAX_WAIT_MS)
 
-        def done(outcome: Outcome | OperatorError) -> None:
-            if isinstance(outcome, OperatorError):
-                asked.reply(problem(outcome))
+        def done(result: Outcome | OperatorError) -> None:
+            if isinstance(result, OperatorError):
+                request.reply(problem(result))
             else:
-                asked.reply(as_json({"revision": outcome.revision, "id": propose.id}))
+                request.reply(as_json({"revision": result.revision, "id": proposal.id}))
 
-        self.agreement.propose(self.peers.clock.now_ms(), propose, wait_ms, done)
+        self.agreement.propose(self.peers.clock.now_ms(), proposal, wait_ms, done)
         self.carrier.flush()
 
 
-def number(asked: Asked, key: str, default: float) -> float:
-    """A number in a call's query. Raises RefusedError."""
+def query_number(request: Asked, key: str, default: float) -> float:
+    """Returns a number of a request's query. Raises RefusedError if it is not one."""
     try:
-        return float(asked.query.get(key, default))
-    except ValueError as fault:
-        raise RefusedError(f"{key} is no number: {asked.query[key]!r}") from fault
+        return float(request.query.get(key, default))
+    except ValueError as error:
+        raise RefusedError(f"{key} must be a number: {request.query[key]!r}") from error
 
 
 PART = AgreementPart
--- a/leadslip/parts/agreement/settings.py
+++ b/leadslip/parts/agreement/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the agreement. Needs the fleet; off on the platform, as that is."""
+"""Settings of the agreement part. It requires the fleet part and, like that, is off on the platform."""
 
 from __future__ import annotations
 
@@ -8,39 +8,44 @@
 from leadslip.config import MalformedError, NeedsError, TakenError, figures_of, member, turned_on
 from leadslip.parts import Around, Kind
 
-KEYS = {"in_force_ms": (2000.0, 200.0, 600_000.0), "isolated_most_tries": (1, 1, 16)}  # default, least, most
-MOST_VOTERS = 9
+KEYS = {
+    "in_force_ms": (2000.0, 200.0, 600_000.0),
+    "isolated_most_tries": (1, 1, 16),
+}  # default, minimum, maximum
+MAX_VOTERS = 9
 
 
 @dataclass(frozen=True, slots=True)
 class AgreementConfig:
-    """Who votes, where a voter keeps what it must not forget, and for how long rules hold that nobody vouches for."""
+    """The voters, the file of a voter's persistent state, and how long a revision applies without confirmation."""
 
-    voters: tuple[str, ...]  # names of members
-    disk: str  # of a voter; others need none
+    voters: tuple[str, ...]  # member names
+    disk: str  # path of the voter's file; only voters need one
     in_force_ms: float
-    isolated_most_tries: int  # until a document `isolated` is agreed on
+    isolated_most_tries: (
+        int  # attempts per call under the fallback rules until a document `isolated` is agreed on
+    )
 
 
 def settings(told: Mapping, around: Around) -> AgreementConfig | None:
-    """The checked settings of the agreement; None where they turn it off."""
+    """Returns the validated settings of the agreement; None if they disable it."""
     if not turned_on(told, "agreement", ("voters", "disk", *KEYS)):
         return None
     if around.settings.get("fleet") is None:
         raise NeedsError("agreement needs the fleet to be turned on")
     voters = member(told, "voters", list, "agreement")
-    if not 1 <= len(voters) <= MOST_VOTERS or not all(isinstance(one, str) and one for one in voters):
-        raise MalformedError(f"agreement.voters is no list of 1 to {MOST_VOTERS} names: {voters!r}")
+    if not 1 <= len(voters) <= MAX_VOTERS or not all(isinstance(voter, str) and voter for voter in voters):
+        raise MalformedError(f"agreement.voters must be a list of 1 to {MAX_VOTERS} names: {voters!r}")
     if len(set(voters)) < len(voters):
-        raise TakenError("agreement.voters names one twice")
+        raise TakenError(f"agreement.voters names a voter twice: {voters!r}")
     disk = told.get("disk", "")
     if not isinstance(disk, str) or disk.endswith("/"):
-        raise MalformedError(f"agreement.disk is no file: {disk!r}")
+        raise MalformedError(f"agreement.disk must be the path of a file: {disk!r}")
     return AgreementConfig(tuple(voters), disk, **figures_of(told, "agreement", KEYS))
 
 
 class AgreementSettings(Kind):
-    """What the file of this part may say."""
+    """The settings file of the agreement part."""
 
     name, variable, lasting = "agreement", "LEADSLIP_AGREEMENT", "agreement"
     settings = staticmethod(settings)
--- a/tests/test_fleet_agreed_processes.py
+++ b/tests/test_fleet_agreed_processes.py
@@ -1,4 +1,4 @@
-"""Processes of the program that agree on documents, broken on purpose: A1 to A3 by their histories alone."""
+"""The agreement among processes of the program under fault injection: A1 to A3 are judged by their histories."""
 
 import json
 
@@ -8,28 +8,32 @@
 from leadslip.config import MalformedError
 from leadslip.drill.scenario import Fault, Scenario
 from leadslip.parts import Around
-from leadslip.parts.agreement import settings as part
+from leadslip.parts.agreement import settings as agreement_settings
 from tests.standins import HOST, Program
 
-PATIENT_S = 60.0
+SETTLE_TIMEOUT_S = 60.0
 
 
-def played(tmp_path, *faults, broken="", seed=1, settle_s=PATIENT_S, processes=4, calls=60.0):
-    told = Scenario("short", "agreed", processes, list(faults), calls, settle_s, voters=3, changes_per_s=4.0)
-    return held(told, seed, tmp_path / "drill", broken=broken)
+def run_scenario(tmp_path, *faults, broken="", seed=1, settle_s=SETTLE_TIMEOUT_S, processes=4, calls=60.0):
+    scenario = Scenario(
+        "short", "agreed", processes, list(faults), calls, settle_s, voters=3, changes_per_s=4.0
+    )
+    return held(scenario, seed, tmp_path / "drill", broken=broken)
 
 
-def test_processes_agree_through_a_kill_and_one_cut_off(tmp_path):
-    told = played(
+def test_processes_agree_through_a_kill_and_a_partition(tmp_path):
+    report = run_scenario(
         tmp_path,
         Fault("kill", 0.3, back_s=0.3),
         Fault("partition", 0.8, 3.0, parts="one"),
     )
-    assert told["held"], told["breaches"]
-    assert told["figures"]["acknowledged"] >= 2 and told["figures"]["revisions_acted_on"] >= 2
-    assert told["figures"]["contradiction_per_cent"] <= 100.0
+    assert report["held"], report["breaches"]
+    assert report["figures"]["acknowledged"] >= 2 and report["figures"]["revisions_acted_on"] >= 2
+    assert report["figures"]["contradiction_per_cent"] <= 100.0
     settings = json.loads((tmp_path / "drill/settings.json").read_text())
-    assert all(one["action"] for one in settings["changes"] if one.get("code")), "each error says what to do"
+    assert all(change["action"] for change in settings["changes"] if change.get("code")), (
+        "each error names an action"
+    )
 
 
 @pytest.mark.parametrize(
@@ -39,12 +43,12 @@
         ("headstrong", "A1", Fault("partition", 0.2, 6.0, parts="halves")),
     ],
 )
-def test_the_checker_sees_an_agreement_that_is_broken_on_purpose(tmp_path, broken, invariant, fault):
-    told = played(tmp_path, fault, broken=broken, settle_s=3.0, processes=4)
-    assert invariant in {one["invariant"] for one in told["breaches"]}, told
+def test_the_checker_detects_a_faulty_agreement(tmp_path, broken, invariant, fault):
+    report = run_scenario(tmp_path, fault, broken=broken, settle_s=3.0, processes=4)
+    assert invariant in {breach["invariant"] for breach in report["breaches"]}, report
 
 
-def test_where_nothing_is_agreed_on_there_is_no_call_for_it(tmp_path):
+def test_without_the_agreement_part_its_endpoint_does_not_exist(tmp_path):
     program = Program(tmp_path, {"s0": f"{HOST}:9"}, ops=f"{HOST}:0")
     try:
         status, body = program.call("GET", "/control/settings")
@@ -57,17 +61,17 @@
     ("change", "key"),
     [
         ({"voters": []}, "agreement.voters"),
-        ({"voters": ["a", "a"]}, "names one twice"),
+        ({"voters": ["a", "a"]}, "names a voter twice"),
         ({"in_force_ms": 10.0}, "agreement.in_force_ms"),
         ({"disk": "there/"}, "agreement.disk"),
         ({"odd": 1}, "agreement.odd"),
     ],
 )
-def test_settings_of_the_agreement_name_the_faulty_key(change, key):
-    good = {"enabled": True, "voters": ["a", "b", "c"], "disk": "a.db"}
+def test_invalid_settings_name_the_faulty_key(change, key):
+    valid = {"enabled": True, "voters": ["a", "b", "c"], "disk": "a.db"}
     around = Around(settings={"fleet": True})
-    assert part.settings(good, around).in_force_ms == 2000.0
+    assert agreement_settings.settings(valid, around).in_force_ms == 2000.0
     with pytest.raises(MalformedError, match=key):
-        part.settings(good | change, around)
+        agreement_settings.settings(valid | change, around)
     with pytest.raises(MalformedError, match="needs the fleet"):
-        part.settings(good, Around())
+        agreement_settings.settings(valid, Around())
--- a/tests/test_fleet_disk.py
+++ b/tests/test_fleet_disk.py
@@ -1,4 +1,4 @@
-"""The disk of a voter: whole or not at all, whatever step of a write fails; damage and strangers are named."""
+"""The disk of a voter: writes are atomic at each point of failure; damaged and foreign files give an error."""
 
 import os
 
@@ -24,67 +24,67 @@
 ]
 
 
-def test_a_voter_finds_what_it_saved_and_counts_its_starts(tmp_path):
+def test_a_voter_loads_what_it_saved_and_counts_its_starts(tmp_path):
     path = str(tmp_path / "voter")
     disk = Disk(path)
     id_ = disk.id
-    assert disk.kept(["a"]).snapshot.voters == ["a"] and disk.starts == 1
+    assert disk.load(["a"]).snapshot.voters == ["a"] and disk.starts == 1
     for save in SAVES[:3]:
         disk.write(save)
     disk.close()
-    again = Disk(path)
-    assert (again.id, again.starts) == (id_, 2)
-    kept = again.kept(["a"])
-    assert (kept.term, kept.vote, kept.entries) == (
+    reopened_disk = Disk(path)
+    assert (reopened_disk.id, reopened_disk.starts) == (id_, 2)
+    state = reopened_disk.load(["a"])
+    assert (state.term, state.vote, state.entries) == (
         2,
         "",
         [entry(1), entry(2), entry(3, 2, b"other"), entry(4, 2)],
     )
     for save in SAVES[3:]:
-        again.write(save)
-    again.close()
-    last = Disk(path).kept([])
-    assert last.snapshot == SAVES[4].snapshot and last.entries == [entry(10, 3)] and last.vote == "you"
+        reopened_disk.write(save)
+    reopened_disk.close()
+    state = Disk(path).load([])
+    assert state.snapshot == SAVES[4].snapshot and state.entries == [entry(10, 3)] and state.vote == "you"
 
 
-def test_a_write_that_fails_at_any_step_has_not_happened(tmp_path):
-    """Each statement of each save fails once; what is found afterwards is what was there before."""
-    points = 0
-    for upto in range(1, len(SAVES)):
-        step = 0
+def test_a_write_that_fails_at_any_statement_changes_nothing(tmp_path):
+    """Each statement of each save fails once; afterwards the file contains the state before that save."""
+    failure_points = 0
+    for save_index in range(1, len(SAVES)):
+        failing_statement = 0
         while True:
-            path = str(tmp_path / f"{upto}-{step}")
+            path = str(tmp_path / f"{save_index}-{failing_statement}")
             disk = Disk(path)
-            for save in SAVES[:upto]:
+            for save in SAVES[:save_index]:
                 disk.write(save)
-            left = [step]
+            remaining = [failing_statement]
 
-            def fail(*told, left=left):
-                left[0] -= 1
-                if left[0] < 0:
+            def fail(*arguments, remaining=remaining):
+                remaining[0] -= 1
+                if remaining[0] < 0:
                     raise apsw.FullError("on purpose")
                 return True
 
             disk.connection.exec_trace = fail
             try:
-                disk.write(SAVES[upto])
+                disk.write(SAVES[save_index])
                 failed = False
             except apsw.FullError:
                 failed = True
             disk.connection.exec_trace = None
             disk.close()
-            found = Disk(path)
-            kept = found.kept([])
-            found.close()
+            reopened_disk = Disk(path)
+            state = reopened_disk.load([])
+            reopened_disk.close()
             if not failed:
                 break
-            points += 1
-            other = Disk(str(tmp_path / f"{upto}-{step}-good"))
-            for save in SAVES[:upto]:
-                other.write(save)
-            assert kept == reopened(other).kept([])
-            step += 1
-    assert points > 15
+            failure_points += 1
+            reference = Disk(str(tmp_path / f"{save_index}-{failing_statement}-good"))
+            for save in SAVES[:save_index]:
+                reference.write(save)
+            assert state == reopened(reference).load([])
+            failing_statement += 1
+    assert failure_points > 15
 
 
 def reopened(disk):
@@ -92,24 +92,24 @@
     return Disk(disk.path)
 
 
-def test_damage_and_files_of_others_are_named(tmp_path):
+def test_damaged_and_foreign_files_give_an_error(tmp_path):
     path = str(tmp_path / "voter")
     disk = Disk(path)
     for save in SAVES[:3]:
         disk.write(save)
     disk.connection.execute("UPDATE entries SET body = x'00' WHERE idx = 2")
     with pytest.raises(StoreError, match="entry 2 is damaged"):
-        disk.kept([])
+        disk.load([])
     disk.connection.execute("DELETE FROM entries WHERE idx = 2")
     with pytest.raises(StoreError, match="entry 3 is damaged, or one before it is missing"):
-        disk.kept([])
+        disk.load([])
     disk.close()
-    other = str(tmp_path / "other")
-    made = apsw.Connection(other)
-    made.execute("CREATE TABLE theirs (x)")
-    made.close()
-    with pytest.raises(StoreError, match="no voter's file"):
-        Disk(other)
+    foreign = str(tmp_path / "other")
+    connection = apsw.Connection(foreign)
+    connection.execute("CREATE TABLE theirs (x)")
+    connection.close()
+    with pytest.raises(StoreError, match="not a voter file"):
+        Disk(foreign)
     with open(path, "r+b") as file:
         file.write(os.urandom(64))
     with pytest.raises(StoreError):
--- a/tests/test_fleet_documents.py
+++ b/tests/test_fleet_documents.py
@@ -1,12 +1,12 @@
-"""Documents that proxies agree on: checked whole, changed together, once each, never stricter than when isolated."""
+"""Agreed documents: validation, atomic changes, idempotence, and the bound set by the fallback rules."""
 
 import json
 
 import pytest
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
-from leadslip.fleet.agreement import documents as rules
+from leadslip.fleet.agreement import documents as documents_module
 from leadslip.fleet.agreement.documents import Documents, Proposal, RefusedError
 
 ISOLATED = {
@@ -18,18 +18,18 @@
 
 
 def change(id_, expect, **documents):
-    bodies = {name: json.dumps(told).encode() for name, told in documents.items()}
+    bodies = {name: json.dumps(document).encode() for name, document in documents.items()}
     return Proposal(id_, expect, bodies, "ops", "a test", 1.0)
 
 
 def with_isolated():
-    held = Documents()
-    held.apply(change("first", 0, isolated=ISOLATED))
-    return held
+    state = Documents()
+    state.apply(change("first", 0, isolated=ISOLATED))
+    return state
 
 
 @pytest.mark.parametrize(
-    ("told", "rule"),
+    ("documents", "rule"),
     [
         ({"bars": {"prefixes": ["09001"]}}, ""),
         ({"bars": {"prefixes": ["0800"]}}, "bars.prefixes 0800"),
@@ -37,7 +37,7 @@
         ({"held": {"servers": ["s2"]}}, "held.servers s2"),
         ({"reserve": {"lines": {"g": 5}}}, "reserve.lines.g"),
         ({"reserve": {"lines": {"g": -1}}}, "below 0"),
-        ({"classes": {"classes": [], "most_tries": 2}}, "none, or one told twice"),
+        ({"classes": {"classes": [], "most_tries": 2}}, "empty, or a class is listed twice"),
         ({"bars": {"prefixes": ["x"]}}, "not digits"),
         ({"bars": {"prefix": ["1"]}}, "unknown field"),
         ({"odd": {}}, "no such document"),
@@ -48,61 +48,71 @@
         ),
     ],
 )
-def test_a_change_is_refused_by_the_rule_that_says_so(told, rule):
-    held, proposal = with_isolated(), change("x", 1, **told)
+def test_an_invalid_change_is_refused_with_the_rule_that_it_breaks(documents, rule):
+    state, proposal = with_isolated(), change("x", 1, **documents)
     if rule:
         with pytest.raises(RefusedError, match=rule):
-            held.check(proposal)
+            state.check(proposal)
     else:
-        held.check(proposal)
+        state.check(proposal)
 
 
-def test_documents_change_together_once_and_only_as_their_author_saw_them():
-    held = with_isolated()
+def test_documents_change_atomically_once_and_only_from_the_revision_their_author_read():
+    state = with_isolated()
     both = change("a", 1, bars={"prefixes": ["0900"]}, held={"servers": ["s1"]})
-    assert held.apply(both).revision == 2 and held.apply(both).revision == 2, (
-        "sent again it takes effect once"
+    assert state.apply(both).revision == 2 and state.apply(both).revision == 2, (
+        "a change that is sent again is applied once"
     )
-    late = held.apply(change("b", 1, held={"servers": []}))
-    assert late.conflict == "held changed in revision 2" and held.revision == 2
-    assert held.apply(change("c", 1, reserve={"lines": {"g": 1}})).revision == 3, (
-        "of another document it is none"
+    late = state.apply(change("b", 1, held={"servers": []}))
+    assert late.conflict == "held changed in revision 2" and state.revision == 2
+    assert state.apply(change("c", 1, reserve={"lines": {"g": 1}})).revision == 3, (
+        "a change of another document does not conflict"
     )
-    assert held.apply(change("d", 9, held={})).conflict, "nobody has seen what is yet to come"
-    assert [one.changed for one in held.history] == [["isolated"], ["bars", "held"], ["reserve"]]
-    assert held.apply(held.rollback(1, "e", "ops", "back", 2.0)).revision == 4
-    assert list(held.bodies) == ["isolated"], "what was not there then is not there any more"
-    assert held.apply(held.rollback(2, "g", "ops", "back", 3.0)).revision == 5
-    assert held.bodies == held.at(2) and held.bodies["bars"] == both.bodies["bars"]
-    with pytest.raises(RefusedError, match="not remembered"):
-        held.rollback(99, "h", "ops", "", 0.0)
+    assert state.apply(change("d", 9, held={})).conflict, "a revision that does not exist yet conflicts"
+    assert [revision.changed for revision in state.history] == [["isolated"], ["bars", "held"], ["reserve"]]
+    assert state.apply(state.rollback(1, "e", "ops", "back", 2.0)).revision == 4
+    assert list(state.bodies) == ["isolated"], (
+        "a rollback deletes documents that did not exist in that revision"
+    )
+    assert state.apply(state.rollback(2, "g", "ops", "back", 3.0)).revision == 5
+    assert state.bodies == state.bodies_at(2) and state.bodies["bars"] == both.bodies["bars"]
+    with pytest.raises(RefusedError, match="not in the history"):
+        state.rollback(99, "h", "ops", "", 0.0)
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(
-    some.lists(
-        some.tuples(
-            some.integers(0, 5), some.integers(0, 6), some.sampled_from(["bars", "held"]), some.integers(0, 3)
+    st.lists(
+        st.tuples(
+            st.integers(0, 5),
+            st.integers(0, 6),
+            st.sampled_from(["bars", "held"]),
+            st.integers(0, 3),
         ),
         max_size=12,
     )
 )
-def test_who_takes_in_the_same_changes_holds_the_same_also_by_way_of_a_snapshot(told):
-    one, other = Documents(), Documents()
-    for id_, expect, name, value in told:
+def test_the_same_changes_give_the_same_state_also_through_a_snapshot(changes):
+    direct, restored = Documents(), Documents()
+    for id_, expect, name, value in changes:
         proposal = change(str(id_), expect, **{name: {"odd": value}})
-        outcome = one.apply(proposal)
-        assert other.apply(proposal) == outcome
-        other = Documents.load(other.dump())
-        assert one.revision == len(one.history)
-    assert one.dump() == other.dump()
-    assert all(one.at(revision.number) is not None for revision in one.history)
-
-
-def test_memory_is_bounded(monkeypatch):
-    monkeypatch.setattr(rules, "MOST_HISTORY", 5)
-    monkeypatch.setattr(rules, "MOST_IDS", 7)
-    held = Documents()
+        result = direct.apply(proposal)
+        assert restored.apply(proposal) == result
+        restored = Documents.load(restored.dump())
+        assert direct.revision == len(direct.history)
+    assert direct.dump() == restored.dump()
+    assert all(direct.bodies_at(revision.number) is not None for revision in direct.history)
+
+
+def test_history_and_results_are_bounded(monkeypatch):
+    monkeypatch.setattr(documents_module, "MAX_HISTORY", 5)
+    monkeypatch.setattr(documents_module, "MAX_RESULTS", 7)
+    state = Documents()
     for i in range(50):
-        held.apply(change(str(i), i, held={"servers": [f"s{i}"]}))
-    assert held.revision == 50 and len(held.history) == 5 and len(held.past) == 5 and len(held.ids) == 7
+        state.apply(change(str(i), i, held={"servers": [f"s{i}"]}))
+    assert (
+        state.revision == 50
+        and len(state.history) == 5
+        and len(state.bodies_by_hash) == 5
+        and len(state.ids) == 7
+    )
--- a/tests/test_fleet_filter.py
+++ b/tests/test_fleet_filter.py
@@ -1,4 +1,4 @@
-"""The agreed rules in the path of calls: bars, servers held off, classes and attempts, at the moment of each call."""
+"""The filter of the agreed rules: bars, drained servers, classes and attempts are those in effect at each call."""
 
 import json
 
@@ -6,31 +6,35 @@
 from leadslip import interface as face
 from leadslip.fleet.agreement.documents import Isolated
 from leadslip.fleet.agreement.filter import AgreedRules
-from leadslip.fleet.agreement.member import Held, Rules
+from leadslip.fleet.agreement.member import RevisionContents, Rules
 from tests.helpers import PLAIN
 from tests.test_core import World
 
-BASE = Rules.of(Held.of(1, {}))
+BASE = Rules.of(RevisionContents.of(1, {}))
 
 
 def rules(revision, **documents):
-    return Rules.of(Held.of(revision, {name: json.dumps(told).encode() for name, told in documents.items()}))
+    return Rules.of(
+        RevisionContents.of(
+            revision, {name: json.dumps(document).encode() for name, document in documents.items()}
+        )
+    )
 
 
 class Agreed(World):
-    """An engine whose calls are under agreed rules; the test says what is in force."""
+    """An engine with the filter of the agreed rules; the test sets the rules in effect."""
 
     def __init__(self, **more):
         super().__init__(**more)
-        self.own, self.force, self.kept, self.acts = self.engine.settings, BASE, [], []
-        filter_ = AgreedRules(self, self, self, lambda **told: self.acts.append(told))
+        self.own_settings, self.rules, self.reserved_lines, self.reports = self.engine.settings, BASE, [], []
+        filter_ = AgreedRules(self, self, self, lambda **fields: self.reports.append(fields))
         self.engine.chain.replace([filter_])
 
     def in_force(self, now_ms):
-        return self.force
+        return self.rules
 
     def settings(self):
-        return self.own
+        return self.own_settings
 
     def adopt(self, settings):
         self.engine.adopt(settings, self.engine.most_held)
@@ -39,64 +43,66 @@
         self.engine.hold(servers)
 
     def keep(self, lines):
-        self.kept.append(lines)
+        self.reserved_lines.append(lines)
 
-    def called(self, id_, to=0, number=""):
+    def offer_call(self, id_, destination=0, number=""):
         request = core.Request(id_, PLAIN, self.now_ms() + 2000.0, self, b"c=offer")
-        request.destination, request.number = to, number
+        request.destination, request.number = destination, number
         self.engine.offer(request)
         return request
 
 
 def test_bars_refuse_by_number_and_destination_from_the_next_call_on():
     world = Agreed()
-    world.called("a", number="9001")
+    world.offer_call("a", number="9001")
     assert len(world.sent) == 1
-    world.force = rules(2, bars={"prefixes": ["900"], "destinations": [7]})
-    world.called("b", number="9001")
-    world.called("c", to=7)
-    world.called("d", number="8")
+    world.rules = rules(2, bars={"prefixes": ["900"], "destinations": [7]})
+    world.offer_call("b", number="9001")
+    world.offer_call("c", destination=7)
+    world.offer_call("d", number="8")
     assert world.told == [("refused", "b"), ("refused", "c")] and len(world.sent) == 2
 
 
-def test_a_server_held_off_gets_nothing_until_it_is_let_go():
+def test_a_drained_server_gets_no_set_up_until_it_is_back_in_rotation():
     world = Agreed(drain_grace_ms=0.0)
-    world.force = rules(2, held={"servers": ["s0"]})
+    world.rules = rules(2, held={"servers": ["s0"]})
     for i in range(5):
-        world.called(f"a{i}")
+        world.offer_call(f"a{i}")
     assert {attempt.server for attempt in world.sent} == {"s1"}
-    listed = face.ListEntry("s0", 0, face.ServerState.READY)
-    world.engine.news(face.ListNews(face.NewsKind.CHANGES, (listed,)))
-    world.called("told anew")
-    assert {attempt.server for attempt in world.sent} == {"s1"}, "the list's word does not undo it"
-    world.force = BASE
+    entry = face.ListEntry("s0", 0, face.ServerState.READY)
+    world.engine.news(face.ListNews(face.NewsKind.CHANGES, (entry,)))
+    world.offer_call("told anew")
+    assert {attempt.server for attempt in world.sent} == {"s1"}, "a server list update does not end the drain"
+    world.rules = BASE
     for i in range(5):
-        world.called(f"b{i}")
+        world.offer_call(f"b{i}")
     assert {attempt.server for attempt in world.sent} == {"s0", "s1"}
 
 
-def test_classes_and_attempts_are_those_in_force_and_come_back():
+def test_classes_and_attempts_are_those_in_effect_and_are_restored():
     world = Agreed()
-    one = {"name": PLAIN, "worth": 9.0, "late_worth": 1.0, "aim_ms": 500.0, "deadline_ms": 900.0}
-    world.force = rules(2, classes={"classes": [one], "most_tries": 1}, reserve={"lines": {"g": 4}})
-    request = world.called("a")
-    kind = next(kind for kind in world.engine.settings.classes if kind.name == PLAIN)
-    assert (kind.worth, kind.deadline_ms, request.most_tries) == (9.0, 900.0, 1)
-    assert world.engine.settings.max_attempts == 1 and world.kept[-1] == {"g": 4}
-    world.force = Rules.alone(Isolated(most_tries=2), 2)
-    assert world.called("b").most_tries == min(2, world.own.max_attempts)
-    world.force = BASE
-    world.called("c")
-    assert world.engine.settings == world.own and world.kept[-1] == {}
-
-
-def test_a_history_tells_what_was_acted_on_and_until_when():
+    agreed_class = {"name": PLAIN, "worth": 9.0, "late_worth": 1.0, "aim_ms": 500.0, "deadline_ms": 900.0}
+    world.rules = rules(2, classes={"classes": [agreed_class], "most_tries": 1}, reserve={"lines": {"g": 4}})
+    request = world.offer_call("a")
+    call_class = next(call_class for call_class in world.engine.settings.classes if call_class.name == PLAIN)
+    assert (call_class.worth, call_class.deadline_ms, request.most_tries) == (9.0, 900.0, 1)
+    assert world.engine.settings.max_attempts == 1 and world.reserved_lines[-1] == {"g": 4}
+    world.rules = Rules.fallback(Isolated(most_tries=2), 2)
+    assert world.offer_call("b").most_tries == min(2, world.own_settings.max_attempts)
+    world.rules = BASE
+    world.offer_call("c")
+    assert world.engine.settings == world.own_settings and world.reserved_lines[-1] == {}
+
+
+def test_reports_name_the_applied_revision_and_until_when_the_previous_one_applied():
     world = Agreed()
-    world.called("a")
+    world.offer_call("a")
     world.wait(100)
-    world.called("b")
+    world.offer_call("b")
     at_ms = world.now_ms()
     world.wait(100)
-    world.force = rules(2, bars={"prefixes": ["1"]})
-    world.called("c")
-    assert [one["revision"] for one in world.acts] == [1, 2] and world.acts[1]["until_ms"] == at_ms
+    world.rules = rules(2, bars={"prefixes": ["1"]})
+    world.offer_call("c")
+    assert [report["revision"] for report in world.reports] == [1, 2] and world.reports[1][
+        "until_ms"
+    ] == at_ms
--- a/tests/test_fleet_raft.py
+++ b/tests/test_fleet_raft.py
@@ -1,97 +1,109 @@
-"""Consensus among voters in the lab: elections, disks, crashes, partitions, snapshots, changes of voters."""
+"""Raft in the simulation: elections, disks, crashes, partitions, snapshots, membership changes."""
 
 import random
 
 import pytest
 
 from leadslip.fleet.agreement.raft import Raft, RaftError, Role
-from leadslip.fleet.agreement.vouch import DRIFT, Vouched
+from leadslip.fleet.agreement.vouch import CLOCK_DRIFT, Freshness
 from leadslip.lab.voters import Voters
 
 
-def settled(lab, most_ms=10_000.0):
-    whole = lab.until(lambda: lab.agreed() and not lab.missing(), most_ms)
-    assert whole < most_ms, "one leads, and all hold the same with all that was acknowledged"
+def assert_converged(lab, timeout_ms=10_000.0):
+    elapsed_ms = lab.until(lambda: lab.agreed() and not lab.missing(), timeout_ms)
+    assert elapsed_ms < timeout_ms, (
+        "there is a leader, and all have the same state with all acknowledged entries"
+    )
     assert lab.wrong == []
 
 
-def test_one_is_elected_and_what_it_takes_is_committed_by_all():
+def test_a_leader_is_elected_and_its_entries_are_committed_by_all():
     lab = Voters(1)
-    settled(lab)
+    assert_converged(lab)
     for i in range(20):
         assert lab.put(b"%d" % i)
         lab.run(20.0)
     lab.run(500.0)
-    assert {tuple(one.state) for one in lab.voters.values()} == {tuple(b"%d" % i for i in range(20))}
+    assert {tuple(voter.state) for voter in lab.voters.values()} == {tuple(b"%d" % i for i in range(20))}
     assert len(lab.acknowledged) == 20 and lab.wrong == []
 
 
-def test_a_leader_cut_off_stands_down_and_what_it_took_alone_is_given_up():
+def test_a_partitioned_leader_steps_down_and_its_uncommitted_entries_are_dropped():
     lab = Voters(2)
-    settled(lab)
-    old = lab.leader()
-    lab.part([old.id], [id_ for id_ in lab.ids if id_ != old.id])
-    old.act(lambda: old.raft.propose(lab.now_ms, b"alone"))
-    assert lab.until(lambda: old.raft.role is not Role.LEADER, 5000.0) <= 2 * lab.pace.patience_ms + 200.0
+    assert_converged(lab)
+    old_leader = lab.leader()
+    lab.part([old_leader.id], [id_ for id_ in lab.ids if id_ != old_leader.id])
+    old_leader.act(lambda: old_leader.raft.propose(lab.now_ms, b"alone"))
+    assert (
+        lab.until(lambda: old_leader.raft.role is not Role.LEADER, 5000.0)
+        <= 2 * lab.pace.election_timeout_ms + 200.0
+    )
     assert lab.until(lambda: lab.leader() is not None, 5000.0) < 3000.0
     lab.put(b"together")
     lab.run(500.0)
-    assert old.raft.confirmed(lab.now_ms) is None
+    assert old_leader.raft.confirmed(lab.now_ms) is None
     lab.cut = set()
-    settled(lab)
-    assert old.state == [b"together"]
+    assert_converged(lab)
+    assert old_leader.state == [b"together"]
 
 
-def test_one_that_was_cut_off_does_not_push_the_leader_out():
+def test_a_voter_that_was_partitioned_does_not_depose_the_leader_on_its_return():
     lab = Voters(3)
-    settled(lab)
+    assert_converged(lab)
     leader = lab.leader()
-    alone = next(id_ for id_ in lab.ids if id_ != leader.id)
-    lab.part([alone], [id_ for id_ in lab.ids if id_ != alone])
+    isolated_id = next(id_ for id_ in lab.ids if id_ != leader.id)
+    lab.part([isolated_id], [id_ for id_ in lab.ids if id_ != isolated_id])
     lab.run(20_000.0)
     term = leader.raft.term
     lab.cut = set()
     lab.run(5000.0)
-    assert lab.leader() is leader and leader.raft.term == term, "pre-vote keeps terms from being used up"
+    assert lab.leader() is leader and leader.raft.term == term, (
+        "pre-vote keeps the partitioned voter from raising the term"
+    )
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_whatever_breaks_no_two_commit_different_things_and_nothing_acknowledged_is_lost(seed):
-    """Crashes that lose what is not on disk, stops, partitions, loss, puts, snapshots, hand-overs, as a seed draws."""
+def test_random_faults_never_make_commits_diverge_or_lose_acknowledged_entries(seed):
+    """Seeded mix of crashes (losing what is not on disk), stops, partitions, message loss, proposals, snapshots and
+    leadership transfers."""
     lab = Voters(seed, count=3 if seed % 2 else 5)
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     down, stopped = set(), set()
     for step in range(250):
-        lab.run(draw.uniform(5.0, 200.0))
-        act = draw.randrange(12)
-        id_ = draw.choice(lab.ids)
-        if act == 0 and id_ not in down | stopped:
+        lab.run(rng.uniform(5.0, 200.0))
+        action = rng.randrange(12)
+        id_ = rng.choice(lab.ids)
+        if action == 0 and id_ not in down | stopped:
             lab.crash(id_)
             down.add(id_)
-        elif act in (1, 2) and down:
-            id_ = draw.choice(sorted(down))
+        elif action in (1, 2) and down:
+            id_ = rng.choice(sorted(down))
             lab.start(id_)
             down.discard(id_)
-        elif act == 3 and id_ not in down | stopped:
+        elif action == 3 and id_ not in down | stopped:
             lab.stop(id_)
             stopped.add(id_)
-        elif act == 4 and stopped:
-            id_ = draw.choice(sorted(stopped))
+        elif action == 4 and stopped:
+            id_ = rng.choice(sorted(stopped))
             lab.go_on(id_)
             stopped.discard(id_)
-        elif act == 5:
-            cut = draw.randrange(1, len(lab.ids))
-            lab.part(lab.ids[:cut], lab.ids[cut:])
-        elif act == 6:
+        elif action == 5:
+            split = rng.randrange(1, len(lab.ids))
+            lab.part(lab.ids[:split], lab.ids[split:])
+        elif action == 6:
             lab.cut = set()
-        elif act == 7:
-            lab.lost = draw.choice((0.0, 0.1, 0.3))
-        elif act == 8 and id_ not in down | stopped:
+        elif action == 7:
+            lab.lost = rng.choice((0.0, 0.1, 0.3))
+        elif action == 8 and id_ not in down | stopped:
             lab.voters[id_].act(lab.voters[id_].compact)
-        elif act == 9 and lab.leader() is not None:
-            leader, to = lab.leader(), draw.choice(lab.ids)
-            if to != leader.id:
-                leader.act(lambda leader=leader, to=to: lawful(leader.raft.transfer, lab.now_ms, to))
+        elif action == 9 and lab.leader() is not None:
+            leader, target = lab.leader(), rng.choice(lab.ids)
+            if target != leader.id:
+                leader.act(
+                    lambda leader=leader, target=target: ignore_raft_error(
+                        leader.raft.transfer, lab.now_ms, target
+                    )
+                )
         else:
             lab.put(b"%d" % step)
     lab.cut, lab.lost = set(), 0.0
@@ -99,45 +111,47 @@
         lab.start(id_)
     for id_ in stopped:
         lab.go_on(id_)
-    settled(lab, 30_000.0)
+    assert_converged(lab, 30_000.0)
     lab.put(b"last")
     lab.run(2000.0)
-    settled(lab)
+    assert_converged(lab)
     assert len(lab.acknowledged) > 20 and lab.leader().state[-1] == b"last"
 
 
-def lawful(act, *told):
+def ignore_raft_error(action, *arguments):
     try:
-        act(*told)
+        action(*arguments)
     except RaftError:
         return
 
 
-class Hasty(Raft):
-    """Takes for committed what is on its own disk alone."""
+class CommitsWithoutMajority(Raft):
+    """Commits what is on its own disk, without a majority."""
 
     def _advance(self, now_ms):
         if self.role is Role.LEADER:
             self._commit(self.durable_index)
 
 
-def test_the_lab_sees_a_leader_that_commits_without_a_majority():
-    lab = Voters(2, kind=Hasty)
+def test_the_simulation_detects_a_leader_that_commits_without_a_majority():
+    lab = Voters(2, kind=CommitsWithoutMajority)
     assert lab.until(lambda: lab.leader() is not None, 10_000.0) < 10_000.0
     lab.run(300.0)
-    old = lab.leader()
-    lab.part([old.id], [id_ for id_ in lab.ids if id_ != old.id])
+    old_leader = lab.leader()
+    lab.part([old_leader.id], [id_ for id_ in lab.ids if id_ != old_leader.id])
     lab.put(b"alone")
     lab.run(4000.0)
     lab.put(b"together")
     lab.run(500.0)
-    assert any("where" in told for told in lab.wrong), "two commit different entries in one place"
-    assert b"alone" in lab.missing(), "what was acknowledged is not with the others"
+    assert any("where" in violation for violation in lab.wrong), (
+        "two voters commit different entries at one index"
+    )
+    assert b"alone" in lab.missing(), "an acknowledged entry is missing at the other voters"
 
 
-def test_voters_change_one_at_a_time_and_one_that_was_taken_out_leads_no_more():
+def test_voters_change_one_at_a_time_and_a_removed_leader_steps_down():
     lab = Voters(5)
-    settled(lab)
+    assert_converged(lab)
     lab.run(200.0)
     leader = lab.leader()
     others = [id_ for id_ in lab.ids if id_ != leader.id]
@@ -155,34 +169,36 @@
     assert sorted(lab.leader().raft.voters) == sorted(others)
 
 
-def test_a_voter_far_behind_is_given_a_snapshot():
+def test_a_voter_far_behind_receives_a_snapshot():
     lab = Voters(6)
-    settled(lab)
-    behind = next(id_ for id_ in lab.ids if id_ != lab.leader().id)
-    lab.crash(behind)
+    assert_converged(lab)
+    lagging = next(id_ for id_ in lab.ids if id_ != lab.leader().id)
+    lab.crash(lagging)
     for i in range(50):
         lab.put(b"%d" % i)
         lab.run(30.0)
     for voter in lab.voters.values():
         voter.act(voter.compact)
     lab.run(200.0)
-    lab.start(behind)
-    settled(lab)
-    assert lab.tally.counts["agreement.installed"] == 1 and len(lab.voters[behind].state) == 50
-
-
-def test_a_revision_is_good_only_as_long_as_it_was_certainly_the_newest():
-    held = Vouched(2000.0)
-    assert not held.good(0.0) and held.told(0.0) is None
-    held.heard(1000.0, 7, 300.0)
-    held.hold(7)
-    assert held.good(700.0 + 2000.0 * (1 - DRIFT)) and not held.good(2701.0)
-    assert held.told(1500.0) == (7, 800.0), "what goes on grows older on the way"
-    held.heard(1600.0, 8, 100.0)
-    assert held.good(2600.0) and not held.good(2701.0), (
-        "a newer one is known: the older goes on till its time is up"
+    lab.start(lagging)
+    assert_converged(lab)
+    assert lab.tally.counts["agreement.installed"] == 1 and len(lab.voters[lagging].state) == 50
+
+
+def test_a_revision_is_fresh_only_for_the_limit_after_it_was_known_to_be_the_newest():
+    freshness = Freshness(2000.0)
+    assert not freshness.is_fresh(0.0) and freshness.report(0.0) is None
+    freshness.record_report(1000.0, 7, 300.0)
+    freshness.apply_revision(7)
+    assert freshness.is_fresh(700.0 + 2000.0 * (1 - CLOCK_DRIFT)) and not freshness.is_fresh(2701.0)
+    assert freshness.report(1500.0) == (7, 800.0), (
+        "a reported age includes the time since the report was received"
+    )
+    freshness.record_report(1600.0, 8, 100.0)
+    assert freshness.is_fresh(2600.0) and not freshness.is_fresh(2701.0), (
+        "a newer revision is known: the current one stays fresh until its limit"
     )
-    held.hold(8)
-    assert held.good(3400.0) and held.told(1500.0) == (8, 0.0)
-    held.hold(7)
-    assert held.revision == 8, "revisions only grow"
+    freshness.apply_revision(8)
+    assert freshness.is_fresh(3400.0) and freshness.report(1500.0) == (8, 0.0)
+    freshness.apply_revision(7)
+    assert freshness.revision == 8, "an older revision is ignored"
