--- a/leadslip/parts/store/part.py
+++ b/leadslip/parts/store/part.py
@@ -1,4 +1,4 @@
-"""The embedded store, wired into a proxy."""
+"""The store part of a proxy: runs the recorder that writes to the embedded store."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Store(Part):
-    """The keeper of what the other parts want kept."""
+    """Owns the recorder that stores the data of the other parts."""
 
     def watch(self, watches: dict[str, list[Watcher]]) -> None:
         node = self.node
--- a/leadslip/parts/store/settings.py
+++ b/leadslip/parts/store/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the embedded store, for what outlives the process (keeper.py, store/)."""
+"""Settings of the embedded store, for data that outlives the process (keeper.py, store/)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreConfig:
-    """The embedded store."""
+    """Configuration of the embedded store."""
 
     path: str
     most_mb: int
@@ -20,7 +20,7 @@
     days: int
 
 
-STORE_KEYS = {  # key -> (default, least, most)
+STORE_BOUNDS = {  # key -> (default, minimum, maximum)
     "most_mb": (64, 1, 1_000_000),
     "fine_days": (7, 1, 366),
     "days": (400, 1, 10_000),
@@ -28,31 +28,33 @@
 
 
 def settings(told: Mapping, around: Around | None = None) -> StoreConfig | None:
-    """The checked configuration of the store; None where it is not turned on."""
-    if not turned_on(told, "store", ("path", *STORE_KEYS)):
+    """Returns the validated configuration of the store; None if the part is not enabled."""
+    if not turned_on(told, "store", ("path", *STORE_BOUNDS)):
         return None
     path = str(member(told, "path", str, "store"))
     if not path or path.endswith("/"):
-        raise MalformedError(f"store.path is no file: {path!r}")
-    figures = figures_of(told, "store", STORE_KEYS)
-    if figures["days"] < figures["fine_days"]:
-        raise BoundsError(f"store.days must not be below fine_days: {figures['days']}")
+        raise MalformedError(f"store.path must name a file: {path!r}")
+    numbers = figures_of(told, "store", STORE_BOUNDS)
+    if numbers["days"] < numbers["fine_days"]:
+        raise BoundsError(
+            f"store.days must be at least fine_days ({numbers['fine_days']}): {numbers['days']}"
+        )
     if around is not None and around.running:
         folder = os.path.dirname(path) or "."
         if os.path.isdir(path) or not os.path.isdir(folder):
-            raise MalformedError(f"store.path is no file in a folder that is there: {path!r}")
-    return StoreConfig(path, **figures)
+            raise MalformedError(f"store.path is no file in a folder that exists: {path!r}")
+    return StoreConfig(path, **numbers)
 
 
 class StoreSettings(Kind):
-    """What the file of this part may say."""
+    """The settings file of this part."""
 
     name, variable, lasting = "store", "LEADSLIP_STORE", "store"
     settings = staticmethod(settings)
 
     @staticmethod
     def taken(conf: StoreConfig) -> tuple[tuple[str, object], ...]:
-        return (("store.path", conf.path),)  # two writers of one file would hold each other up
+        return (("store.path", conf.path),)  # two writers of one file would block each other
 
 
 KIND = StoreSettings
--- a/leadslip/parts/trunks/__init__.py
+++ b/leadslip/parts/trunks/__init__.py
@@ -1,1 +1,1 @@
-"""Trunk groups: traffic measured, and trunks reserved as a live limit (trunks/)."""
+"""Trunk groups: traffic measurement, and trunk reservation for live calls (trunks/)."""
--- a/leadslip/parts/trunks/part.py
+++ b/leadslip/parts/trunks/part.py
@@ -1,4 +1,4 @@
-"""Trunk groups, wired: the record of traffic, and the reservation ahead of the decisions."""
+"""The trunk-group part of a proxy: traffic measurement, and the reservation filter ahead of the Controller."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Trunks(Part):
-    """The record of traffic, in the store, and the reservation ahead of the decisions."""
+    """Records traffic in the store, and filters requests by trunk reservation."""
 
     reservation = None
 
--- a/leadslip/parts/trunks/settings.py
+++ b/leadslip/parts/trunks/settings.py
@@ -1,4 +1,4 @@
-"""Settings of trunk groups: traffic measured, trunks reserved (trunks/)."""
+"""Settings of trunk groups: traffic measurement and trunk reservation (trunks/)."""
 
 from __future__ import annotations
 
@@ -21,84 +21,84 @@
 
 @dataclass(frozen=True, slots=True)
 class TrunkGroup:
-    """One trunk group: its circuits, and how many each class must leave free."""
+    """One trunk group: its trunks, and how many each class must leave free."""
 
     name: str
     destinations: tuple[int, ...]
-    trunks: float  # this proxy's part of the circuits
+    trunks: float  # this proxy's part of the trunks
     reserve: Mapping[str, float]  # class -> trunks that it must leave free
 
 
 @dataclass(frozen=True, slots=True)
 class TrunksConfig:
-    """What is measured of trunk groups, and what is reserved on them."""
+    """Configuration of traffic measurement and of the trunk groups."""
 
     measure: bool
     interval_s: int
     groups: tuple[TrunkGroup, ...]
 
 
-TRUNK_KEYS = {"interval_s": (60, 1, 900)}
+TRUNK_BOUNDS = {"interval_s": (60, 1, 900)}
 
 
 def settings(told: Mapping, around: Around) -> TrunksConfig | None:
-    """The checked configuration of trunk groups; None where it is not turned on."""
-    if not turned_on(told, "trunks", ("measure", "group", *TRUNK_KEYS)):
+    """Returns the validated configuration of trunk groups; None if the part is not enabled."""
+    if not turned_on(told, "trunks", ("measure", "group", *TRUNK_BOUNDS)):
         return None
     measure = told.get("measure", True)
     if not isinstance(measure, bool):
-        raise MalformedError(f"trunks.measure is neither true nor false: {measure!r}")
+        raise MalformedError(f"trunks.measure must be true or false: {measure!r}")
     if measure and around.settings.get("store") is None:
         raise NeedsError("trunks.measure needs the store to be turned on")
-    interval_s = figures_of(told, "trunks", TRUNK_KEYS)["interval_s"]
+    interval_s = figures_of(told, "trunks", TRUNK_BOUNDS)["interval_s"]
     if 900 % interval_s:
         raise BoundsError(f"trunks.interval_s must divide 900: {interval_s}")
-    listed = told.get("group", [])
-    if not isinstance(listed, list):
-        raise MalformedError("trunks.group is no list of tables")
+    group_tables = told.get("group", [])
+    if not isinstance(group_tables, list):
+        raise MalformedError("trunks.group must be a list of tables")
     groups: dict[str, TrunkGroup] = {}
     owner: dict[int, str] = {}
-    for i, one in enumerate(listed):
-        group = _trunk_group(one, f"trunks.group.{i}", around.classes)
+    for i, group_table in enumerate(group_tables):
+        group = _trunk_group(group_table, f"trunks.group.{i}", around.classes)
         if group.name in groups:
             raise TakenError(f"trunks.group.{i}.name is used twice: {group.name!r}")
         for destination in group.destinations:
             if owner.setdefault(destination, group.name) != group.name:
-                told_by = owner[destination]
-                raise TakenError(f"trunks.group.{i}.destinations: {destination} belongs to {told_by!r}")
+                owner_name = owner[destination]
+                raise TakenError(f"trunks.group.{i}.destinations: {destination} belongs to {owner_name!r}")
         groups[group.name] = group
     return TrunksConfig(measure, interval_s, tuple(groups.values()))
 
 
-def _trunk_group(told: object, at: str, classes: tuple[str, ...] | None) -> TrunkGroup:
-    if not isinstance(told, Mapping):
-        raise MalformedError(f"{at} is no table")
-    for key in told:
+def _trunk_group(table: object, prefix: str, classes: tuple[str, ...] | None) -> TrunkGroup:
+    if not isinstance(table, Mapping):
+        raise MalformedError(f"{prefix} is no table")
+    for key in table:
         if key not in ("name", "destinations", "trunks", "share", "reserve"):
-            raise UnknownKeyError(f"{at}.{key} is unknown")
-    name = str(member(told, "name", str, at))
+            raise UnknownKeyError(f"{prefix}.{key} is unknown")
+    name = str(member(table, "name", str, prefix))
     if not name or "/" in name:
-        raise MalformedError(f"{at}.name is empty or holds a slash: {name!r}")
-    destinations = member(told, "destinations", list, at)
-    for one in destinations:
-        if isinstance(one, bool) or not isinstance(one, int):
-            raise MalformedError(f"{at}.destinations holds no whole number: {one!r}")
-    if "trunks" not in told:
-        raise MissingError(f"{at}.trunks is missing")
+        raise MalformedError(f"{prefix}.name must not be empty or contain a slash: {name!r}")
+    destinations = member(table, "destinations", list, prefix)
+    for destination in destinations:
+        if isinstance(destination, bool) or not isinstance(destination, int):
+            raise MalformedError(f"{prefix}.destinations must hold integers: {destination!r}")
+    if "trunks" not in table:
+        raise MissingError(f"{prefix}.trunks is missing")
     bounds = {"trunks": (1, 0, 100_000), "share": (1.0, 0.0, 1.0)}
-    figures = figures_of(told, at, bounds)
-    reserve = told.get("reserve", {})
+    numbers = figures_of(table, prefix, bounds)
+    reserve = table.get("reserve", {})
     if not isinstance(reserve, Mapping):
-        raise MalformedError(f"{at}.reserve is no table")
+        raise MalformedError(f"{prefix}.reserve must be a table")
     for key in reserve:
         if classes is not None and key not in classes:
-            raise MalformedError(f"{at}.reserve.{key} is no class of the settings")
-    levels = figures_of(reserve, f"{at}.reserve", dict.fromkeys(reserve, (0.0, 0, figures["trunks"])))
-    return TrunkGroup(name, tuple(destinations), figures["trunks"] * figures["share"], levels)
+            raise MalformedError(f"{prefix}.reserve.{key} is no class of the settings")
+    levels = figures_of(reserve, f"{prefix}.reserve", dict.fromkeys(reserve, (0.0, 0, numbers["trunks"])))
+    return TrunkGroup(name, tuple(destinations), numbers["trunks"] * numbers["share"], levels)
 
 
 class TrunksSettings(Kind):
-    """What the file of this part may say."""
+    """The settings file of this part."""
 
     name, variable, lasting = "trunks", "LEADSLIP_TRUNKS", "trunks.measure"
     settings = staticmethod(settings)
--- a/leadslip/shares/__init__.py
+++ b/leadslip/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Planned shares: what part of each district's calls goes to which setup server, worked out ahead of time."""
+"""Planned shares: the part of each district's calls that goes to each setup server, computed ahead of time."""
--- a/leadslip/shares/problem.py
+++ b/leadslip/shares/problem.py
@@ -1,7 +1,7 @@
-"""The problem that a plan of shares solves, read from TOML and checked whole; every error names its key.
+"""The optimization problem of planned shares, read from TOML and fully validated; every error names its key.
 
-shed = true                # what does not fit may be shed, the class of least worth first
-survive_one = true         # the plan still fits after the loss of any one server
+shed = true                # calls beyond capacity may be shed, the class of least worth first
+survive_one = true         # the plan must still fit after the loss of any one server
 
 [[class]]
 name = "officer-call"
@@ -16,11 +16,11 @@
 [[district]]
 name = "mapo"
 zone = "seoul"
-servers = ["s-1", "s-2"]   # allowed; all where it is left out
+servers = ["s-1", "s-2"]   # allowed servers; default: all
 demand = { officer-call = 2.0, resident-call = 7.5 }  # calls a second
-cost = { s-2 = 12.0 }      # else the delay between the zones
+cost = { s-2 = 12.0 }      # default: the delay between the zones
 
-[delay]                    # ms one way, from a zone to others; nought within one
+[delay]                    # one-way ms from a zone to others; 0 within a zone
 seoul = { busan = 24.0 }
 """
 
@@ -31,7 +31,7 @@
 
 from leadslip.errors import OperatorError
 
-MOST = 100_000.0
+MAX_RATE = 100_000.0
 KEYS = ("shed", "survive_one", "class", "server", "district", "delay")
 
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Class:
-    """A class of calls."""
+    """A class of calls and the worth of serving one of them."""
 
     name: str
     worth: float
@@ -52,38 +52,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """A setup server as the plan sees it."""
+    """A setup server: its capacity, zone and bounds on its share."""
 
     name: str
     capacity: float  # set-ups a second
-    highest_use: float  # of the capacity
+    highest_use: float  # part of the capacity that the plan may use
     zone: str
     running: bool
-    least: float  # part of all calls
-    greatest: float
+    least: float  # minimum part of all calls
+    greatest: float  # maximum part of all calls
 
     @property
     def limit(self) -> float:
-        """Set-ups a second that the plan may send it."""
+        """The maximum set-ups per second that the plan may send to it."""
         return self.capacity * self.highest_use if self.running else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class District:
-    """Where calls come from."""
+    """A district: an origin of calls, its demand and the servers it may use."""
 
     name: str
     zone: str
     demand: Mapping[str, float]  # class -> calls a second
-    servers: tuple[str, ...]  # allowed
+    servers: tuple[str, ...]  # servers its calls may go to
     cost: Mapping[str, float]  # server -> cost of a call
-    least: Mapping[str, float] = field(default_factory=dict)  # server -> part of the district's calls
-    greatest: Mapping[str, float] = field(default_factory=dict)
+    least: Mapping[str, float] = field(default_factory=dict)  # server -> minimum part of the district's calls
+    greatest: Mapping[str, float] = field(default_factory=dict)  # server -> maximum part
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """All that a plan is made of."""
+    """The complete input of a plan."""
 
     classes: tuple[Class, ...]
     servers: tuple[Server, ...]
@@ -93,129 +93,138 @@
 
 
 def figure(
-    told: Mapping, key: str, at: str, least: float, most: float, default: float | None = None
+    table: Mapping, key: str, prefix: str, minimum: float, maximum: float, default: float | None = None
 ) -> float:
-    """A number within its bounds; without a default it must be there."""
-    value = told.get(key, default)
+    """Returns a number within its bounds; the key is required if there is no default."""
+    value = table.get(key, default)
     if value is None:
-        raise ProblemError(f"{at}{key} is missing")
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-        raise ProblemError(f"{at}{key} must lie between {least:g} and {most:g}: {value!r}")
+        raise ProblemError(f"{prefix}{key} is missing")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+        raise ProblemError(f"{prefix}{key} must lie between {minimum:g} and {maximum:g}: {value!r}")
     return float(value)
 
 
-def _flag(told: Mapping, key: str, at: str, default: bool) -> bool:
-    value = told.get(key, default)
+def _flag(table: Mapping, key: str, prefix: str, default: bool) -> bool:
+    value = table.get(key, default)
     if not isinstance(value, bool):
-        raise ProblemError(f"{at}{key} is neither true nor false: {value!r}")
+        raise ProblemError(f"{prefix}{key} must be true or false: {value!r}")
     return value
 
 
-def _tables(told: Mapping, key: str, allowed: tuple[str, ...]) -> list[Mapping]:
-    listed = told.get(key)
-    if not isinstance(listed, list) or not listed:
+def _tables(document: Mapping, key: str, allowed: tuple[str, ...]) -> list[Mapping]:
+    tables = document.get(key)
+    if not isinstance(tables, list) or not tables:
         raise ProblemError(f"{key} is missing")
     names = set()
-    for i, one in enumerate(listed):
-        if not isinstance(one, Mapping):
-            raise ProblemError(f"{key}.{i} is no table")
-        for inner in one:
-            if inner not in allowed:
-                raise ProblemError(f"{key}.{i}.{inner} is unknown")
-        name = one.get("name")
+    for i, table in enumerate(tables):
+        if not isinstance(table, Mapping):
+            raise ProblemError(f"{key}.{i} is not a table")
+        for table_key in table:
+            if table_key not in allowed:
+                raise ProblemError(f"{key}.{i}.{table_key} is unknown")
+        name = table.get("name")
         if not isinstance(name, str) or not name:
             raise ProblemError(f"{key}.{i}.name is missing")
         if name in names:
             raise ProblemError(f"{key}.{i}.name is used twice: {name!r}")
         names.add(name)
-    return listed
+    return tables
 
 
-def _figures(told: Mapping, key: str, at: str, known: set[str], most: float) -> dict[str, float]:
-    """A table of numbers, each under a name that must be known."""
-    table = told.get(key, {})
+def _numbers(
+    parent: Mapping, key: str, prefix: str, known_names: set[str], maximum: float
+) -> dict[str, float]:
+    """Returns a table of numbers whose keys must be known names."""
+    table = parent.get(key, {})
     if not isinstance(table, Mapping):
-        raise ProblemError(f"{at}{key} is no table")
+        raise ProblemError(f"{prefix}{key} is not a table")
     for name in table:
-        if name not in known:
-            raise ProblemError(f"{at}{key}.{name} is unknown")
-    return {name: figure(table, name, f"{at}{key}.", 0.0, most) for name in table}
+        if name not in known_names:
+            raise ProblemError(f"{prefix}{key}.{name} is unknown")
+    return {name: figure(table, name, f"{prefix}{key}.", 0.0, maximum) for name in table}
 
 
-def read(told: Mapping) -> Problem:
-    """The checked problem."""
-    for key in told:
+def read(document: Mapping) -> Problem:
+    """Returns the validated problem."""
+    for key in document:
         if key not in KEYS:
             raise ProblemError(f"{key} is unknown")
     classes = tuple(
-        Class(one["name"], figure(one, "worth", f"class.{i}.", 1e-6, 1e6))
-        for i, one in enumerate(_tables(told, "class", ("name", "worth")))
+        Class(table["name"], figure(table, "worth", f"class.{i}.", 1e-6, 1e6))
+        for i, table in enumerate(_tables(document, "class", ("name", "worth")))
     )
     keys = ("name", "capacity", "highest_use", "zone", "running", "least", "greatest")
-    servers = tuple(_server(one, f"server.{i}.") for i, one in enumerate(_tables(told, "server", keys)))
+    servers = tuple(
+        _server(table, f"server.{i}.") for i, table in enumerate(_tables(document, "server", keys))
+    )
     zones = {server.zone for server in servers}
     keys = ("name", "zone", "servers", "demand", "cost", "least", "greatest")
-    listed = _tables(told, "district", keys)
-    zones |= {str(one.get("zone", "")) for one in listed}
-    delays = _delays(told.get("delay", {}), zones)
-    kinds = {kind.name for kind in classes}
+    district_tables = _tables(document, "district", keys)
+    zones |= {str(table.get("zone", "")) for table in district_tables}
+    delays = _delays(document.get("delay", {}), zones)
+    class_names = {call_class.name for call_class in classes}
     districts = tuple(
-        _district(one, f"district.{i}.", servers, kinds, delays) for i, one in enumerate(listed)
+        _district(table, f"district.{i}.", servers, class_names, delays)
+        for i, table in enumerate(district_tables)
     )
     if sum(server.least for server in servers) > 1.0:
-        raise ProblemError("server.least: the least shares of all servers are above 1 together")
+        raise ProblemError("server.least: the minimum shares of all servers add up to more than 1")
     return Problem(
-        classes, servers, districts, _flag(told, "shed", "", False), _flag(told, "survive_one", "", False)
+        classes,
+        servers,
+        districts,
+        _flag(document, "shed", "", False),
+        _flag(document, "survive_one", "", False),
     )
 
 
-def _server(told: Mapping, at: str) -> Server:
-    least = figure(told, "least", at, 0.0, 1.0, 0.0)
+def _server(table: Mapping, prefix: str) -> Server:
+    least = figure(table, "least", prefix, 0.0, 1.0, 0.0)
     return Server(
-        told["name"],
-        figure(told, "capacity", at, 0.0, MOST),
-        figure(told, "highest_use", at, 0.01, 1.0, 1.0),
-        str(told.get("zone", "")),
-        _flag(told, "running", at, True),
+        table["name"],
+        figure(table, "capacity", prefix, 0.0, MAX_RATE),
+        figure(table, "highest_use", prefix, 0.01, 1.0, 1.0),
+        str(table.get("zone", "")),
+        _flag(table, "running", prefix, True),
         least,
-        figure(told, "greatest", at, least, 1.0, 1.0),
+        figure(table, "greatest", prefix, least, 1.0, 1.0),
     )
 
 
-def _delays(told: object, zones: set[str]) -> dict[tuple[str, str], float]:
-    """Delays between zones, the same both ways."""
-    if not isinstance(told, Mapping):
-        raise ProblemError("delay is no table")
-    found: dict[tuple[str, str], float] = {}
-    for zone in told:
+def _delays(table: object, zones: set[str]) -> dict[tuple[str, str], float]:
+    """Returns the delays between zones, which are symmetric."""
+    if not isinstance(table, Mapping):
+        raise ProblemError("delay is not a table")
+    delays: dict[tuple[str, str], float] = {}
+    for zone in table:
         if zone not in zones:
             raise ProblemError(f"delay.{zone} is unknown")
-        for other, delay in _figures(told, zone, "delay.", zones, 1e6).items():
-            if found.setdefault((other, zone), delay) != delay:
+        for other, delay in _numbers(table, zone, "delay.", zones, 1e6).items():
+            if delays.setdefault((other, zone), delay) != delay:
                 raise ProblemError(f"delay.{zone}.{other} differs from delay.{other}.{zone}")
-            found[zone, other] = delay
-    return found
+            delays[zone, other] = delay
+    return delays
 
 
 def _district(
-    told: Mapping,
-    at: str,
+    table: Mapping,
+    prefix: str,
     servers: tuple[Server, ...],
-    kinds: set[str],
+    class_names: set[str],
     delays: Mapping[tuple[str, str], float],
 ) -> District:
-    zone, names = str(told.get("zone", "")), {server.name for server in servers}
-    allowed = told.get("servers", [server.name for server in servers])
+    zone, server_names = str(table.get("zone", "")), {server.name for server in servers}
+    allowed = table.get("servers", [server.name for server in servers])
     if not isinstance(allowed, list) or not allowed:
-        raise ProblemError(f"{at}servers is no list of servers")
+        raise ProblemError(f"{prefix}servers must be a list of at least one server")
     for name in allowed:
-        if name not in names:
-            raise ProblemError(f"{at}servers names no server: {name!r}")
+        if name not in server_names:
+            raise ProblemError(f"{prefix}servers names no server of the problem: {name!r}")
     if len(set(allowed)) < len(allowed):
-        raise ProblemError(f"{at}servers names one twice")
-    if "demand" not in told:
-        raise ProblemError(f"{at}demand is missing")
-    set_costs = _figures(told, "cost", at, set(allowed), 1e9)
+        raise ProblemError(f"{prefix}servers names a server more than once")
+    if "demand" not in table:
+        raise ProblemError(f"{prefix}demand is missing")
+    set_costs = _numbers(table, "cost", prefix, set(allowed), 1e9)
     cost = {}
     for server in servers:
         if server.name not in allowed:
@@ -225,14 +234,14 @@
         )
         if cost[server.name] is None:
             raise ProblemError(
-                f"{at}cost.{server.name} is missing, and so is the delay {zone!r} to {server.zone!r}"
+                f"{prefix}cost.{server.name} is missing, and there is no delay from {zone!r} to {server.zone!r}"
             )
-    least = _figures(told, "least", at, set(allowed), 1.0)
-    greatest = _figures(told, "greatest", at, set(allowed), 1.0)
+    least = _numbers(table, "least", prefix, set(allowed), 1.0)
+    greatest = _numbers(table, "greatest", prefix, set(allowed), 1.0)
     for name, part in least.items():
         if part > greatest.get(name, 1.0):
-            raise ProblemError(f"{at}least.{name} is above greatest.{name}")
+            raise ProblemError(f"{prefix}least.{name} is above greatest.{name}")
     if sum(least.values()) > 1.0:
-        raise ProblemError(f"{at}least: the least shares are above 1 together")
-    demand = _figures(told, "demand", at, kinds, MOST)
-    return District(told["name"], zone, demand, tuple(allowed), cost, least, greatest)
+        raise ProblemError(f"{prefix}least: the minimum shares add up to more than 1")
+    demand = _numbers(table, "demand", prefix, class_names, MAX_RATE)
+    return District(table["name"], zone, demand, tuple(allowed), cost, least, greatest)
--- a/leadslip/shares/solve.py
+++ b/leadslip/shares/solve.py
@@ -1,8 +1,8 @@
-"""The plan: shares worked out by linear programming, on HiGHS; or a refusal that names what is in conflict.
+"""Solves for planned shares by linear programming with HiGHS, or names the constraints in conflict.
 
-Lexicographic: the most worth served, then the least cost, then the least greatest use of a server, and of what is
-still equal the least under fixed weights, so that the answer is unique and does not jump between equal optima. Rates
-are in calls a second. Only `leadslip[plan]` has HiGHS; a proxy reads plans and never solves them.
+The objectives are lexicographic: maximum worth served, then minimum cost, then minimum peak utilization of a server,
+then a minimum under fixed weights as a tie-break, so that the plan is unique and does not change between equal optima.
+Rates are in calls per second. HiGHS is installed with `leadslip[plan]` only; a proxy reads plans and never solves them.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from leadslip.errors import OperatorError
 from leadslip.shares.problem import Problem
 
-SLACK = 1e-7  # by which an earlier goal may be missed while a later one is sought
-GOLDEN = (math.sqrt(5.0) - 1.0) / 2.0  # spreads the weights of the last goal
+TOLERANCE = 1e-7  # relative tolerance on the optimum of earlier objectives while a later one is optimized
+GOLDEN_RATIO = (math.sqrt(5.0) - 1.0) / 2.0  # spreads the weights of the tie-break objective
 
 
 class RefusedError(OperatorError):
@@ -29,7 +29,7 @@
     action = "Loosen one of the constraints named; any one of them is enough."
 
     def __init__(self, conflict: Sequence[str]) -> None:
-        super().__init__("no plan keeps all of: " + "; ".join(conflict))
+        super().__init__("constraints in conflict: " + "; ".join(conflict))
         self.conflict = tuple(conflict)
 
 
@@ -42,19 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What goes where."""
+    """The solution: shares and rates of each district on each server."""
 
     shares: dict[str, dict[str, float]]  # district -> server -> part of the district's calls
-    rates: dict[str, dict[str, float]]  # the same in calls a second
-    shed: dict[str, dict[str, float]]  # district -> class -> calls a second that do not fit
-    use: dict[str, float]  # server -> part of its capacity
+    rates: dict[str, dict[str, float]]  # district -> server -> calls per second
+    shed: dict[str, dict[str, float]]  # district -> class -> calls per second shed
+    use: dict[str, float]  # server -> utilization of its capacity
     worth_shed: float
     cost: float
     seconds: float
 
 
 class _Model:
-    """Rows by name over columns, as HiGHS takes them."""
+    """A linear program as named rows over columns, in the form that HiGHS takes."""
 
     def __init__(self) -> None:
         self.lower: list[float] = []
@@ -67,11 +67,11 @@
         return len(self.lower) - 1
 
     def row(self, name: str, low: float, high: float, columns: list[int], values: list[float]) -> None:
-        """One constraint; those of one name stand or fall together."""
+        """Adds a constraint; rows of the same name are included or left out together."""
         self.rows.append((name, low, high, columns, values))
 
-    def solver(self, left_out: set[str], seconds: float) -> highspy.Highs:
-        rows = [row for row in self.rows if row[0] not in left_out]
+    def solver(self, excluded: set[str], seconds: float) -> highspy.Highs:
+        rows = [row for row in self.rows if row[0] not in excluded]
         lp = highspy.HighsLp()
         lp.num_col_, lp.num_row_ = len(self.lower), len(rows)
         lp.col_cost_ = np.zeros(len(self.lower))
@@ -81,7 +81,7 @@
         lp.a_matrix_.format_ = highspy.MatrixFormat.kRowwise
         lp.a_matrix_.num_col_, lp.a_matrix_.num_row_ = len(self.lower), len(rows)
         lp.a_matrix_.start_ = np.cumsum([0] + [len(row[3]) for row in rows])
-        lp.a_matrix_.index_ = np.array([at for row in rows for at in row[3]], dtype=np.int32)
+        lp.a_matrix_.index_ = np.array([column for row in rows for column in row[3]], dtype=np.int32)
         lp.a_matrix_.value_ = np.array([value for row in rows for value in row[4]], dtype=float)
         solver = highspy.Highs()
         solver.setOptionValue("output_flag", False)
@@ -92,163 +92,206 @@
         return solver
 
 
-class _Built:
-    """The model of a problem, and what its columns mean."""
+class _ShareModel:
+    """The linear program of a problem, and the meaning of its columns."""
 
     def __init__(self, problem: Problem) -> None:
         self.problem, self.model = problem, _Model()
         model = self.model
         running = {server.name: server for server in problem.servers if server.limit > 0.0}
-        self.at: dict[tuple[str, str], int] = {}  # district, server -> column
+        self.assigned: dict[tuple[str, str], int] = {}  # district, server -> column
         self.shed: dict[tuple[str, str], int] = {}  # district, class -> column
         for district in problem.districts:
             for name in district.servers:
                 if name in running:
-                    self.at[district.name, name] = model.column()
-            for kind, rate in district.demand.items():
-                self.shed[district.name, kind] = model.column(rate if problem.shed else 0.0)
-        self.peak = model.column()  # the greatest use; not bounded, as capacities have rows of their own
-        of: dict[str, list[int]] = {name: [] for name in running}
-        for (_, name), column in self.at.items():
-            of[name].append(column)
-        whole = list(self.at.values())
+                    self.assigned[district.name, name] = model.column()
+            for call_class, rate in district.demand.items():
+                self.shed[district.name, call_class] = model.column(rate if problem.shed else 0.0)
+        self.peak_use = model.column()  # peak utilization; unbounded, as capacities have their own rows
+        columns_of: dict[str, list[int]] = {name: [] for name in running}
+        for (_, name), column in self.assigned.items():
+            columns_of[name].append(column)
+        all_columns = list(self.assigned.values())
         for district in problem.districts:
-            own = [self.at[district.name, name] for name in district.servers if name in running]
-            lost = [self.shed[district.name, kind] for kind in district.demand]
+            own_columns = [self.assigned[district.name, name] for name in district.servers if name in running]
+            shed_columns = [self.shed[district.name, call_class] for call_class in district.demand]
             total = sum(district.demand.values())
-            told = f"district {district.name}: its demand of {total:g} a second"
-            model.row(told, total, total, own + lost, [1.0] * (len(own) + len(lost)))
-            for bounds, low, high, word in (
+            constraint = f"district {district.name}: demand of {total:g} calls/s must be met"
+            model.row(
+                constraint,
+                total,
+                total,
+                own_columns + shed_columns,
+                [1.0] * (len(own_columns) + len(shed_columns)),
+            )
+            for bounds, low, high, relation in (
                 (district.least, 0.0, math.inf, "at least"),
                 (district.greatest, -math.inf, 0.0, "at most"),
             ):
-                for name, part in bounds.items():
-                    told = f"district {district.name}: {word} {part:g} of it to {name}"
-                    values = [(column == self.at.get((district.name, name))) - part for column in own]
-                    model.row(told, low, high, own, [float(value) for value in values])
+                for name, share in bounds.items():
+                    constraint = f"district {district.name}: {relation} {share:g} of it to {name}"
+                    values = [
+                        (column == self.assigned.get((district.name, name))) - share for column in own_columns
+                    ]
+                    model.row(constraint, low, high, own_columns, [float(value) for value in values])
         for server in problem.servers:
-            name, own = server.name, of.get(server.name, [])
-            if own:
-                told = f"server {name}: no more than {server.limit:g} a second"
-                model.row(told, -math.inf, server.limit, own, [1.0] * len(own))
-                model.row("", -math.inf, 0.0, [*own, self.peak], [1.0] * len(own) + [-server.capacity])
-            mine = set(own)
+            name, own_columns = server.name, columns_of.get(server.name, [])
+            if own_columns:
+                constraint = f"server {name}: at most {server.limit:g} calls/s"
+                model.row(constraint, -math.inf, server.limit, own_columns, [1.0] * len(own_columns))
+                model.row(
+                    "",
+                    -math.inf,
+                    0.0,
+                    [*own_columns, self.peak_use],
+                    [1.0] * len(own_columns) + [-server.capacity],
+                )
+            server_columns = set(own_columns)
             if server.least:
-                told = f"server {name}: at least {server.least:g} of all calls"
-                model.row(told, 0.0, math.inf, whole, [(at in mine) - server.least for at in whole])
+                constraint = f"server {name}: at least {server.least:g} of all calls"
+                model.row(
+                    constraint,
+                    0.0,
+                    math.inf,
+                    all_columns,
+                    [(index in server_columns) - server.least for index in all_columns],
+                )
             if server.greatest < 1.0:
-                told = f"server {name}: at most {server.greatest:g} of all calls"
-                model.row(told, -math.inf, 0.0, whole, [(at in mine) - server.greatest for at in whole])
+                constraint = f"server {name}: at most {server.greatest:g} of all calls"
+                model.row(
+                    constraint,
+                    -math.inf,
+                    0.0,
+                    all_columns,
+                    [(index in server_columns) - server.greatest for index in all_columns],
+                )
         if problem.survive_one:
             for name in running:
-                self._survive(name, running, of)
+                self._add_survival_rows(name, running, columns_of)
 
-    def _survive(self, gone: str, running: dict, of: dict[str, list[int]]) -> None:
-        """What one server carries must fit on the others that its districts may use, beside their own."""
-        model, moved = self.model, {name: [] for name in running if name != gone}
-        told = f"the loss of server {gone} is survived"
+    def _add_survival_rows(self, lost: str, running: dict, columns_of: dict[str, list[int]]) -> None:
+        """Requires that one server's calls fit on the others its districts may use, in addition to their own calls."""
+        model, rerouted = self.model, {name: [] for name in running if name != lost}
+        constraint = f"after the loss of server {lost} its calls must fit on the others"
         for district in self.problem.districts:
-            if (district.name, gone) not in self.at:
+            if (district.name, lost) not in self.assigned:
                 continue
-            own = []
+            columns = []
             for name in district.servers:
-                if name in moved:
-                    own.append(model.column())
-                    moved[name].append(own[-1])
-            model.row(told, 0.0, 0.0, [*own, self.at[district.name, gone]], [1.0] * len(own) + [-1.0])
-        for name, columns in moved.items():
-            held = of[name] + columns
-            model.row(told, -math.inf, running[name].limit, held, [1.0] * len(held))
+                if name in rerouted:
+                    columns.append(model.column())
+                    rerouted[name].append(columns[-1])
+            model.row(
+                constraint,
+                0.0,
+                0.0,
+                [*columns, self.assigned[district.name, lost]],
+                [1.0] * len(columns) + [-1.0],
+            )
+        for name, rerouted_columns in rerouted.items():
+            all_columns = columns_of[name] + rerouted_columns
+            model.row(constraint, -math.inf, running[name].limit, all_columns, [1.0] * len(all_columns))
 
 
 def solve(problem: Problem, seconds: float = 10.0) -> Plan:
-    """The plan of a problem; RefusedError where there is none, OutOfTimeError where it took too long."""
-    began = time.perf_counter()
-    alive = {server.name for server in problem.servers if server.limit > 0.0}
+    """Solves a problem; raises RefusedError if no plan exists, OutOfTimeError if the time limit is exceeded."""
+    started = time.perf_counter()
+    running = {server.name for server in problem.servers if server.limit > 0.0}
     for district in problem.districts:
-        if sum(district.demand.values()) > 0.0 and not alive & set(district.servers):
-            # Also where calls may be shed: a district that nobody serves is never a plan.
+        if sum(district.demand.values()) > 0.0 and not running & set(district.servers):
+            # Refused even if calls may be shed: every district with demand needs a running server.
             raise RefusedError([f"district {district.name}: has demand", "none of its servers runs"])
-    built = _Built(problem)
-    solver = built.model.solver(set(), seconds)
-    worth = {kind.name: kind.worth for kind in problem.classes}
+    share_model = _ShareModel(problem)
+    solver = share_model.model.solver(set(), seconds)
+    worth = {call_class.name: call_class.worth for call_class in problem.classes}
     cost = {district.name: district.cost for district in problem.districts}
-    goals = (
-        {column: worth[kind] for (_, kind), column in built.shed.items()},
-        {column: cost[district][name] for (district, name), column in built.at.items()},
-        {built.peak: 1.0},
+    objectives = (
+        {column: worth[call_class] for (_, call_class), column in share_model.shed.items()},
+        {column: cost[district][name] for (district, name), column in share_model.assigned.items()},
+        {share_model.peak_use: 1.0},
         {
-            column: 1.0 + (i * GOLDEN) % 1.0
-            for i, column in enumerate([*built.at.values(), *built.shed.values()])
+            column: 1.0 + (i * GOLDEN_RATIO) % 1.0
+            for i, column in enumerate([*share_model.assigned.values(), *share_model.shed.values()])
         },
     )
-    count = len(built.model.lower)
-    for goal in goals:
+    count = len(share_model.model.lower)
+    for objective in objectives:
         costs = np.zeros(count)
-        costs[list(goal)] = list(goal.values())
+        costs[list(objective)] = list(objective.values())
         solver.changeColsCost(count, np.arange(count, dtype=np.int32), costs)
-        solver.setOptionValue("time_limit", max(0.01, seconds - (time.perf_counter() - began)))
+        solver.setOptionValue("time_limit", max(0.01, seconds - (time.perf_counter() - started)))
         solver.run()
         status = solver.getModelStatus()
         if status == highspy.HighsModelStatus.kInfeasible:
-            raise RefusedError(conflict(built.model))
+            raise RefusedError(conflict(share_model.model))
         if status != highspy.HighsModelStatus.kOptimal:
             raise OutOfTimeError(f"no plan within {seconds:g} s: {solver.modelStatusToString(status)}")
-        best = solver.getInfo().objective_function_value
-        found = np.array(solver.getSolution().col_value)
-        columns = np.array(list(goal), dtype=np.int32)
-        solver.addRow(-math.inf, best + SLACK * max(1.0, abs(best)), len(goal), columns, costs[columns])
-    return _plan(built, found, time.perf_counter() - began)
+        optimum = solver.getInfo().objective_function_value
+        values = np.array(solver.getSolution().col_value)
+        columns = np.array(list(objective), dtype=np.int32)
+        solver.addRow(
+            -math.inf, optimum + TOLERANCE * max(1.0, abs(optimum)), len(objective), columns, costs[columns]
+        )
+    return _plan(share_model, values, time.perf_counter() - started)
 
 
-def _plan(built: _Built, found: np.ndarray, seconds: float) -> Plan:
-    problem = built.problem
+def _plan(share_model: _ShareModel, values: np.ndarray, seconds: float) -> Plan:
+    problem = share_model.problem
     rates: dict[str, dict[str, float]] = {district.name: {} for district in problem.districts}
-    for (district, name), column in built.at.items():
-        rates[district][name] = max(0.0, float(found[column]))
+    for (district, name), column in share_model.assigned.items():
+        rates[district][name] = max(0.0, float(values[column]))
     shares = {}
-    for district, told in rates.items():
-        total = sum(told.values())
+    for district, district_rates in rates.items():
+        total = sum(district_rates.values())
         shares[district] = (
-            {name: rate / total for name, rate in told.items() if rate > SLACK} if total else {}
+            {name: rate / total for name, rate in district_rates.items() if rate > TOLERANCE} if total else {}
         )
     shed: dict[str, dict[str, float]] = {}
-    for (district, kind), column in built.shed.items():
-        if found[column] > 10.0 * SLACK:
-            shed.setdefault(district, {})[kind] = float(found[column])
+    for (district, call_class), column in share_model.shed.items():
+        if values[column] > 10.0 * TOLERANCE:
+            shed.setdefault(district, {})[call_class] = float(values[column])
     use = {
-        server.name: sum(told.get(server.name, 0.0) for told in rates.values()) / server.capacity
+        server.name: sum(district_rates.get(server.name, 0.0) for district_rates in rates.values())
+        / server.capacity
         for server in problem.servers
         if server.capacity
     }
-    worth = {kind.name: kind.worth for kind in problem.classes}
+    worth = {call_class.name: call_class.worth for call_class in problem.classes}
     costs = {district.name: district.cost for district in problem.districts}
     return Plan(
         shares,
         rates,
         shed,
         use,
-        sum(worth[kind] * rate for told in shed.values() for kind, rate in told.items()),
-        sum(costs[district][name] * rate for district, told in rates.items() for name, rate in told.items()),
+        sum(
+            worth[call_class] * rate
+            for district_rates in shed.values()
+            for call_class, rate in district_rates.items()
+        ),
+        sum(
+            costs[district][name] * rate
+            for district, district_rates in rates.items()
+            for name, rate in district_rates.items()
+        ),
         seconds,
     )
 
 
 def conflict(model: _Model) -> list[str]:
-    """An irreducible set of constraints in conflict: without any one of them the others can be met.
+    """Returns an irreducible infeasible set of constraints: without any one of them the others can be met.
 
-    By deletion: each constraint is left out in turn, and stays out if the rest still conflicts.
+    Deletion filter: each constraint is left out in turn, and stays out if the rest is still infeasible.
     """
     names = list(dict.fromkeys(row[0] for row in model.rows if row[0]))
-    out: set[str] = set()
+    excluded: set[str] = set()
     for name in names:
-        if infeasible(model, out | {name}):
-            out.add(name)
-    return [name for name in names if name not in out]
+        if is_infeasible(model, excluded | {name}):
+            excluded.add(name)
+    return [name for name in names if name not in excluded]
 
 
-def infeasible(model: _Model, left_out: set[str]) -> bool:
-    """Whether the constraints conflict, some left out."""
-    solver = model.solver(left_out, 10.0)
+def is_infeasible(model: _Model, excluded: set[str]) -> bool:
+    """Returns whether the constraints, without those left out, are infeasible."""
+    solver = model.solver(excluded, 10.0)
     solver.run()
     return solver.getModelStatus() == highspy.HighsModelStatus.kInfeasible
--- a/leadslip/store/base.py
+++ b/leadslip/store/base.py
@@ -1,10 +1,9 @@
-"""The store itself: one file, SQLite through apsw. Synchronous; in a running proxy the writer's thread alone uses it.
+"""The embedded store: one SQLite file, accessed through apsw. Synchronous; in a proxy only the writer thread uses it.
 
-Two kinds of data: series (space, span, start, key, run -> value) and state (space, key -> value, until). Values are
-bytes with a check sum of their own, so that a damaged record is named and left out while the rest holds. A file
-that is no store, or whose pages are damaged, is set aside by name and a new one begun. What was committed
-survives the end of the process however it comes; after a loss of power the last commits may be missing, never a
-part of one (`synchronous = NORMAL`).
+Holds two kinds of data: series (space, span, start, key, run -> value) and state (space, key -> value, expiry). Each
+value has a checksum, so that a damaged record is reported and skipped while the others remain readable. A file that
+is not a database, or whose pages are damaged, is renamed and a new one created. Committed data survives any end of
+the process; after a power failure the last commits may be missing, but never part of one (`synchronous = NORMAL`).
 """
 
 from __future__ import annotations
@@ -20,12 +19,12 @@
 
 from leadslip.errors import OperatorError
 
-APPLICATION = 0x6C736C70  # "lslp", in the file's head
-BUSY_MS = 2000  # a reader of another process may hold the file for a moment
-PAGE = 4096
-CHECK_BYTES = 8
-SUFFIXES = ("", "-wal", "-shm")
-# Each step brings a file from the version that is its place in the list to the next one.
+APPLICATION_ID = 0x6C736C70  # "lslp", the application_id in the file header
+BUSY_TIMEOUT_MS = 2000  # a reader in another process may briefly lock the file
+PAGE_BYTES = 4096
+CHECKSUM_BYTES = 8
+FILE_SUFFIXES = ("", "-wal", "-shm")
+# The step at index n migrates a file from version n to n + 1.
 MIGRATIONS = (
     """
     CREATE TABLE series (
@@ -69,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """One record of state; it counts until a Unix time in ms, or for good."""
+    """One record of state, valid until a Unix time in ms, or without expiry."""
 
     space: str
     key: str
@@ -81,17 +80,17 @@
 
 
 def check_sum(*parts: str | bytes) -> bytes:
-    """A check sum of a record's name and value."""
-    held = hashlib.blake2b(digest_size=CHECK_BYTES)
+    """Returns the checksum of a record's name and value."""
+    digest = hashlib.blake2b(digest_size=CHECKSUM_BYTES)
     for part in parts:
-        told = part.encode() if isinstance(part, str) else part
-        held.update(len(told).to_bytes(4, "big") + told)
-    return held.digest()
+        encoded = part.encode() if isinstance(part, str) else part
+        digest.update(len(encoded).to_bytes(4, "big") + encoded)
+    return digest.digest()
 
 
 @contextmanager
 def whole(connection: apsw.Connection) -> Iterator[None]:
-    """One transaction. A full disk has SQLite end it by itself, and then there is none to roll back."""
+    """Runs one transaction. On a full disk SQLite rolls back by itself, and then there is none left to roll back."""
     connection.execute("BEGIN IMMEDIATE")
     try:
         yield
@@ -103,92 +102,97 @@
 
 
 class Store:
-    """One open store. Errors of the disk come as apsw.Error; a file that can't be one comes as StoreError."""
+    """An open store. Disk errors raise apsw.Error; a file that cannot be used as a store raises StoreError."""
 
-    def __init__(self, path: str, most_bytes: int = 64 << 20, read_only: bool = False) -> None:
-        self.path, self.most_bytes = path, most_bytes
-        self.set_aside: str | None = None  # where a damaged file was put at this start
-        self.damaged: list[str] = []  # records left out by reading, by name
+    def __init__(self, path: str, max_bytes: int = 64 << 20, read_only: bool = False) -> None:
+        self.path, self.max_bytes = path, max_bytes
+        self.damaged_path: str | None = None  # path that a damaged file was renamed to on opening
+        self.damaged: list[str] = []  # names of the damaged records skipped when reading
         if read_only and not os.path.exists(path):
-            raise StoreError(f"{path}: there is no store")
+            raise StoreError(f"{path}: there is no store at this path")
         try:
             self.connection = self._open(read_only)
-        except (apsw.NotADBError, apsw.CorruptError) as fault:
+        except (apsw.NotADBError, apsw.CorruptError) as error:
             if read_only:
-                raise StoreError(f"{path}: {fault}") from fault
-            self.set_aside = self._put_aside()
+                raise StoreError(f"{path}: {error}") from error
+            self.damaged_path = self._rename_damaged()
             self.connection = self._open(read_only)
-        except apsw.Error as fault:
-            raise StoreError(f"{path}: {fault}") from fault
+        except apsw.Error as error:
+            raise StoreError(f"{path}: {error}") from error
 
     def _open(self, read_only: bool) -> apsw.Connection:
         if read_only:
-            opened = apsw.Connection(self.path, flags=apsw.SQLITE_OPEN_READONLY)
+            connection = apsw.Connection(self.path, flags=apsw.SQLITE_OPEN_READONLY)
         else:
-            opened = apsw.Connection(self.path)
+            connection = apsw.Connection(self.path)
         try:
-            opened.set_busy_timeout(BUSY_MS)
-            version = opened.pragma("user_version")
-            if version and opened.pragma("application_id") != APPLICATION:
-                raise StoreError(f"{self.path}: is a store of another program")
+            connection.set_busy_timeout(BUSY_TIMEOUT_MS)
+            version = connection.pragma("user_version")
+            if version and connection.pragma("application_id") != APPLICATION_ID:
+                raise StoreError(f"{self.path}: is a database of another program")
             if version > len(MIGRATIONS):
-                raise StoreError(f"{self.path}: was written by a newer version ({version})")
+                raise StoreError(
+                    f"{self.path}: was written by a newer version ({version}; at most {len(MIGRATIONS)})"
+                )
             if not read_only:
-                opened.pragma("journal_mode", "wal")
-                opened.pragma("synchronous", "normal")
-                opened.pragma("journal_size_limit", 4 << 20)
-                opened.pragma("max_page_count", max(64, self.most_bytes // PAGE))
-                if version and opened.pragma("quick_check", 1) != "ok":
+                connection.pragma("journal_mode", "wal")
+                connection.pragma("synchronous", "normal")
+                connection.pragma("journal_size_limit", 4 << 20)
+                connection.pragma("max_page_count", max(64, self.max_bytes // PAGE_BYTES))
+                if version and connection.pragma("quick_check", 1) != "ok":
                     raise apsw.CorruptError("pages are damaged")
-                self._migrate(opened, version)
+                self._migrate(connection, version)
             elif version < len(MIGRATIONS):
                 raise StoreError(
-                    f"{self.path}: is of version {version}; a proxy that starts brings it up to date"
+                    f"{self.path}: is of version {version}; starting a proxy migrates it to version {len(MIGRATIONS)}"
                 )
         except BaseException:
-            opened.close()
+            connection.close()
             raise
-        return opened
+        return connection
 
-    def _migrate(self, opened: apsw.Connection, version: int) -> None:
-        """Bring the file to this version, each step whole or not at all."""
-        if not version and list(opened.execute("SELECT name FROM sqlite_schema")):
-            raise StoreError(f"{self.path}: is a store of another program")
+    def _migrate(self, connection: apsw.Connection, version: int) -> None:
+        """Migrates the file to the current version, each step in one transaction."""
+        if not version and list(connection.execute("SELECT name FROM sqlite_schema")):
+            raise StoreError(f"{self.path}: is a database of another program")
         for step in range(version, len(MIGRATIONS)):
-            with whole(opened):
-                opened.execute(MIGRATIONS[step])
-                opened.pragma("application_id", APPLICATION)
-                opened.pragma("user_version", step + 1)
-
-    def _put_aside(self) -> str:
-        """Rename a damaged file, with its log: it may still be worth a look."""
-        aside = first = f"{self.path}.damaged-{int(time.time())}"
+            with whole(connection):
+                connection.execute(MIGRATIONS[step])
+                connection.pragma("application_id", APPLICATION_ID)
+                connection.pragma("user_version", step + 1)
+
+    def _rename_damaged(self) -> str:
+        """Renames a damaged file and its write-ahead log, so that they can still be examined."""
+        target = base_name = f"{self.path}.damaged-{int(time.time())}"
         number = 0
-        while os.path.exists(aside):
+        while os.path.exists(target):
             number += 1
-            aside = f"{first}-{number}"
-        for suffix in SUFFIXES:
+            target = f"{base_name}-{number}"
+        for suffix in FILE_SUFFIXES:
             with suppress(FileNotFoundError):
-                os.replace(self.path + suffix, aside + suffix)
-        return aside
+                os.replace(self.path + suffix, target + suffix)
+        return target
 
     def close(self) -> None:
-        """Close it; the log is taken into the file."""
+        """Closes the store, which checkpoints the write-ahead log."""
         self.connection.close()
 
-    # Writing. All of a call is committed when it returns, or none of it.
+    # Writing. Each call is one transaction, committed when it returns.
 
     def write(
-        self, points: Iterable[Point] = (), items: Iterable[Item] = (), gone: Iterable[tuple[str, str]] = ()
+        self,
+        points: Iterable[Point] = (),
+        items: Iterable[Item] = (),
+        deleted: Iterable[tuple[str, str]] = (),
     ) -> None:
-        """Put points and items, over those of the same name; forget the items whose (space, key) is gone."""
+        """Inserts or replaces points and items, and deletes the items with the given (space, key)."""
         with whole(self.connection):
             self._put(points)
             self.connection.executemany(
                 "INSERT OR REPLACE INTO state VALUES (?,?,?,?,?)",
                 [(i.space, i.key, i.value, i.sum(), i.until_ms) for i in items],
             )
-            self.connection.executemany("DELETE FROM state WHERE space = ? AND key = ?", list(gone))
+            self.connection.executemany("DELETE FROM state WHERE space = ? AND key = ?", list(deleted))
 
     def _put(self, points: Iterable[Point]) -> None:
         self.connection.executemany(
@@ -197,7 +201,7 @@
         )
 
     def replace(self, old: Iterable[Point], new: Iterable[Point]) -> None:
-        """Put new points for old ones at once, as when intervals are rolled up."""
+        """Replaces old points by new ones in one transaction, as when intervals are rolled up."""
         with whole(self.connection):
             self.connection.executemany(
                 "DELETE FROM series WHERE space=? AND span_s=? AND start_s=? AND key=? AND run=?",
@@ -205,36 +209,36 @@
             )
             self._put(new)
 
-    def forget_before(self, space: str, span_s: int, start_s: int) -> int:
-        """Forget the points of a span that began earlier; tells how many."""
+    def delete_before(self, space: str, span_s: int, start_s: int) -> int:
+        """Deletes the points of a span that start earlier; returns their number."""
         self.connection.execute(
             "DELETE FROM series WHERE space = ? AND span_s = ? AND start_s < ?", (space, span_s, start_s)
         )
         return self.connection.changes()
 
     def forget_expired(self, now_ms: float) -> int:
-        """Forget the state whose time is over; tells how many."""
+        """Deletes expired state; returns the number of items."""
         self.connection.execute("DELETE FROM state WHERE until_ms <= ?", (now_ms,))
         return self.connection.changes()
 
     def make_room(self) -> int:
-        """Forget the oldest points while the file is near its bound; tells how many.
+        """Deletes the oldest points while the file is near its size limit; returns their number.
 
-        Guards against a full file that takes no new record: history makes room, state stays.
+        Prevents a full file from rejecting new records: history is evicted, state is retained.
         """
-        forgotten = 0
-        while self.used_bytes() > 0.9 * self.most_bytes:
+        deleted = 0
+        while self.used_bytes() > 0.9 * self.max_bytes:
             oldest = self.connection.execute("SELECT min(start_s) FROM series").get
             if oldest is None:
                 break
             newest = self.connection.execute("SELECT max(start_s) FROM series").get
-            before = oldest + max(1, (newest - oldest) // 20)
-            self.connection.execute("DELETE FROM series WHERE start_s < ?", (before,))
-            forgotten += self.connection.changes()
-        return forgotten
+            before_s = oldest + max(1, (newest - oldest) // 20)
+            self.connection.execute("DELETE FROM series WHERE start_s < ?", (before_s,))
+            deleted += self.connection.changes()
+        return deleted
 
     def used_bytes(self) -> int:
-        """What is in use of the file; pages given up by deletes are used again."""
+        """Returns the bytes in use; pages freed by deletes are reused and do not count."""
         pages = self.connection.pragma("page_count") - self.connection.pragma("freelist_count")
         return pages * self.connection.pragma("page_size")
 
@@ -243,28 +247,28 @@
     def points(
         self, space: str, span_s: int | None = None, since_s: int = 0, before_s: int = 1 << 62
     ) -> Iterator[Point]:
-        """The points of a space in order of time; damaged ones are named in `damaged` and left out."""
-        told = self.connection.execute(
+        """Yields the points of a space in chronological order; damaged ones are skipped and named in `damaged`."""
+        rows = self.connection.execute(
             "SELECT space, span_s, start_s, key, run, value, sum FROM series"
             " WHERE space = ?1 AND (?2 IS NULL OR span_s = ?2) AND start_s >= ?3 AND start_s < ?4"
             " ORDER BY start_s, span_s, key, run",
             (space, span_s, since_s, before_s),
         )
-        for *name, value, kept in told:
+        for *name, value, checksum in rows:
             point = Point(*name, value)
-            if point.sum() == kept:
+            if point.sum() == checksum:
                 yield point
             else:
                 self.damaged.append(f"{space} {point.key} at {point.start_s}")
 
     def items(self, space: str, now_ms: float) -> Iterator[Item]:
-        """The state of a space that still counts; damaged records are named in `damaged` and left out."""
-        told = self.connection.execute(
+        """Yields the unexpired state of a space; damaged records are skipped and named in `damaged`."""
+        rows = self.connection.execute(
             "SELECT space, key, value, until_ms, sum FROM state WHERE space = ? ORDER BY key", (space,)
         )
-        for *name, until_ms, kept in told:
+        for *name, until_ms, checksum in rows:
             item = Item(*name, until_ms)
-            if item.sum() != kept:
+            if item.sum() != checksum:
                 self.damaged.append(f"{space} {item.key}")
             elif until_ms is None or until_ms > now_ms:
                 yield item
--- a/leadslip/store/writer.py
+++ b/leadslip/store/writer.py
@@ -1,7 +1,7 @@
-"""The one way from the reactor's thread to the disk: a bounded queue and one thread that writes.
+"""Asynchronous writes from the reactor thread to the store: a bounded queue and one writer thread.
 
-`put` never waits. What does not fit, or what the disk will not take, is dropped and counted, since history must
-delay no call; what has been committed is acknowledged on the reactor's thread.
+`put` never blocks. Records beyond the queue's capacity, or that the disk rejects, are dropped and counted, since
+history must not delay calls; commits are acknowledged on the reactor thread.
 """
 
 from __future__ import annotations
@@ -16,121 +16,126 @@
 from leadslip.logs import Log
 from leadslip.store.base import Item, Point, Store, StoreError
 
-MOST_WAITING = 10_000  # records in the queue
-MOST_BATCH = 1000  # records of one commit
-RETRY_S = 1.0  # after a fault of the disk, before it is tried again
+MAX_PENDING_RECORDS = 10_000  # records queued or being written
+MAX_COMMIT_RECORDS = 1000  # records after which no further batch joins a commit
+RETRY_S = 1.0  # delay after a disk error before the next attempt
 
 
 class Batch:
-    """What is written together: all of it is committed before `done` is told True, or none is and it is False."""
+    """Records written in one transaction; `done` is called with whether they were committed."""
 
-    __slots__ = ("points", "items", "gone", "done", "task")
+    __slots__ = ("points", "items", "deleted", "done", "task")
 
     def __init__(
         self,
         points: Sequence[Point] = (),
         items: Sequence[Item] = (),
-        gone: Sequence[tuple[str, str]] = (),
+        deleted: Sequence[tuple[str, str]] = (),
         done: Callable[[bool], None] | None = None,
         task: Callable[[Store], None] | None = None,
     ) -> None:
-        self.points, self.items, self.gone, self.done, self.task = points, items, gone, done, task
+        self.points, self.items, self.deleted, self.done, self.task = points, items, deleted, done, task
 
     def __len__(self) -> int:
-        return len(self.points) + len(self.items) + len(self.gone) + (self.task is not None)
+        return len(self.points) + len(self.items) + len(self.deleted) + (self.task is not None)
 
 
 class Writer:
-    """Owns the store and its thread. `call` runs a function on the reactor's thread, soon."""
+    """Owns the store and the writer thread; `call_from_thread` schedules a function on the reactor thread."""
 
     def __init__(
         self,
         open_store: Callable[[], Store],
-        call: Callable[[Callable[[], None]], object],
+        call_from_thread: Callable[[Callable[[], None]], object],
         tally: Tally,
         log: Log,
     ) -> None:
-        self.open_store, self.call, self.tally, self.log = open_store, call, tally, log
-        self.waiting: deque[Batch] = deque()
-        self.count = 0  # records put and not told of yet; of the reactor's thread alone
-        self.there = threading.Condition()
+        self.open_store, self.call_from_thread, self.tally, self.log = (
+            open_store,
+            call_from_thread,
+            tally,
+            log,
+        )
+        self.queue: deque[Batch] = deque()
+        self.pending_records = 0  # records not acknowledged yet; used on the reactor thread only
+        self.queue_changed = threading.Condition()
         self.closing = False
-        self.faulty = False
+        self.failing = False
         self.thread = threading.Thread(target=self._run, name="store", daemon=True)
 
     def start(self) -> None:
-        """Begin to write; the file is opened by the first batch."""
+        """Starts the writer thread; the first batch opens the file."""
         self.thread.start()
 
     def put(self, batch: Batch) -> bool:
-        """Queue a batch; False if there is no room, and then it is dropped and counted."""
-        if self.closing or self.count + len(batch) > MOST_WAITING:
+        """Queues a batch; returns False if the queue is full or closing: the batch is then dropped and counted."""
+        if self.closing or self.pending_records + len(batch) > MAX_PENDING_RECORDS:
             self.tally.add("store.dropped", len(batch))
             if batch.done is not None:
                 batch.done(False)
             return False
-        self.count += len(batch)
-        with self.there:
-            self.waiting.append(batch)
-            self.there.notify()
+        self.pending_records += len(batch)
+        with self.queue_changed:
+            self.queue.append(batch)
+            self.queue_changed.notify()
         return True
 
-    def close(self, seconds: float) -> bool:
-        """Write what waits and end, within so long; whether that was enough."""
-        with self.there:
+    def close(self, timeout_s: float) -> bool:
+        """Writes the queued batches and stops the thread; returns whether that finished within the time-out."""
+        with self.queue_changed:
             self.closing = True
-            self.there.notify()
-        self.thread.join(seconds)
+            self.queue_changed.notify()
+        self.thread.join(timeout_s)
         return not self.thread.is_alive()
 
-    # On the writer's thread.
+    # On the writer thread.
 
     def _run(self) -> None:
         store: Store | None = None
         while True:
-            with self.there:
-                while not self.waiting and not self.closing:
-                    self.there.wait()
-                batches = self._take()
+            with self.queue_changed:
+                while not self.queue and not self.closing:
+                    self.queue_changed.wait()
+                batches = self._next_batches()
             if not batches:
                 break
             try:
                 if store is None:
-                    store = self._opened()
-                self._write(store, batches)
-                self._tell(batches, True, "")
-            except (apsw.Error, StoreError, OSError) as fault:
-                # A full or read-only disk, or a file that has gone: opened anew, as it may come back.
+                    store = self._open()
+                self._write_batches(store, batches)
+                self._report(batches, True, "")
+            except (apsw.Error, StoreError, OSError) as error:
+                # The disk is full or read-only, or the file is gone: reopened for the next batch, as it may recover.
                 if store is not None:
-                    self._shut(store)
+                    self._close_store(store)
                     store = None
-                self._tell(batches, False, f"{type(fault).__name__}: {fault}")
-                with self.there:
-                    self.there.wait_for(lambda: self.closing, RETRY_S)
+                self._report(batches, False, f"{type(error).__name__}: {error}")
+                with self.queue_changed:
+                    self.queue_changed.wait_for(lambda: self.closing, RETRY_S)
         if store is not None:
-            self._shut(store)
+            self._close_store(store)
 
-    def _take(self) -> list[Batch]:
-        """The batches of the next commit, in order; a task goes by itself."""
+    def _next_batches(self) -> list[Batch]:
+        """Returns the batches of the next commit, in order; a task is run on its own."""
         batches: list[Batch] = []
         size = 0
-        while self.waiting and size < MOST_BATCH:
-            if self.waiting[0].task is not None and batches:
+        while self.queue and size < MAX_COMMIT_RECORDS:
+            if self.queue[0].task is not None and batches:
                 break
-            batches.append(self.waiting.popleft())
+            batches.append(self.queue.popleft())
             size += len(batches[-1])
             if batches[-1].task is not None:
                 break
         return batches
 
-    def _opened(self) -> Store:
+    def _open(self) -> Store:
         store = self.open_store()
-        if store.set_aside is not None:
-            aside = store.set_aside
-            self.call(lambda: self._set_aside(aside))
+        if store.damaged_path is not None:
+            damaged_path = store.damaged_path
+            self.call_from_thread(lambda: self._on_damaged_file(damaged_path))
         return store
 
-    def _write(self, store: Store, batches: list[Batch]) -> None:
+    def _write_batches(self, store: Store, batches: list[Batch]) -> None:
         if batches[0].task is not None:
             batches[0].task(store)
             return
@@ -145,35 +150,36 @@
         store.write(
             [point for batch in batches for point in batch.points],
             [item for batch in batches for item in batch.items],
-            [name for batch in batches for name in batch.gone],
+            [name for batch in batches for name in batch.deleted],
         )
 
-    def _shut(self, store: Store) -> None:
+    def _close_store(self, store: Store) -> None:
         try:
             store.close()
-        except apsw.Error as fault:
-            told = str(fault)
-            self.call(lambda: self.log("store.close_failed", level="warning", fault=told))
+        except apsw.Error as error:
+            message = str(error)
+            self.call_from_thread(lambda: self.log("store.close_failed", level="warning", fault=message))
 
-    def _tell(self, batches: list[Batch], written: bool, fault: str) -> None:
-        self.call(lambda: self._told(batches, written, fault))
+    def _report(self, batches: list[Batch], written: bool, error: str) -> None:
+        self.call_from_thread(lambda: self._on_written(batches, written, error))
 
-    # On the reactor's thread again.
+    # On the reactor thread.
 
-    def _set_aside(self, aside: str) -> None:
+    def _on_damaged_file(self, damaged_path: str) -> None:
         self.tally.add("store.set_aside")
-        self.log("store.set_aside", level="error", file=aside)
+        self.log("store.set_aside", level="error", file=damaged_path)
 
-    def _told(self, batches: list[Batch], written: bool, fault: str) -> None:
+    def _on_written(self, batches: list[Batch], written: bool, error: str) -> None:
         size = sum(len(batch) for batch in batches)
-        self.count -= size
+        self.pending_records -= size
         self.tally.add("store.written" if written else "store.dropped", size)
-        if written == self.faulty:  # once for each time that it changes
-            self.faulty = not written
+        if written == self.failing:  # logged only when the state changes
+            self.failing = not written
             if written:
                 self.log("store.writes_again")
             else:
-                self.log("store.drops", level="error", fault=fault)  # history goes; no call waits for it
+                # Only history is lost; calls are not affected.
+                self.log("store.drops", level="error", fault=error)
         for batch in batches:
             if batch.done is not None:
                 batch.done(written)
--- a/leadslip/trunks/__init__.py
+++ b/leadslip/trunks/__init__.py
@@ -1,1 +1,1 @@
-"""Trunk groups: loss formulas, traffic as measured, sizing, and the live limit that reserves trunks."""
+"""Trunk groups: loss formulas, traffic measurement, dimensioning, and trunk reservation for live calls."""
--- a/leadslip/trunks/losses.py
+++ b/leadslip/trunks/losses.py
@@ -1,10 +1,10 @@
-"""Loss and delay formulas: Erlang B and C, Engset, overflow and peaked traffic, and the inverse of each.
+"""Loss and delay formulas: Erlang B and C, Engset, overflow and peaked traffic, and their inverses.
 
-Loads are in erlangs, holding times in seconds, chances from 0 to 1. All hold from no trunk to MOST_TRUNKS and
-for loads from LEAST_LOAD to MOST_LOAD; whatever else is asked raises LossError, which names the figure.
+Loads are in erlangs, holding times in seconds, probabilities from 0 to 1. All formulas are valid from 0 to MAX_TRUNKS
+trunks and for loads from MIN_LOAD to MAX_LOAD; other arguments raise LossError, which names the argument.
 
 Sources: A. K. Erlang (1917); T. Engset (1918); J. Riordan in R. I. Wilkinson, "Theories for toll traffic
-engineering in the U.S.A." (BSTJ 35, 1956); Y. Rapp (1964) for the first guess; A. A. Fredericks, "Congestion in
+engineering in the U.S.A." (BSTJ 35, 1956); Y. Rapp (1964) for the initial guess; A. A. Fredericks, "Congestion in
 blocking systems" (BSTJ 59, 1980), for Hayward's approximation; C. Loader (2000) for the Poisson probability.
 """
 
@@ -15,12 +15,12 @@
 
 from leadslip.errors import OperatorError
 
-MOST_TRUNKS = 100_000
-LEAST_LOAD, MOST_LOAD = 1e-6, 1e5
+MAX_TRUNKS = 100_000
+MIN_LOAD, MAX_LOAD = 1e-6, 1e5
 EPSILON = 1e-15
 TINY = 1e-300
-RECURSION_LOAD = 500.0  # erlangs up to which sizing by the recursion from no trunk on is the quicker way
-HALVINGS = 200  # more than a double has bits between any two bounds
+MAX_RECURSION_LOAD = 500.0  # erlangs up to which running the recursion from 0 trunks is faster
+MAX_ROOT_STEPS = 200  # more than bisection of any range of doubles needs
 
 
 class LossError(OperatorError, ValueError):
@@ -30,30 +30,30 @@
     action = "Ask for a figure within the bounds named."
 
 
-def check(name: str, value: float, least: float, most: float) -> float:
-    """The figure, if it is a number within its bounds."""
-    if not isinstance(value, int | float) or isinstance(value, bool) or not least <= value <= most:
-        raise LossError(f"{name} must lie between {least:g} and {most:g}: {value!r}")
+def check_range(name: str, value: float, minimum: float, maximum: float) -> float:
+    """Returns the value if it is a number within its bounds, else raises LossError."""
+    if not isinstance(value, int | float) or isinstance(value, bool) or not minimum <= value <= maximum:
+        raise LossError(f"{name} must lie between {minimum:g} and {maximum:g}: {value!r}")
     return value
 
 
 def _load(erlangs: float) -> float:
-    return check("erlangs", erlangs, LEAST_LOAD, MOST_LOAD)
+    return check_range("erlangs", erlangs, MIN_LOAD, MAX_LOAD)
 
 
 def _trunks(trunks: float) -> float:
-    return check("trunks", trunks, 0, MOST_TRUNKS)
+    return check_range("trunks", trunks, 0, MAX_TRUNKS)
 
 
-def _whole(name: str, value: float, most: int = MOST_TRUNKS) -> int:
-    check(name, value, 0, most)
+def _integer(name: str, value: float, maximum: int = MAX_TRUNKS) -> int:
+    check_range(name, value, 0, maximum)
     if value != int(value):
-        raise LossError(f"{name} must be whole: {value!r}")
+        raise LossError(f"{name} must be an integer: {value!r}")
     return int(value)
 
 
-def _chance(name: str, value: float) -> float:
-    """A chance that is neither nought nor one, so that an inverse exists."""
+def _probability(name: str, value: float) -> float:
+    """Returns a probability strictly between 0 and 1, so that an inverse exists."""
     if not isinstance(value, int | float) or not 0.0 < value < 1.0:
         raise LossError(f"{name} must lie between 0 and 1, both excluded: {value!r}")
     return value
@@ -63,11 +63,11 @@
 
 
 def erlang_b(trunks: float, erlangs: float) -> float:
-    """The chance that all trunks are busy, for Poisson calls that are lost then; trunks need not be whole.
+    """Returns the blocking probability of Poisson traffic with lost calls cleared; trunks need not be an integer.
 
-    B(x, A) = A^x e^-A / Γ(x+1, A). Above the mean the upper incomplete gamma function is found by Legendre's
-    continued fraction, below it through the Poisson probability and the series of the lower one: either takes
-    some tens to hundreds of terms where the recursion takes one for each trunk.
+    B(x, A) = A^x e^-A / Γ(x+1, A). For a load above x + 1 the upper incomplete gamma function is evaluated by
+    Legendre's continued fraction, otherwise by the Poisson probability and the series of the lower function. Either
+    takes some tens to hundreds of terms, where the recursion takes one step per trunk.
     """
     return _erlang_b(_trunks(trunks), _load(erlangs))
 
@@ -75,21 +75,21 @@
 def _erlang_b(x: float, load: float) -> float:
     if load > x + 1.0:
         return min(1.0, 1.0 / (load * _upper_fraction(x + 1.0, load)))
-    at_x = poisson(x, load)
+    poisson_at_x = poisson(x, load)
     term = total = load / (x + 1.0)
     k = 1.0
     while term > total * EPSILON:
         k += 1.0
         term *= load / (x + k)
         total += term
-    return min(1.0, at_x / (1.0 - at_x * total))
+    return min(1.0, poisson_at_x / (1.0 - poisson_at_x * total))
 
 
 def _upper_fraction(a: float, z: float) -> float:
-    """Γ(a, z) / (z^a e^-z) by Lentz's way through Legendre's continued fraction, for z > a."""
+    """Γ(a, z) / (z^a e^-z) by Lentz's method on Legendre's continued fraction, for z > a."""
     b = z + 1.0 - a
     c, d = 1.0 / TINY, 1.0 / b
-    found = d
+    fraction = d
     k = 0.0
     while True:
         k += 1.0
@@ -100,13 +100,13 @@
         c = b + an / c
         c = c if abs(c) > TINY else TINY
         step = c * d
-        found *= step
+        fraction *= step
         if abs(step - 1.0) < EPSILON * 4.0:
-            return found
+            return fraction
 
 
 def poisson(x: float, load: float) -> float:
-    """load^x e^-load / Γ(x+1) without cancellation for large figures, by Loader's saddle point."""
+    """load^x e^-load / Γ(x+1) without cancellation for large arguments, by Loader's saddle-point method."""
     if x == 0.0:
         return math.exp(-load)
     if x < 1.0:
@@ -115,7 +115,7 @@
 
 
 def _stirling_error(x: float) -> float:
-    """log Γ(x+1) less Stirling's approximation."""
+    """log Γ(x+1) minus Stirling's approximation."""
     if x < 16.0:
         return math.lgamma(x + 1.0) - (x + 0.5) * math.log(x) + x - 0.5 * math.log(2.0 * math.pi)
     s = 1.0 / (x * x)
@@ -132,93 +132,96 @@
     while True:
         power *= v * v
         k += 2
-        longer = total + power / k
-        if longer == total:
+        next_total = total + power / k
+        if next_total == total:
             return total
-        total = longer
+        total = next_total
 
 
 def erlang_b_by_recursion(trunks: int, erlangs: float) -> float:
-    """Erlang B by the stable recursion over whole trunks: the plain version, one step for each trunk."""
+    """Erlang B by the stable recursion over an integer number of trunks: the reference version, one step per trunk."""
     load = _load(erlangs)
-    lost = 1.0
-    for n in range(1, _whole("trunks", trunks) + 1):
-        lost = load * lost / (n + load * lost)
-    return lost
+    blocking = 1.0
+    for n in range(1, _integer("trunks", trunks) + 1):
+        blocking = load * blocking / (n + load * blocking)
+    return blocking
 
 
 def trunks_for(erlangs: float, blocking: float) -> int:
-    """The fewest whole trunks on which no more than that part of the calls is lost."""
-    load, goal = _load(erlangs), _chance("blocking", blocking)
-    # No fewer than carry the load, so the recursion is begun there; to small groups it is quicker from none on.
-    n = min(MOST_TRUNKS, int(load * (1.0 - goal))) if load > RECURSION_LOAD else 0
-    lost = _erlang_b(n, load) if n else 1.0
-    while lost > goal:
-        if n >= MOST_TRUNKS:
-            raise LossError(f"blocking is not reached with {MOST_TRUNKS} trunks")
+    """Returns the smallest number of trunks whose blocking does not exceed the given probability."""
+    load, goal = _load(erlangs), _probability("blocking", blocking)
+    # Trunks cannot be fewer than the carried load, so start there; for small groups starting from 0 is faster.
+    n = min(MAX_TRUNKS, int(load * (1.0 - goal))) if load > MAX_RECURSION_LOAD else 0
+    loss = _erlang_b(n, load) if n else 1.0
+    while loss > goal:
+        if n >= MAX_TRUNKS:
+            raise LossError(f"blocking is not reached with {MAX_TRUNKS} trunks")
         n += 1
-        lost = load * lost / (n + load * lost)
+        loss = load * loss / (n + load * loss)
     return n
 
 
-def _fewest(enough: Callable[[int], bool], name: str, near: float) -> int:
-    """The least whole number for which a rising condition holds, searched outward from a guess."""
-    low, high = -1, max(1, min(MOST_TRUNKS, int(near)))
-    while not enough(high):
-        if high >= MOST_TRUNKS:
-            raise LossError(f"{name} is not reached with {MOST_TRUNKS} trunks")
-        low, high = high, min(MOST_TRUNKS, high + max(1, high // 4))
+def _smallest(satisfied: Callable[[int], bool], name: str, guess: float) -> int:
+    """Returns the smallest integer for which a monotonic condition holds, searched outward from a guess."""
+    low, high = -1, max(1, min(MAX_TRUNKS, int(guess)))
+    while not satisfied(high):
+        if high >= MAX_TRUNKS:
+            raise LossError(f"{name} is not reached with {MAX_TRUNKS} trunks")
+        low, high = high, min(MAX_TRUNKS, high + max(1, high // 4))
     step = 1
-    while high - step > low and enough(high - step):  # near the answer a gallop beats halving the whole range
+    # Near the answer an exponential search is faster than bisecting the whole range.
+    while high - step > low and satisfied(high - step):
         high, step = high - step, step * 2
     low = max(low, high - step)
     while high - low > 1:
         middle = (low + high) // 2
-        low, high = (low, middle) if enough(middle) else (middle, high)
+        low, high = (low, middle) if satisfied(middle) else (middle, high)
     return high
 
 
 def trunks_for_exactly(erlangs: float, blocking: float) -> float:
-    """The number of trunks, not whole, on which exactly that part of the calls is lost."""
-    load, goal = _load(erlangs), _chance("blocking", blocking)
+    """Returns the fractional number of trunks whose blocking equals the given probability."""
+    load, goal = _load(erlangs), _probability("blocking", blocking)
     return root(lambda x: goal - _erlang_b(x, load), 0.0, float(trunks_for(load, goal)))
 
 
 def load_for(trunks: float, blocking: float) -> float:
-    """The load, in erlangs, of which that part is lost on those trunks."""
-    x, goal = _trunks(trunks), _chance("blocking", blocking)
+    """Returns the load in erlangs at which the given trunks have the given blocking."""
+    x, goal = _trunks(trunks), _probability("blocking", blocking)
     if x == 0:
-        raise LossError("trunks must be above 0: without any all is lost, whatever the load")
-    if _erlang_b(x, LEAST_LOAD) > goal or _erlang_b(x, MOST_LOAD) < goal:
-        raise LossError(
-            f"blocking of {blocking!r} is met by no load between {LEAST_LOAD:g} and {MOST_LOAD:g}"
-        )
-    return root(lambda load: _erlang_b(x, load) - goal, LEAST_LOAD, MOST_LOAD, by_ratio=True)
+        raise LossError("trunks must be above 0: with no trunks every call is lost, whatever the load")
+    if _erlang_b(x, MIN_LOAD) > goal or _erlang_b(x, MAX_LOAD) < goal:
+        raise LossError(f"blocking of {blocking!r} is met by no load between {MIN_LOAD:g} and {MAX_LOAD:g}")
+    return root(lambda load: _erlang_b(x, load) - goal, MIN_LOAD, MAX_LOAD, geometric=True)
 
 
 def root(
-    rising: Callable[[float], float], low: float, high: float, by_ratio: bool = False, most: int = HALVINGS
+    increasing: Callable[[float], float],
+    low: float,
+    high: float,
+    geometric: bool = False,
+    max_steps: int = MAX_ROOT_STEPS,
 ) -> float:
-    """Where a rising function crosses nought between two bounds: false position (Illinois) with halving between.
+    """Returns the zero of an increasing function between two bounds: false position (Illinois) mixed with bisection.
 
-    Halving alone is sure, as all of these are monotonic, but takes fifty steps where these take ten.
+    Bisection alone always converges, as all of these functions are monotonic, but takes fifty steps instead of ten.
     """
-    at_low, at_high = rising(low), rising(high)
-    for step in range(most):
-        if step % 3 == 2 or at_high <= at_low or not math.isfinite(at_high - at_low):
-            middle = math.sqrt(low * high) if by_ratio else (low + high) / 2.0
+    value_low, value_high = increasing(low), increasing(high)
+    for step in range(max_steps):
+        if step % 3 == 2 or value_high <= value_low or not math.isfinite(value_high - value_low):
+            middle = math.sqrt(low * high) if geometric else (low + high) / 2.0
         else:
-            middle = high - at_high * (high - low) / (at_high - at_low)
+            middle = high - value_high * (high - low) / (value_high - value_low)
         if not low < middle < high:
             middle = (low + high) / 2.0
             if not low < middle < high:
                 break
-        found = rising(middle)
-        if found < 0.0:
-            low, at_low, at_high = middle, found, at_high / 2.0
+        value = increasing(middle)
+        if value < 0.0:
+            low, value_low, value_high = middle, value, value_high / 2.0
         else:
-            high, at_high, at_low = middle, found, at_low / 2.0
-        if found == 0.0 or high - low <= 4.0 * EPSILON * high:
+            high, value_high, value_low = middle, value, value_low / 2.0
+        if value == 0.0 or high - low <= 4.0 * EPSILON * high:
             break
     return high
 
@@ -227,165 +230,171 @@
 
 
 def erlang_c(trunks: int, erlangs: float) -> float:
-    """The chance that a call has to wait, where calls wait in turn as long as it takes; load below trunks."""
-    n, load = _queue(trunks, erlangs)
-    lost = _erlang_b(n, load)
-    return lost / (1.0 - load / n * (1.0 - lost))
+    """Returns the probability of waiting with an unlimited FIFO queue; the load must be below trunks."""
+    n, load = _queue_arguments(trunks, erlangs)
+    blocking = _erlang_b(n, load)
+    return blocking / (1.0 - load / n * (1.0 - blocking))
 
 
-def _queue(trunks: int, erlangs: float) -> tuple[int, float]:
-    n, load = _whole("trunks", trunks), _load(erlangs)
+def _queue_arguments(trunks: int, erlangs: float) -> tuple[int, float]:
+    n, load = _integer("trunks", trunks), _load(erlangs)
     if load >= n:
         raise LossError(
-            f"erlangs must be below trunks, else calls wait without end: {erlangs!r} on {trunks!r}"
+            f"erlangs must be below trunks, else the queue grows without bound: {erlangs!r} on {trunks!r}"
         )
     return n, load
 
 
 def mean_wait_s(trunks: int, erlangs: float, hold_s: float) -> float:
-    """The mean wait over all calls, those that need not wait included."""
-    n, load = _queue(trunks, erlangs)
-    return erlang_c(n, load) * check("hold_s", hold_s, 1e-6, 1e9) / (n - load)
+    """Returns the mean wait over all calls, including those that do not wait."""
+    n, load = _queue_arguments(trunks, erlangs)
+    return erlang_c(n, load) * check_range("hold_s", hold_s, 1e-6, 1e9) / (n - load)
 
 
 def wait_over(trunks: int, erlangs: float, hold_s: float, over_s: float) -> float:
-    """The chance of waiting longer than over_s, served in order of arrival."""
-    n, load = _queue(trunks, erlangs)
-    check("hold_s", hold_s, 1e-6, 1e9)
-    check("over_s", over_s, 0.0, 1e9)
+    """Returns the probability of waiting longer than over_s with FIFO service."""
+    n, load = _queue_arguments(trunks, erlangs)
+    check_range("hold_s", hold_s, 1e-6, 1e9)
+    check_range("over_s", over_s, 0.0, 1e9)
     return erlang_c(n, load) * math.exp(-(n - load) * over_s / hold_s)
 
 
 def trunks_for_wait(erlangs: float, hold_s: float, over_s: float, part: float) -> int:
-    """The fewest trunks on which no more than that part of the calls waits longer than over_s."""
-    load, goal = _load(erlangs), _chance("part", part)
-    return _fewest(lambda n: n > load and wait_over(n, load, hold_s, over_s) <= goal, "part", load + 1.0)
+    """Returns the smallest number of trunks at which at most this part of the calls waits longer than over_s."""
+    load, goal = _load(erlangs), _probability("part", part)
+    return _smallest(lambda n: n > load and wait_over(n, load, hold_s, over_s) <= goal, "part", load + 1.0)
 
 
 def load_for_wait(trunks: int, hold_s: float, over_s: float, part: float) -> float:
-    """The load at which that part of the calls waits longer than over_s."""
-    n, goal = _whole("trunks", trunks), _chance("part", part)
-    most = min(MOST_LOAD, n * (1.0 - 1e-12))
-    if n < 1 or wait_over(n, most, hold_s, over_s) < goal or wait_over(n, LEAST_LOAD, hold_s, over_s) > goal:
+    """Returns the load at which this part of the calls waits longer than over_s."""
+    n, goal = _integer("trunks", trunks), _probability("part", part)
+    max_load = min(MAX_LOAD, n * (1.0 - 1e-12))
+    if (
+        n < 1
+        or wait_over(n, max_load, hold_s, over_s) < goal
+        or wait_over(n, MIN_LOAD, hold_s, over_s) > goal
+    ):
         raise LossError(f"part of {part!r} is met by no load on {trunks!r} trunks")
-    return root(lambda load: wait_over(n, load, hold_s, over_s) - goal, LEAST_LOAD, most, by_ratio=True)
+    return root(lambda load: wait_over(n, load, hold_s, over_s) - goal, MIN_LOAD, max_load, geometric=True)
 
 
-# Engset: few sources.
+# Engset: a finite number of sources.
 
 
-def engset_time(trunks: int, sources: int, erlangs: float) -> float:
-    """The part of the time in which all trunks are busy.
+def engset_time_congestion(trunks: int, sources: int, erlangs: float) -> float:
+    """Returns the time congestion: the part of the time during which all trunks are busy.
 
-    `erlangs` is what the sources would offer together if none of their calls were lost: S·a / (1 + a) with a the
-    load of an idle source; so it is below the number of sources.
+    `erlangs` is the load that the sources would offer together if no calls were lost: S·a / (1 + a), with a the
+    load of an idle source; it is therefore below the number of sources.
     """
-    n, s = _whole("trunks", trunks), _whole("sources", sources, 1_000_000)
+    n, s = _integer("trunks", trunks), _integer("sources", sources, 1_000_000)
     load = _load(erlangs)
     if load >= s:
         raise LossError(f"erlangs must be below sources: {erlangs!r} from {sources!r}")
-    return _engset(n, s, load / (s - load))
+    return _engset_recursion(n, s, load / (s - load))
 
 
-def _engset(trunks: int, sources: int, idle_load: float) -> float:
+def _engset_recursion(trunks: int, sources: int, idle_load: float) -> float:
     if trunks > sources:
         return 0.0
-    busy = 1.0
+    congestion = 1.0
     for n in range(1, trunks + 1):
-        step = (sources - n + 1) * idle_load * busy
-        busy = step / (n + step)
-    return busy
+        step = (sources - n + 1) * idle_load * congestion
+        congestion = step / (n + step)
+    return congestion
 
 
 def engset(trunks: int, sources: int, erlangs: float) -> float:
-    """The part of the calls that is lost: an arriving call sees the others' sources alone."""
-    n, s = _whole("trunks", trunks), _whole("sources", sources, 1_000_000)
+    """Returns the call congestion: the part of the calls lost; an arriving call sees the other sources only."""
+    n, s = _integer("trunks", trunks), _integer("sources", sources, 1_000_000)
     load = _load(erlangs)
     if load >= s:
         raise LossError(f"erlangs must be below sources: {erlangs!r} from {sources!r}")
-    return 0.0 if n >= s else _engset(n, s - 1, load / (s - load))
+    return 0.0 if n >= s else _engset_recursion(n, s - 1, load / (s - load))
 
 
 def trunks_for_sources(sources: int, erlangs: float, blocking: float) -> int:
-    """The fewest trunks on which no more than that part of the calls from so many sources is lost."""
-    goal = _chance("blocking", blocking)
+    """Returns the smallest number of trunks at which at most this part of the sources' calls is lost."""
+    goal = _probability("blocking", blocking)
     engset(0, sources, erlangs)
-    return _fewest(lambda n: engset(n, sources, erlangs) <= goal, "blocking", erlangs)
+    return _smallest(lambda n: engset(n, sources, erlangs) <= goal, "blocking", erlangs)
 
 
 def load_for_sources(trunks: int, sources: int, blocking: float) -> float:
-    """The load of so many sources of which that part is lost."""
-    goal = _chance("blocking", blocking)
-    n, s = _whole("trunks", trunks), _whole("sources", sources, 1_000_000)
-    most = min(MOST_LOAD, s * (1.0 - 1e-9))
-    if n < 1 or n >= s or engset(n, s, most) < goal or engset(n, s, LEAST_LOAD) > goal:
+    """Returns the load of a finite number of sources at which the given part of the calls is lost."""
+    goal = _probability("blocking", blocking)
+    n, s = _integer("trunks", trunks), _integer("sources", sources, 1_000_000)
+    max_load = min(MAX_LOAD, s * (1.0 - 1e-9))
+    if n < 1 or n >= s or engset(n, s, max_load) < goal or engset(n, s, MIN_LOAD) > goal:
         raise LossError(
             f"blocking of {blocking!r} is met by no load of {sources!r} sources on {trunks!r} trunks"
         )
-    return root(lambda load: engset(n, s, load) - goal, LEAST_LOAD, most, by_ratio=True)
+    return root(lambda load: engset(n, s, load) - goal, MIN_LOAD, max_load, geometric=True)
 
 
 # Overflow and peaked traffic.
 
 
 def overflow(trunks: float, erlangs: float) -> tuple[float, float]:
-    """Mean and variance, in erlangs, of what Poisson traffic overflows from those trunks (Riordan)."""
+    """Returns mean and variance, in erlangs, of the overflow of Poisson traffic from these trunks (Riordan)."""
     x, load = _trunks(trunks), _load(erlangs)
     mean = load * _erlang_b(x, load)
     return mean, mean * (1.0 - mean + load / (x + 1.0 + mean - load))
 
 
-def equivalent(mean: float, variance: float) -> tuple[float, float]:
-    """The Poisson load and the trunks, not whole, that overflow with that mean and variance (Wilkinson)."""
-    check("mean", mean, LEAST_LOAD, MOST_LOAD)
-    peaked = check("variance", variance, mean, 100.0 * mean) / mean
-    if peaked == 1.0:
+def equivalent_random(mean: float, variance: float) -> tuple[float, float]:
+    """Returns the Poisson load and fractional trunks whose overflow has this mean and variance (Wilkinson)."""
+    check_range("mean", mean, MIN_LOAD, MAX_LOAD)
+    peakedness = check_range("variance", variance, mean, 100.0 * mean) / mean
+    if peakedness == 1.0:
         return mean, 0.0
 
     def trunks(load: float) -> float:
-        return max(0.0, load * (mean + peaked) / (mean + peaked - 1.0) - mean - 1.0)
+        return max(0.0, load * (mean + peakedness) / (mean + peakedness - 1.0) - mean - 1.0)
 
     def excess(load: float) -> float:
         return mean - load * _erlang_b(trunks(load), load)
 
-    # With trunks bound to the load so that the peakedness fits, a larger load overflows less.
-    high = max(variance + 3.0 * peaked * (peaked - 1.0), mean * 1.000001)
+    # With trunks derived from the load to give the right peakedness, a larger load has less overflow.
+    high = max(variance + 3.0 * peakedness * (peakedness - 1.0), mean * 1.000001)
     while excess(high) < 0.0:
         high *= 2.0
-        if trunks(high) > MOST_TRUNKS or high > MOST_LOAD:
-            raise LossError(f"variance of {variance!r} for a mean of {mean!r} has no equivalent in bounds")
+        if trunks(high) > MAX_TRUNKS or high > MAX_LOAD:
+            raise LossError(
+                f"variance of {variance!r} for a mean of {mean!r} has no equivalent random load within bounds"
+            )
     load = root(excess, mean, high)
     return load, trunks(load)
 
 
 def peaked_blocking(trunks: float, mean: float, variance: float) -> float:
-    """The part of peaked traffic lost on those trunks, by the equivalent random theory."""
+    """Returns the blocking of peaked traffic on these trunks, by the equivalent random theory."""
     _trunks(trunks)
-    load, before = equivalent(mean, variance)
-    return min(1.0, load * _erlang_b(before + trunks, load) / mean)
+    load, primary_trunks = equivalent_random(mean, variance)
+    return min(1.0, load * _erlang_b(primary_trunks + trunks, load) / mean)
 
 
 def trunks_for_overflow(mean: float, variance: float, blocking: float) -> int:
-    """The fewest trunks on which no more than that part of such traffic is lost, by the equivalent random theory."""
-    goal = _chance("blocking", blocking)
-    load, before = equivalent(mean, variance)
-    return _fewest(lambda n: load * _erlang_b(before + n, load) <= goal * mean, "blocking", mean)
+    """Returns the smallest number of trunks for peaked traffic at this blocking, by the equivalent random theory."""
+    goal = _probability("blocking", blocking)
+    load, primary_trunks = equivalent_random(mean, variance)
+    return _smallest(lambda n: load * _erlang_b(primary_trunks + n, load) <= goal * mean, "blocking", mean)
 
 
 def hayward_blocking(trunks: float, mean: float, peakedness: float) -> float:
-    """The part of traffic lost whose variance is peakedness times its mean (Hayward, Fredericks)."""
-    check("peakedness", peakedness, 0.01, 100.0)
+    """Returns the blocking of traffic whose variance is peakedness times its mean (Hayward, Fredericks)."""
+    check_range("peakedness", peakedness, 0.01, 100.0)
     return _erlang_b(_trunks(trunks) / peakedness, _load(mean) / peakedness)
 
 
 def trunks_for_peaked(mean: float, peakedness: float, blocking: float) -> int:
-    """The fewest trunks on which no more than that part of such traffic is lost, by Hayward's approximation."""
-    goal = _chance("blocking", blocking)
+    """Returns the smallest number of trunks for peaked traffic at this blocking, by Hayward's approximation."""
+    goal = _probability("blocking", blocking)
     hayward_blocking(0, mean, peakedness)
-    return _fewest(lambda n: hayward_blocking(n, mean, peakedness) <= goal, "blocking", mean)
+    return _smallest(lambda n: hayward_blocking(n, mean, peakedness) <= goal, "blocking", mean)
 
 
 def load_for_peaked(trunks: float, peakedness: float, blocking: float) -> float:
-    """The mean load of such a peakedness of which that part is lost on those trunks."""
-    check("peakedness", peakedness, 0.01, 100.0)
+    """Returns the mean load of this peakedness at which these trunks have the given blocking."""
+    check_range("peakedness", peakedness, 0.01, 100.0)
     return peakedness * load_for(_trunks(trunks) / peakedness, blocking)
--- a/leadslip/trunks/plan.py
+++ b/leadslip/trunks/plan.py
@@ -1,7 +1,7 @@
-"""A plan of trunk groups, read from TOML: loads, growth, overflow and grades of service; sizes and cost come out.
+"""Dimensioning plan of trunk groups: reads loads, growth, overflow and grades of service from TOML, sizes the groups.
 
-blocking = 0.01            # of each group, unless it says otherwise
-growth = 0.2               # a fifth more than measured
+blocking = 0.01            # default for each group
+growth = 0.2               # 20% more than the load given or measured
 
 [[group]]
 name = "seoul"
@@ -13,7 +13,7 @@
 name = "transit"
 cost = 1.4                 # of a trunk
 
-[group.classes]            # optional: loads by class and the one that is spared
+[group.classes]            # optional: loads by class; `spared` names the class to protect
 officer-call = 4.0
 resident-call = 17.5
 """
@@ -25,7 +25,7 @@
 
 from leadslip.errors import OperatorError
 from leadslip.trunks import sizing
-from leadslip.trunks.losses import LEAST_LOAD, MOST_LOAD, LossError
+from leadslip.trunks.losses import MAX_LOAD, MIN_LOAD, LossError
 
 PLAN_KEYS = ("blocking", "growth", "confidence", "group")
 GROUP_KEYS = (
@@ -53,8 +53,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """One group of a plan, checked."""
+class GroupSpec:
+    """One group of a plan, validated."""
 
     name: str
     load: float
@@ -63,15 +63,15 @@
     peakedness: float
     blocking: float
     overflow: str | None
-    trunks: int | None  # that there are now
+    trunks: int | None  # currently installed
     classes: Mapping[str, float] = field(default_factory=dict)
     spared: str | None = None
     spared_blocking: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
-    """What one group needs."""
+class SizedGroup:
+    """The size of one group, its blocking and its cost."""
 
     name: str
     role: str  # alone, high-usage or final
@@ -81,169 +81,180 @@
     blocking_one_less: float
     blocking_one_more: float
     cost: float
-    more: int | None  # trunks to add to those there are now; below nought: to spare
+    more: int | None  # trunks to add to the installed ones; negative if there are too many
     levels: tuple[sizing.Reserved, ...] = ()
 
 
 def figure(
-    told: Mapping, key: str, at: str, least: float, most: float, default: float | None = None
+    table: Mapping, key: str, prefix: str, minimum: float, maximum: float, default: float | None = None
 ) -> float:
-    """A figure within its bounds; without a default it must be there."""
-    value = told.get(key, default)
+    """Returns a number within its bounds; the key is required if there is no default."""
+    value = table.get(key, default)
     if value is None:
-        raise PlanError(f"{at}{key} is missing")
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-        raise PlanError(f"{at}{key} must lie between {least:g} and {most:g}: {value!r}")
+        raise PlanError(f"{prefix}{key} is missing")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+        raise PlanError(f"{prefix}{key} must lie between {minimum:g} and {maximum:g}: {value!r}")
     return value
 
 
-def read(told: Mapping, measured: Callable[[str], float] | None = None) -> list[Wanted]:
-    """The groups of a plan; `measured` tells the load of a group by its record, confidence limit included."""
-    for key in told:
+def read(document: Mapping, measured: Callable[[str], float] | None = None) -> list[GroupSpec]:
+    """Returns the groups of a plan; `measured` returns a group's recorded load at its upper confidence limit."""
+    for key in document:
         if key not in PLAN_KEYS:
             raise PlanError(f"{key} is unknown")
-    listed = told.get("group")
+    listed = document.get("group")
     if not isinstance(listed, list) or not listed:
         raise PlanError("group is missing")
-    whole_blocking = figure(told, "blocking", "", 1e-9, 0.99, 0.01)
-    whole_growth = figure(told, "growth", "", -0.99, 100.0, 0.0)
-    wanted: dict[str, Wanted] = {}
-    for i, group in enumerate(listed):
-        one = _group(group, f"group.{i}.", whole_blocking, whole_growth, measured)
-        if one.name in wanted:
-            raise PlanError(f"group.{i}.name is used twice: {one.name!r}")
-        wanted[one.name] = one
-    for i, one in enumerate(wanted.values()):
-        if one.overflow is not None:
-            final = wanted.get(one.overflow)
-            if final is None or final.overflow is not None or final is one:
-                raise PlanError(f"group.{i}.overflow names no final group: {one.overflow!r}")
-            if one.peakedness != 1.0:
+    default_blocking = figure(document, "blocking", "", 1e-9, 0.99, 0.01)
+    default_growth = figure(document, "growth", "", -0.99, 100.0, 0.0)
+    specs: dict[str, GroupSpec] = {}
+    for i, table in enumerate(listed):
+        spec = _read_group(table, f"group.{i}.", default_blocking, default_growth, measured)
+        if spec.name in specs:
+            raise PlanError(f"group.{i}.name is used twice: {spec.name!r}")
+        specs[spec.name] = spec
+    for i, spec in enumerate(specs.values()):
+        if spec.overflow is not None:
+            final = specs.get(spec.overflow)
+            if final is None or final.overflow is not None or final is spec:
+                raise PlanError(
+                    f"group.{i}.overflow names no final group (another group without overflow): {spec.overflow!r}"
+                )
+            if spec.peakedness != 1.0:
                 raise PlanError(f"group.{i}.peakedness must be 1 for a group that overflows")
-    return list(wanted.values())
+    return list(specs.values())
 
 
-def _group(
-    told: object, at: str, blocking: float, growth: float, measured: Callable[[str], float] | None
-) -> Wanted:
-    if not isinstance(told, Mapping):
-        raise PlanError(f"{at[:-1]} is no table")
-    for key in told:
+def _read_group(
+    table: object, prefix: str, blocking: float, growth: float, measured: Callable[[str], float] | None
+) -> GroupSpec:
+    if not isinstance(table, Mapping):
+        raise PlanError(f"{prefix[:-1]} is not a table")
+    for key in table:
         if key not in GROUP_KEYS:
-            raise PlanError(f"{at}{key} is unknown")
-    name = told.get("name")
+            raise PlanError(f"{prefix}{key} is unknown")
+    name = table.get("name")
     if not isinstance(name, str) or not name:
-        raise PlanError(f"{at}name is missing")
-    classes = told.get("classes", {})
+        raise PlanError(f"{prefix}name is missing")
+    classes = table.get("classes", {})
     if not isinstance(classes, Mapping):
-        raise PlanError(f"{at}classes is no table")
-    loads = {key: figure(classes, key, f"{at}classes.", 0.0, MOST_LOAD) for key in classes}
-    if "measured" in told:
-        if "load" in told:
-            raise PlanError(f"{at}load and {at}measured exclude each other")
+        raise PlanError(f"{prefix}classes is not a table")
+    loads = {key: figure(classes, key, f"{prefix}classes.", 0.0, MAX_LOAD) for key in classes}
+    if "measured" in table:
+        if "load" in table:
+            raise PlanError(f"{prefix}load and {prefix}measured exclude each other")
         if measured is None:
-            raise PlanError(f"{at}measured needs a store to read from")
-        load = measured(str(told["measured"]))
-        if not LEAST_LOAD <= load <= MOST_LOAD:
-            raise PlanError(f"{at}measured: no load in bounds is recorded for {told['measured']!r}: {load!r}")
+            raise PlanError(f"{prefix}measured needs a store to read from")
+        load = measured(str(table["measured"]))
+        if not MIN_LOAD <= load <= MAX_LOAD:
+            raise PlanError(
+                f"{prefix}measured: no load within bounds is recorded for {table['measured']!r}: {load!r}"
+            )
     else:
-        load = figure(told, "load", at, 0.0, MOST_LOAD, whole_load(loads))
-    spared = told.get("spared")
+        load = figure(table, "load", prefix, 0.0, MAX_LOAD, total_load(loads))
+    spared = table.get("spared")
     if spared is not None and spared not in loads:
-        raise PlanError(f"{at}spared names no class of the group: {spared!r}")
-    overflow, trunks = told.get("overflow"), told.get("trunks")
+        raise PlanError(f"{prefix}spared names no class of the group: {spared!r}")
+    overflow, trunks = table.get("overflow"), table.get("trunks")
     if overflow is not None and not isinstance(overflow, str):
-        raise PlanError(f"{at}overflow makes no sense: {overflow!r}")
+        raise PlanError(f"{prefix}overflow must be the name of a group: {overflow!r}")
     if trunks is not None:
-        trunks = int(figure(told, "trunks", at, 0, 100_000))
-    lost = figure(told, "blocking", at, 1e-9, 0.99, blocking)
-    grown = load * (1.0 + figure(told, "growth", at, -0.99, 100.0, growth))
-    if grown > MOST_LOAD:
-        raise PlanError(f"{at}load is above {MOST_LOAD:g} erlangs after growth")
-    return Wanted(
+        trunks = int(figure(table, "trunks", prefix, 0, 100_000))
+    group_blocking = figure(table, "blocking", prefix, 1e-9, 0.99, blocking)
+    grown_load = load * (1.0 + figure(table, "growth", prefix, -0.99, 100.0, growth))
+    if grown_load > MAX_LOAD:
+        raise PlanError(f"{prefix}load is above {MAX_LOAD:g} erlangs after growth")
+    return GroupSpec(
         name,
-        grown,
-        int(figure(told, "module", at, 1, 100_000, 1)),
-        figure(told, "cost", at, 1e-9, 1e9, 1.0),
-        figure(told, "peakedness", at, 0.01, 100.0, 1.0),
-        lost,
+        grown_load,
+        int(figure(table, "module", prefix, 1, 100_000, 1)),
+        figure(table, "cost", prefix, 1e-9, 1e9, 1.0),
+        figure(table, "peakedness", prefix, 0.01, 100.0, 1.0),
+        group_blocking,
         overflow,
         trunks,
         loads,
         spared,
-        figure(told, "spared_blocking", at, 0.0, 1.0, lost / 10.0),
+        figure(table, "spared_blocking", prefix, 0.0, 1.0, group_blocking / 10.0),
     )
 
 
-def whole_load(loads: Mapping[str, float]) -> float | None:
-    """The load of all classes; None where none is told."""
+def total_load(loads: Mapping[str, float]) -> float | None:
+    """Returns the total load of all classes; None if no class is given."""
     return sum(loads.values()) if loads else None
 
 
-def solve(wanted: list[Wanted]) -> list[Planned]:
-    """Sizes of all groups, each final group together with those that overflow to it."""
-    done: dict[str, Planned] = {}
-    for final in wanted:
-        sources = [one for one in wanted if one.overflow == final.name]
+def solve(specs: list[GroupSpec]) -> list[SizedGroup]:
+    """Sizes all groups, each final group together with the groups that overflow to it."""
+    sized: dict[str, SizedGroup] = {}
+    for final in specs:
+        sources = [spec for spec in specs if spec.overflow == final.name]
         try:
             if sources:
-                _together(final, sources, done)
+                _size_with_overflow(final, sources, sized)
             elif final.overflow is None:
-                done[final.name] = _alone(final)
-        except LossError as fault:
-            raise PlanError(f"group {final.name}: {fault}") from fault
-    return [done[one.name] for one in wanted]
-
-
-def _alone(one: Wanted) -> Planned:
-    if one.load < LEAST_LOAD:
-        return _planned(one, "alone", 0, 0.0, 1.0, 0.0)
-    found = sizing.size(one.load, one.blocking, one.module, one.peakedness)
-    return _planned(
-        one, "alone", found.trunks, found.blocking, found.blocking_one_less, found.blocking_one_more
+                sized[final.name] = _size_alone(final)
+        except LossError as error:
+            raise PlanError(f"group {final.name}: {error}") from error
+    return [sized[spec.name] for spec in specs]
+
+
+def _size_alone(spec: GroupSpec) -> SizedGroup:
+    if spec.load < MIN_LOAD:
+        return _sized_group(spec, "alone", 0, 0.0, 1.0, 0.0)
+    size = sizing.size(spec.load, spec.blocking, spec.module, spec.peakedness)
+    return _sized_group(
+        spec, "alone", size.trunks, size.blocking, size.blocking_one_less, size.blocking_one_more
     )
 
 
-def _together(final: Wanted, sources: list[Wanted], done: dict[str, Planned]) -> None:
-    groups = [sizing.Group(one.name, one.load, one.cost, one.module) for one in sources]
-    last = sizing.Final(final.name, final.load, final.cost, final.module)
-    found = sizing.network(groups, last, final.blocking)
-    mean, variance = found.offered
-    for one in sources:
-        n = found.trunks[one.name]
-        around = [
-            sizing.losses.erlang_b(m, one.load) if m >= 0 else 1.0 for m in (n, n - 1, n + 1)
-        ]  # what overflows; what is lost is lost at the final group
-        done[one.name] = _planned(one, "high-usage", n, *around)
-    n = found.trunks[final.name]
-    if mean < LEAST_LOAD:
-        done[final.name] = _planned(final, "final", n, 0.0, 1.0, 0.0)
+def _size_with_overflow(final: GroupSpec, sources: list[GroupSpec], sized: dict[str, SizedGroup]) -> None:
+    groups = [sizing.Group(spec.name, spec.load, spec.cost, spec.module) for spec in sources]
+    final_group = sizing.Final(final.name, final.load, final.cost, final.module)
+    network = sizing.network(groups, final_group, final.blocking)
+    mean, variance = network.offered
+    for spec in sources:
+        trunks = network.trunks[spec.name]
+        blocking = [
+            sizing.losses.erlang_b(count, spec.load) if count >= 0 else 1.0
+            for count in (trunks, trunks - 1, trunks + 1)
+        ]  # the overflow probability; calls are lost at the final group only
+        sized[spec.name] = _sized_group(spec, "high-usage", trunks, *blocking)
+    trunks = network.trunks[final.name]
+    if mean < MIN_LOAD:
+        sized[final.name] = _sized_group(final, "final", trunks, 0.0, 1.0, 0.0)
         return
-    around = [
-        sizing.losses.peaked_blocking(m, mean, max(mean, variance)) if m >= 0 else 1.0
-        for m in (n, n - 1, n + 1)
+    blocking = [
+        sizing.losses.peaked_blocking(count, mean, max(mean, variance)) if count >= 0 else 1.0
+        for count in (trunks, trunks - 1, trunks + 1)
     ]
-    done[final.name] = _planned(final, "final", n, *around, load=mean)
-
-
-def _planned(
-    one: Wanted, role: str, trunks: int, lost: float, less: float, more: float, load: float | None = None
-) -> Planned:
+    sized[final.name] = _sized_group(final, "final", trunks, *blocking, load=mean)
+
+
+def _sized_group(
+    spec: GroupSpec,
+    role: str,
+    trunks: int,
+    blocking: float,
+    blocking_one_less: float,
+    blocking_one_more: float,
+    load: float | None = None,
+) -> SizedGroup:
     levels: tuple[sizing.Reserved, ...] = ()
-    if one.spared is not None and trunks:
-        whole = sum(one.classes.values())
-        grown = one.load / whole if whole else 1.0
-        spared = one.classes[one.spared] * grown
-        levels = tuple(sizing.levels(trunks, spared, one.load - spared, one.spared_blocking))
-    return Planned(
-        one.name,
+    if spec.spared is not None and trunks:
+        class_load = sum(spec.classes.values())
+        growth_factor = spec.load / class_load if class_load else 1.0
+        spared = spec.classes[spec.spared] * growth_factor
+        levels = tuple(sizing.levels(trunks, spared, spec.load - spared, spec.spared_blocking))
+    return SizedGroup(
+        spec.name,
         role,
-        one.load if load is None else load,
+        spec.load if load is None else load,
         trunks,
-        lost,
-        less,
-        more,
-        trunks * one.cost,
-        None if one.trunks is None else trunks - one.trunks,
+        blocking,
+        blocking_one_less,
+        blocking_one_more,
+        trunks * spec.cost,
+        None if spec.trunks is None else trunks - spec.trunks,
         levels,
     )
--- a/leadslip/trunks/report.py
+++ b/leadslip/trunks/report.py
@@ -1,4 +1,4 @@
-"""Reports from the store: the busy hour of each group, with what the measurement is worth, and its plot."""
+"""Traffic reports from the store: the busy hour of each group with confidence limits, and a plot of its load."""
 
 from __future__ import annotations
 
@@ -9,120 +9,133 @@
 from leadslip.trunks import busyhour, record, sizing
 from leadslip.trunks.busyhour import QUARTER_S, BusyHour
 from leadslip.trunks.losses import LossError
-from leadslip.trunks.traffic import Interval, rolled
+from leadslip.trunks.traffic import Interval, aggregate
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What is known of one group; figures of the busy hour are None where none was measured in full."""
+class GroupReport:
+    """The report of one group; busy-hour values are None if no hour was fully measured."""
 
     group: str
     busy_hour: str
-    starts_s: int | None  # seconds after midnight UTC, for tcbh
-    load: float | None  # erlangs offered for the first time in the busy hour
+    starts_s: int | None  # seconds after midnight UTC, for tcbh only
+    load: float | None  # erlangs of first attempts offered in the busy hour
     low: float | None
-    high: float | None  # sizing takes this one
+    high: float | None  # upper confidence limit, used for sizing
     normal: float | None
     high_days: float | None
     days: int
-    naive: float  # erlangs that a count of all attempts would give, over all that was measured
-    offered: float  # and what was offered for the first time
+    naive: float  # erlangs offered by all attempts, redials included, over the whole record
+    offered: float  # erlangs offered by first attempts, over the whole record
     carried: float
     blocking: float
     persistence: float
-    classes: dict[str, float]  # carried erlangs of each
+    classes: dict[str, float]  # class -> carried erlangs
     surges: tuple[tuple[int, float], ...]
     gaps: tuple[tuple[int, int], ...]
 
 
 class Quarters:
-    """The quarter hours of a store, by group."""
+    """The quarter-hour intervals of a store, by group."""
 
     def __init__(self, path: str) -> None:
         store = Store(path, read_only=True)
         try:
-            told = [one for one in record.intervals(store) if one.span_s <= QUARTER_S]
+            intervals = [interval for interval in record.intervals(store) if interval.span_s <= QUARTER_S]
         finally:
             store.close()
         self.damaged = store.damaged
         self.by_group: dict[str, list[Interval]] = {}
-        for one in rolled(told, QUARTER_S, classes=False):
-            self.by_group.setdefault(one.group, []).append(one)
+        for interval in aggregate(intervals, QUARTER_S, classes=False):
+            self.by_group.setdefault(interval.group, []).append(interval)
         self.by_class: dict[str, list[Interval]] = {}
-        for one in rolled(told, QUARTER_S):
-            self.by_class.setdefault(one.group, []).append(one)
+        for interval in aggregate(intervals, QUARTER_S):
+            self.by_class.setdefault(interval.group, []).append(interval)
 
     @property
     def groups(self) -> list[str]:
         return sorted(self.by_group)
 
-    def told(self, group: str, kind: str, confidence: float) -> Told:
-        """The report of one group."""
+    def told(self, group: str, kind: str, confidence: float) -> GroupReport:
+        """Returns the report of one group."""
         quarters = self.by_group.get(group)
         if quarters is None:
             raise LossError(f"group is not in the store: {group!r}")
-        whole = _sum(quarters)
-        found = busyhour.busy_hour(quarters, kind)
+        total = _total(quarters)
+        measured_hour = busyhour.busy_hour(quarters, kind)
         low = high = None
-        if found is not None:
-            low, high = self._bounds(quarters, found, confidence)
-        seconds = whole.covered_s or 1.0
+        if measured_hour is not None:
+            low, high = self._confidence_limits(quarters, measured_hour, confidence)
+        seconds = total.covered_s or 1.0
         classes: dict[str, float] = {}
-        for one in self.by_class[group]:
-            classes[one.call_class] = classes.get(one.call_class, 0.0) + one.erlang_s / seconds
-        gaps = found.gaps if found is not None else tuple(busyhour.days_of(quarters)[1])
-        return Told(
+        for interval in self.by_class[group]:
+            classes[interval.call_class] = classes.get(interval.call_class, 0.0) + interval.erlang_s / seconds
+        gaps = measured_hour.gaps if measured_hour is not None else tuple(busyhour.days_of(quarters)[1])
+        return GroupReport(
             group=group,
             busy_hour=kind,
-            starts_s=found and found.starts_s,
-            load=found and found.load,
+            starts_s=measured_hour and measured_hour.starts_s,
+            load=measured_hour and measured_hour.load,
             low=low,
             high=high,
-            normal=found and found.normal,
-            high_days=found and found.high,
-            days=found.days if found else 0,
-            naive=whole.naive,
-            offered=whole.offered,
-            carried=whole.erlangs,
-            blocking=whole.blocking,
-            persistence=whole.persistence,
+            normal=measured_hour and measured_hour.normal,
+            high_days=measured_hour and measured_hour.high,
+            days=measured_hour.days if measured_hour else 0,
+            naive=total.naive,
+            offered=total.offered,
+            carried=total.erlangs,
+            blocking=total.blocking,
+            persistence=total.persistence,
             classes=classes,
-            surges=found.surges if found else (),
+            surges=measured_hour.surges if measured_hour else (),
             gaps=gaps,
         )
 
-    def _bounds(
-        self, quarters: Sequence[Interval], found: BusyHour, confidence: float
+    def _confidence_limits(
+        self, quarters: Sequence[Interval], measured_hour: BusyHour, confidence: float
     ) -> tuple[float, float]:
-        """The limits of the busy hour's load, by the first tries that it was measured from."""
-        apart = {start for start, _ in found.surges}
-        counted = [one for one in quarters if one.start_s // busyhour.DAY_S * busyhour.DAY_S not in apart]
-        if found.starts_s is not None:
-            hour = range(found.starts_s, found.starts_s + 3600)
-            counted = [one for one in counted if one.start_s % busyhour.DAY_S in hour]
-            calls = sum(one.first_tries for one in counted)
+        """Returns the confidence limits of the busy-hour load, from the number of first attempts measured."""
+        surge_starts = {start for start, _ in measured_hour.surges}
+        counted_quarters = [
+            quarter
+            for quarter in quarters
+            if quarter.start_s // busyhour.DAY_S * busyhour.DAY_S not in surge_starts
+        ]
+        if measured_hour.starts_s is not None:
+            busy_seconds = range(measured_hour.starts_s, measured_hour.starts_s + 3600)
+            counted_quarters = [
+                quarter for quarter in counted_quarters if quarter.start_s % busyhour.DAY_S in busy_seconds
+            ]
+            calls = sum(quarter.first_tries for quarter in counted_quarters)
         else:
-            # One hour of each day was taken: the mean of the day's hours tells fewer calls, and is on the safe side.
-            calls = sum(one.first_tries for one in counted) * 4.0 * found.days / max(1, len(counted))
-        return sizing.measured_bounds(found.load, calls, _sum(counted).hold_variation, confidence)
+            # ADPH takes one hour of each day: the mean over all hours gives fewer calls, which errs on the safe side.
+            calls = (
+                sum(quarter.first_tries for quarter in counted_quarters)
+                * 4.0
+                * measured_hour.days
+                / max(1, len(counted_quarters))
+            )
+        return sizing.measured_bounds(
+            measured_hour.load, calls, _total(counted_quarters).hold_variation, confidence
+        )
 
     def upper_load(self, group: str, kind: str, confidence: float) -> float:
-        """The load to size a group for; nought where nothing is known of it."""
+        """Returns the load to size a group for, its upper confidence limit; 0 if the group has no record."""
         if group not in self.by_group:
             return 0.0
         return self.told(group, kind, confidence).high or 0.0
 
 
-def _sum(quarters: Sequence[Interval]) -> Interval:
-    whole = Interval(0, 0, "", "")
-    for one in quarters:
-        whole.add(one)
-        whole.covered_s += one.covered_s
-    return whole
+def _total(quarters: Sequence[Interval]) -> Interval:
+    total = Interval(0, 0, "", "")
+    for quarter in quarters:
+        total.add(quarter)
+        total.covered_s += quarter.covered_s
+    return total
 
 
 def draw(quarters: Quarters, groups: Sequence[str], path: str) -> None:
-    """Each group's offered and carried load over time, and where nothing was measured; into an SVG or PNG file."""
+    """Plots each group's offered and carried load over time, with the gaps shaded, into an SVG or PNG file."""
     import matplotlib
 
     matplotlib.use("svg" if path.endswith(".svg") else "agg")
@@ -134,14 +147,27 @@
         len(groups) or 1, 1, figsize=(10, 2.6 * max(1, len(groups))), squeeze=False, sharex=True
     )
     for axis, group in zip(axes[:, 0], groups, strict=False):
-        told = quarters.by_group[group]
-        when = [datetime.datetime.fromtimestamp(one.start_s, datetime.UTC) for one in told]
-        axis.step(when, [one.offered for one in told], where="post", label="offered, first tries")
-        axis.step(when, [one.erlangs for one in told], where="post", label="carried")
-        axis.step(when, [one.naive for one in told], where="post", label="by attempts", linewidth=0.7)
-        for start_s, seconds in busyhour.days_of(told)[1]:
-            begun = datetime.datetime.fromtimestamp(start_s, datetime.UTC)
-            axis.axvspan(begun, begun + datetime.timedelta(seconds=seconds), alpha=0.2, color="grey")
+        group_quarters = quarters.by_group[group]
+        starts = [
+            datetime.datetime.fromtimestamp(quarter.start_s, datetime.UTC) for quarter in group_quarters
+        ]
+        axis.step(
+            starts,
+            [quarter.offered for quarter in group_quarters],
+            where="post",
+            label="offered, first tries",
+        )
+        axis.step(starts, [quarter.erlangs for quarter in group_quarters], where="post", label="carried")
+        axis.step(
+            starts,
+            [quarter.naive for quarter in group_quarters],
+            where="post",
+            label="by attempts",
+            linewidth=0.7,
+        )
+        for start_s, seconds in busyhour.days_of(group_quarters)[1]:
+            gap_start = datetime.datetime.fromtimestamp(start_s, datetime.UTC)
+            axis.axvspan(gap_start, gap_start + datetime.timedelta(seconds=seconds), alpha=0.2, color="grey")
         axis.set_title(group)
         axis.set_ylabel("erlangs")
         axis.set_ylim(bottom=0)
--- a/leadslip/trunks/reservation.py
+++ b/leadslip/trunks/reservation.py
@@ -1,9 +1,8 @@
-"""The live limit: some trunks of a group are kept for the classes that are worth most.
+"""Trunk reservation for live calls: keeps some trunks of a group free for the classes of greatest worth.
 
-A filter ahead of the Controller. It counts the calls of each group that this proxy has out or standing, and
-refuses a class at once where no more than its reserve is free, with the time after which a trunk is likely free.
-Proxies that share a group without a word between them are each given their part of its trunks. Off unless
-configured.
+A filter ahead of the Controller. It counts this proxy's set-ups in progress and established calls in each group,
+and refuses a class when no more trunks than its reserve would stay free, with a retry time after which one is likely
+to be free. Proxies that share a group do not coordinate: each is configured with its part of them. Off by default.
 """
 
 from __future__ import annotations
@@ -19,105 +18,108 @@
     from leadslip.core import Request
     from leadslip.parts.trunks.settings import TrunkGroup
 
-HOLD_WEIGHT = 0.05  # of the latest call in the smoothed holding time
-MOST_HOLD_MS = 3_600_000.0  # a call longer than this tells nothing of when trunks come free
+HOLD_WEIGHT = 0.05  # weight of the latest call in the smoothed holding time
+MAX_HOLD_MS = 3_600_000.0  # longer calls are ignored: they do not help predict when trunks become free
 
 
-class _Group:
-    """What is taken of one group."""
+class _GroupState:
+    """The trunks of one group that are in use."""
 
-    __slots__ = ("limit", "busy", "taken", "hold_ms")
+    __slots__ = ("config", "busy", "in_use", "hold_ms")
 
-    def __init__(self, limit: TrunkGroup) -> None:
-        self.limit = limit
+    def __init__(self, config: TrunkGroup) -> None:
+        self.config = config
         self.busy = 0.0
-        self.taken: dict[
-            int, tuple[float, float]
-        ] = {}  # request by identity -> circuits, since when it stands
-        self.hold_ms = 0.0  # smoothed holding time; nought while none has been seen
+        # id(request) -> trunks held, time of establishment in ms (0 before that)
+        self.in_use: dict[int, tuple[float, float]] = {}
+        self.hold_ms = 0.0  # smoothed holding time; 0 until a call has ended
 
     def pause_ms(self) -> float:
-        """When a circuit is likely to come free: the holding time over the calls that hold one."""
-        return self.hold_ms / max(1, len(self.taken))
+        """Returns the expected time until a trunk becomes free: the holding time divided by the calls in progress."""
+        return self.hold_ms / max(1, len(self.in_use))
 
 
 class Reservation:
-    """The filter. Requests to destinations that no group names pass."""
+    """The filter. Requests to destinations outside every group are admitted."""
 
     name = "reservation"
 
-    def __init__(self, limits: tuple[TrunkGroup, ...], before: Reservation | None = None) -> None:
-        self.limits = limits
-        self.groups: dict[str, _Group] = {limit.name: _Group(limit) for limit in limits}
+    def __init__(self, configs: tuple[TrunkGroup, ...], previous: Reservation | None = None) -> None:
+        self.configs = configs
+        self.groups: dict[str, _GroupState] = {config.name: _GroupState(config) for config in configs}
         self.by_destination = {
-            destination: self.groups[limit.name] for limit in limits for destination in limit.destinations
+            destination: self.groups[config.name] for config in configs for destination in config.destinations
         }
-        if before is not None:
-            # Guards against a reload that forgets what stands: a group that goes on keeps its calls. Their ends
-            # are told to the filter that passed them, which shares the counters.
-            for name, held in before.groups.items():
+        if previous is not None:
+            # Prevents a reload from losing track of established calls: a group that remains configured keeps its
+            # state. The ends of its calls are reported to the filter that admitted them, which shares this state.
+            for name, group in previous.groups.items():
                 if name in self.groups:
-                    held.limit = self.groups[name].limit
-                    self.groups[name] = held
+                    group.config = self.groups[name].config
+                    self.groups[name] = group
             self.by_destination = {
-                destination: self.groups[limit.name] for limit in limits for destination in limit.destinations
+                destination: self.groups[config.name]
+                for config in configs
+                for destination in config.destinations
             }
 
     def keep(self, lines: Mapping[str, float], classes: Sequence[str]) -> None:
-        """Keep so many circuits of groups free for the first class, where that is more than their own file keeps."""
-        for limit in self.limits:
-            kept = (
-                {name: max(limit.reserve.get(name, 0.0), lines[limit.name]) for name in classes[1:]}
-                if (limit.name in lines)
+        """Reserves these trunks of each group for the first class, where that exceeds the reserve in its settings."""
+        for config in self.configs:
+            raised_reserve = (
+                {name: max(config.reserve.get(name, 0.0), lines[config.name]) for name in classes[1:]}
+                if (config.name in lines)
                 else {}
             )
-            self.groups[limit.name].limit = replace(limit, reserve={**limit.reserve, **kept})
+            self.groups[config.name].config = replace(config, reserve={**config.reserve, **raised_reserve})
 
     def free(self, group: str) -> float:
-        """The circuits of a group that nothing holds; below nought after its size was cut."""
-        held = self.groups[group]
-        return held.limit.trunks - held.busy
+        """Returns the free trunks of a group; negative after the group was made smaller than its calls in progress."""
+        state = self.groups[group]
+        return state.config.trunks - state.busy
 
     def admit(self, request: Request, now_ms: float) -> Refused | None:
-        """Take the circuits that a request asks for, unless they are kept for others."""
+        """Takes the trunks that a request needs, unless they are reserved for other classes."""
         group = self.by_destination.get(request.destination)
         if group is None:
             return None
-        left = group.limit.trunks - group.busy - request.lines
-        if left < group.limit.reserve.get(request.call_class, 0.0):
+        free_after = group.config.trunks - group.busy - request.lines
+        if free_after < group.config.reserve.get(request.call_class, 0.0):
             return Refused(group.pause_ms())
         group.busy += request.lines
-        group.taken[id(request)] = (request.lines, 0.0)
+        group.in_use[id(request)] = (request.lines, 0.0)
         return None
 
     def stood(self, request: Request, now_ms: float) -> None:
-        """A standing call holds what it was given on being sent; how long, tells when trunks come free."""
+        """Notes when a call was established: its holding time predicts when trunks become free."""
         group = self._group(request)
         if group is not None:
-            group.taken[id(request)] = (group.taken[id(request)][0], now_ms)
+            group.in_use[id(request)] = (group.in_use[id(request)][0], now_ms)
 
-    def _group(self, request: Request) -> _Group | None:
-        """The group whose circuits a request holds; none where it passed before there was one."""
+    def _group(self, request: Request) -> _GroupState | None:
+        """Returns the group whose trunks a request holds; None if it was admitted before the group existed."""
         group = self.by_destination.get(request.destination)
-        if group is not None and id(request) in group.taken:
+        if group is not None and id(request) in group.in_use:
             return group
-        return next((held for held in self.groups.values() if id(request) in held.taken), None)
+        return next((state for state in self.groups.values() if id(request) in state.in_use), None)
 
     def ended(self, request: Request, now_ms: float) -> None:
-        """Its circuits are free again."""
+        """Frees the trunks of a request."""
         group = self._group(request)
         if group is None:
             return
-        lines, since_ms = group.taken.pop(id(request))
-        # Nought when idle: fractions of circuits must not add up to an error over the days.
-        group.busy = group.busy - lines if group.taken else 0.0
-        held_ms = now_ms - since_ms
-        if since_ms and 0.0 < held_ms < MOST_HOLD_MS:
+        lines, established_ms = group.in_use.pop(id(request))
+        # Exactly 0 when idle, so that rounding errors of fractional trunks do not accumulate.
+        group.busy = group.busy - lines if group.in_use else 0.0
+        call_ms = now_ms - established_ms
+        if established_ms and 0.0 < call_ms < MAX_HOLD_MS:
             weight = HOLD_WEIGHT if group.hold_ms else 1.0
-            group.hold_ms += weight * (held_ms - group.hold_ms)
+            group.hold_ms += weight * (call_ms - group.hold_ms)
 
 
-def advised(limit: TrunkGroup, loads: Mapping[str, float], spared: str, goal: float) -> list[sizing.Reserved]:
-    """The levels for a group at which a class loses no more than the goal, and what each costs the others."""
+def recommended_levels(
+    config: TrunkGroup, loads: Mapping[str, float], spared: str, goal: float
+) -> list[sizing.Reserved]:
+    """Returns the reservation levels up to the first at which a class meets its blocking goal, with others' losses."""
     others = sum(load for name, load in loads.items() if name != spared)
-    return sizing.levels(int(limit.trunks), loads.get(spared, 0.0), others, goal)
+    return sizing.levels(int(config.trunks), loads.get(spared, 0.0), others, goal)
--- a/tests/standin_trunks.py
+++ b/tests/standin_trunks.py
@@ -1,9 +1,9 @@
-"""A stand-in trunk server in virtual time, and callers who redial: offered to the real engine, far from any wire.
+"""Stand-in trunk server in virtual time, and callers who redial, for the real engine without a network.
 
-The server has N circuits, holds each call for an exponential time, refuses what finds none free, and reports its
-circuits in every answer, as the protocol has it. Callers come as a Poisson stream; one whose call is refused
-dials again with a set chance, up to a set number of times, after an exponential wait. They are of the class worth
-most: for lesser ones the Controller keeps lines free and bounds what goes to a second choice, as is its office.
+The server has N trunks, holds each call for an exponential time, refuses calls that find no trunk free, and reports
+its free trunks in every answer, as in the protocol. Callers arrive as a Poisson stream; a refused caller redials with
+a given probability, up to a given number of times, after an exponential wait. Calls are of the class of greatest
+worth: for lesser classes the Controller keeps lines free and limits what goes to a second choice.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 START_S = 1_000_000.0
 
 
-class Wake:
-    """A call to come, as a reactor gives it."""
+class DelayedCall:
+    """A scheduled call, as returned by a reactor's callLater."""
 
     def __init__(self, world: VirtualTime, due_s: float, work: Callable) -> None:
         self.world, self.due_s, self.work = world, due_s, work
@@ -40,7 +40,7 @@
 
 
 class VirtualTime:
-    """A clock and a scheduler that run through events as fast as they can."""
+    """A clock and scheduler that run events without waiting."""
 
     def __init__(self) -> None:
         self.now_s, self.heap, self.count = START_S, [], 0
@@ -48,29 +48,29 @@
     def now_ms(self) -> float:
         return self.now_s * 1000.0
 
-    def push(self, wake: Wake) -> None:
+    def push(self, delayed_call: DelayedCall) -> None:
         self.count += 1
-        heapq.heappush(self.heap, (wake.due_s, self.count, wake))
+        heapq.heappush(self.heap, (delayed_call.due_s, self.count, delayed_call))
 
-    def callLater(self, seconds: float, work: Callable) -> Wake:  # noqa: N802
-        wake = Wake(self, self.now_s + seconds, work)
-        self.push(wake)
-        return wake
+    def callLater(self, seconds: float, work: Callable) -> DelayedCall:  # noqa: N802
+        delayed_call = DelayedCall(self, self.now_s + seconds, work)
+        self.push(delayed_call)
+        return delayed_call
 
     def run(self, until_s: float) -> None:
         while self.heap and self.heap[0][0] <= until_s:
-            due_s, _, wake = heapq.heappop(self.heap)
-            if wake.work is not None and wake.due_s == due_s:
-                self.now_s, work, wake.work = due_s, wake.work, None
+            due_s, _, delayed_call = heapq.heappop(self.heap)
+            if delayed_call.work is not None and delayed_call.due_s == due_s:
+                self.now_s, work, delayed_call.work = due_s, delayed_call.work, None
                 work()
         self.now_s = until_s
 
 
 class Trunks:
-    """The far side: groups of circuits, tried as the engine sends."""
+    """The upstream side: groups of trunks that answer the engine's set-ups."""
 
     def __init__(self, world: VirtualTime, sizes: dict[str, int], hold_s: float, seed: int) -> None:
-        self.world, self.sizes, self.hold_s, self.draw = world, sizes, hold_s, Random(seed)
+        self.world, self.sizes, self.hold_s, self.rng = world, sizes, hold_s, Random(seed)
         self.busy = dict.fromkeys(sizes, 0)
         self.offered = dict.fromkeys(sizes, 0)
         self.lost = dict.fromkeys(sizes, 0)
@@ -94,42 +94,50 @@
             return
         self.busy[server] += 1
         self.engine.stood(attempt, b"")
-        self.world.callLater(self.draw.expovariate(1.0 / self.hold_s), lambda: self._end(attempt))
+        self.world.callLater(self.rng.expovariate(1.0 / self.hold_s), lambda: self._end(attempt))
 
     def _end(self, attempt: core.Attempt) -> None:
         self.busy[attempt.server] -= 1
         self.engine.ended(attempt, face.Outcome.SERVED, load=self.load(attempt.server))
 
     def give_up(self, attempt: core.Attempt) -> None:
-        """Nobody gives up here: answers come at once."""
+        """Never needed: every set-up is answered before its time-out."""
 
     release = give_up
 
 
 class Callers:
-    """The front: a Poisson stream of first tries, and redials of what was refused."""
+    """The downstream side: a Poisson stream of first attempts, and redials of refused calls."""
 
     def __init__(
-        self, world: VirtualTime, engine: core.Engine, rate: float, seed: int, kind: str = URGENT
+        self, world: VirtualTime, engine: core.Engine, rate: float, seed: int, call_class: str = URGENT
     ) -> None:
-        self.world, self.engine, self.rate, self.draw, self.kind = world, engine, rate, Random(seed), kind
-        self.persistence, self.most_redials, self.redial_s, self.marks = 0.0, 0, 5.0, False
-        self.patience_ms = 3000.0
-        self.first = self.redials = self.placed = 0
-        self.log: list[bool] = []  # of each attempt, whether it was lost
+        self.world, self.engine, self.rate, self.rng, self.call_class = (
+            world,
+            engine,
+            rate,
+            Random(seed),
+            call_class,
+        )
+        self.persistence, self.max_redials, self.redial_s, self.marks = 0.0, 0, 5.0, False
+        self.timeout_ms = 3000.0
+        self.first = self.redials = self.attempts = 0
+        self.log: list[bool] = []  # for each attempt, whether it was lost
         self.numbers = 10_000_000
 
     def start(self) -> None:
-        self.world.callLater(self.draw.expovariate(self.rate), self._come)
+        self.world.callLater(self.rng.expovariate(self.rate), self._arrive)
 
-    def _come(self) -> None:
+    def _arrive(self) -> None:
         self.first += 1
-        self._dial(str(self.draw.randrange(self.numbers)), 0)
+        self._dial(str(self.rng.randrange(self.numbers)), 0)
         self.start()
 
     def _dial(self, number: str, tries: int) -> None:
-        self.placed += 1
-        request = core.Request(f"{self.placed:016x}", self.kind, self.world.now_ms() + self.patience_ms, self)
+        self.attempts += 1
+        request = core.Request(
+            f"{self.attempts:016x}", self.call_class, self.world.now_ms() + self.timeout_ms, self
+        )
         request.destination, request.number = 0, number
         request.redialled = self.marks and tries > 0
         request.context = tries
@@ -140,9 +148,9 @@
 
     def lost(self, request: core.Request) -> None:
         self.log.append(True)
-        if request.context < self.most_redials and self.draw.random() < self.persistence:
+        if request.context < self.max_redials and self.rng.random() < self.persistence:
             self.redials += 1
-            wait_s = self.draw.expovariate(1.0 / self.redial_s)
+            wait_s = self.rng.expovariate(1.0 / self.redial_s)
             self.world.callLater(wait_s, lambda: self._dial(request.number, request.context + 1))
 
     def refused(self, request: core.Request, pause_ms: float) -> None:
@@ -152,47 +160,47 @@
         self.lost(request)
 
     def over(self, request: core.Request, cut: bool) -> None:
-        """Its caller has spoken."""
+        """Does nothing: the caller needs no notice of the end."""
 
     def catch_up(self, request: core.Request) -> None:
-        """It says nothing more."""
+        """Does nothing: the caller sends no further messages."""
 
 
 def site(
-    sizes: list[int], hold_s: float, seed: int, watcher: core.Watcher | None = None
+    sizes: list[int], hold_s: float, seed: int, observer: core.Watcher | None = None
 ) -> tuple[VirtualTime, core.Engine, Trunks]:
-    """An engine before groups of circuits, of which the first is every call's first choice."""
+    """Returns an engine with one server per trunk group; the first server is every call's first choice."""
     world = VirtualTime()
     trunks = Trunks(world, {f"s{i}": size for i, size in enumerate(sizes)}, hold_s, seed)
     deadlines = core.Deadlines(world, world)
     conf = settings(gateways=1, warm_after_ms=0.0)
-    engine = core.Engine(conf, seed, world, deadlines, trunks, Tally(), logs.silent, watcher=watcher)
+    engine = core.Engine(conf, seed, world, deadlines, trunks, Tally(), logs.silent, watcher=observer)
     trunks.engine = engine
-    listed = tuple(entry(name, i) for i, name in enumerate(trunks.sizes))
-    engine.news(face.ListNews(face.NewsKind.WHOLE, listed))
+    entries = tuple(entry(name, i) for i, name in enumerate(trunks.sizes))
+    engine.news(face.ListNews(face.NewsKind.WHOLE, entries))
     for name in trunks.sizes:
         engine.looked(name, trunks.load(name))
     return world, engine, trunks
 
 
 class TrunkServer(SetupServer):
-    """The same over sockets: N circuits, each call standing until it is told to end."""
+    """A trunk server over sockets: N trunks, each call established until the test releases it."""
 
-    def __init__(self, circuits: int) -> None:
-        self.circuits, self.standing = circuits, set()
+    def __init__(self, trunks: int) -> None:
+        self.trunks, self.established = trunks, set()
         super().__init__()
 
     def report(self) -> bytes:
-        return b"x0:%d;x1:%d" % (self.circuits - len(self.standing), self.circuits)
+        return b"x0:%d;x1:%d" % (self.trunks - len(self.established), self.trunks)
 
-    def answer(self, link: socket.socket, call: bytes, told: dict[int, bytes]) -> None:
-        if len(self.standing) >= self.circuits:
+    def answer(self, link: socket.socket, call: bytes, fields: dict[int, bytes]) -> None:
+        if len(self.established) >= self.trunks:
             link.sendall(binary(12, call, (61, b"\x22"), (47, b"no_circuit"), (51, self.report())))
             return
-        self.standing.add(call)
+        self.established.add(call)
         link.sendall(binary(9, call, (63, b"sdp"), (51, self.report())))
 
-    def release(self, id_: str) -> None:
-        call = bytes.fromhex(id_)
-        self.standing.remove(call)
+    def release(self, call_id: str) -> None:
+        call = bytes.fromhex(call_id)
+        self.established.remove(call)
         self.links[-1].sendall(binary(12, call, (61, b"\x10"), (51, self.report())))
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""The loss formulas: against tables, against exact fractions, at the bounds, and their inverses."""
+"""Loss formulas: against printed tables, against exact fractions, at the bounds, and their inverses."""
 
 import math
 from fractions import Fraction
@@ -9,8 +9,8 @@
 from leadslip.trunks.losses import LossError
 
 # Loads in erlangs as the common Erlang B tables print them (for instance in the ITU-D Teletraffic Engineering
-# Handbook and in vendors' tables), to four decimals; {loss: {trunks: load}}. They were typed in without the
-# books at hand: the exact fractions below are the stronger proof.
+# Handbook and in vendors' tables), to four decimals; {loss: {trunks: load}}. They were entered without the
+# books at hand, so the exact fractions below are the stronger check.
 ERLANG_B = {
     0.001: dict(
         zip(
@@ -38,7 +38,7 @@
         )
     ),
 }
-# The same tables for large groups: the load, and the decimals that are known of it.
+# The same tables for large groups: the load, and the number of its known decimals.
 LARGE_B = {
     (0.001, 50): (32.512, 3),
     (0.001, 100): (75.242, 3),
@@ -49,7 +49,7 @@
     (0.02, 50): (40.255, 3),
     (0.02, 100): (87.972, 3),
 }
-# The chance of a wait, as tables of M/M/c print it: (trunks, load) -> chance.
+# The probability of waiting, as printed in tables of M/M/c: (trunks, load) -> probability.
 ERLANG_C = {
     (1, 0.5): 0.5000,
     (2, 1.0): 0.3333,
@@ -65,11 +65,11 @@
 
 
 def exact_b(trunks, load):
-    term = whole = Fraction(1)
+    term = total = Fraction(1)
     for k in range(1, trunks + 1):
         term = term * load / k
-        whole += term
-    return term / whole
+        total += term
+    return term / total
 
 
 @pytest.mark.parametrize(("lost", "n"), [(lost, n) for lost, rows in ERLANG_B.items() for n in rows])
@@ -91,38 +91,40 @@
 @pytest.mark.parametrize(
     "load", ["1/1000000", "1/10", "1", "21/2", "50", "199/2", "150", "200", "250", "400"]
 )
-def test_erlang_b_and_c_are_the_direct_sums_in_exact_fractions(load):
+def test_erlang_b_and_c_match_direct_sums_in_exact_fractions(load):
     load = Fraction(load)
     for n in [*range(40), 50, 75, 100, 125, 150, 175, 199, 200]:
-        lost = exact_b(n, load)
-        assert losses.erlang_b(n, float(load)) == pytest.approx(float(lost), rel=1e-11, abs=1e-290)
+        blocking = exact_b(n, load)
+        assert losses.erlang_b(n, float(load)) == pytest.approx(float(blocking), rel=1e-11, abs=1e-290)
         assert losses.erlang_b_by_recursion(n, float(load)) == pytest.approx(
-            float(lost), rel=1e-11, abs=1e-290
+            float(blocking), rel=1e-11, abs=1e-290
         )
         if load < n:
-            waits = n * lost / (n - load * (1 - lost))
-            assert losses.erlang_c(n, float(load)) == pytest.approx(float(waits), rel=1e-10, abs=1e-290)
+            wait_probability = n * blocking / (n - load * (1 - blocking))
+            assert losses.erlang_c(n, float(load)) == pytest.approx(
+                float(wait_probability), rel=1e-10, abs=1e-290
+            )
 
 
-def test_engset_is_the_direct_sum_in_exact_fractions():
+def test_engset_matches_direct_sums_in_exact_fractions():
     for sources, n, load in ((3, 2, "1"), (10, 4, "5/2"), (40, 12, "8"), (200, 30, "20")):
         load = Fraction(load)
         idle = load / (sources - load)
         terms = [math.comb(sources, k) * idle**k for k in range(n + 1)]
-        assert losses.engset_time(n, sources, float(load)) == pytest.approx(
+        assert losses.engset_time_congestion(n, sources, float(load)) == pytest.approx(
             float(terms[-1] / sum(terms)), rel=1e-11
         )
         terms = [math.comb(sources - 1, k) * idle**k for k in range(n + 1)]
         assert losses.engset(n, sources, float(load)) == pytest.approx(
             float(terms[-1] / sum(terms)), rel=1e-11
         )
-    assert losses.engset(10, 10, 5.0) == 0.0, "each source has a trunk"
+    assert losses.engset(10, 10, 5.0) == 0.0, "no call is lost when each source has a trunk"
     assert losses.engset(20, 100_000, 15.0) == pytest.approx(losses.erlang_b(20, 15.0), rel=1e-3)
 
 
 @pytest.mark.parametrize("n", [0, 1, 2, 999.5, 10_000, 99_999.5, 100_000])
 @pytest.mark.parametrize("load", [1e-6, 0.5, 1.0, 1000.0, 9_999.0, 1e5])
-def test_from_the_least_to_the_most_nothing_overflows(n, load):
+def test_formulas_stay_finite_from_the_minimum_to_the_maximum(n, load):
     lost = losses.erlang_b(n, load)
     assert 0.0 <= lost <= 1.0 and (lost < 1.0 or n == 0)
     assert losses.erlang_b(n + 1 if n < 99_999 else n, load) <= lost
@@ -134,13 +136,15 @@
     assert math.isfinite(mean) and math.isfinite(variance) and variance >= mean * (1.0 - 1e-6)
 
 
-def test_the_continuous_extension_keeps_the_recursion_between_whole_numbers():
+def test_the_continuous_extension_satisfies_the_recursion_between_integers():
     for x, load in ((0.25, 0.7), (3.5, 2.0), (17.75, 21.0), (200.5, 190.0)):
-        lost = losses.erlang_b(x, load)
-        assert losses.erlang_b(x + 1, load) == pytest.approx(load * lost / (x + 1 + load * lost), rel=1e-12)
+        blocking = losses.erlang_b(x, load)
+        assert losses.erlang_b(x + 1, load) == pytest.approx(
+            load * blocking / (x + 1 + load * blocking), rel=1e-12
+        )
 
 
-def test_inverses_lead_back():
+def test_inverses_agree_with_the_formulas():
     for load in (0.01, 1.0, 24.0, 900.0, 90_000.0):
         for lost in (0.3, 0.01, 1e-5):
             n = losses.trunks_for(load, lost)
@@ -160,24 +164,24 @@
     assert losses.engset(n, 60, losses.load_for_sources(n, 60, 0.01)) == pytest.approx(0.01, rel=1e-9)
 
 
-def test_waits_are_those_of_the_exponential_queue():
-    # One trunk at load a: the chance to wait is a, the mean wait a h / (1 - a).
+def test_waits_match_the_m_m_c_queue():
+    # One trunk at load a: the probability of waiting is a, the mean wait a h / (1 - a).
     assert losses.erlang_c(1, 0.8) == pytest.approx(0.8)
     assert losses.mean_wait_s(1, 0.8, 10.0) == pytest.approx(40.0)
     assert losses.wait_over(1, 0.8, 10.0, 50.0) == pytest.approx(0.8 * math.exp(-1.0))
 
 
-def test_the_equivalent_group_of_an_overflow_is_the_group_it_came_from():
+def test_equivalent_random_theory_recovers_the_group_of_an_overflow():
     for n, load in ((1, 0.4), (10, 8.0), (37.5, 50.0), (400, 380.0)):
-        found_load, found_n = losses.equivalent(*losses.overflow(n, load))
+        found_load, found_n = losses.equivalent_random(*losses.overflow(n, load))
         assert found_load == pytest.approx(load, rel=1e-5) and found_n == pytest.approx(n, rel=1e-4)
         mean, variance = losses.overflow(n, load)
-        both = losses.erlang_b(n + 7, load) / losses.erlang_b(n, load)
-        assert losses.peaked_blocking(7, mean, variance) == pytest.approx(both, rel=1e-3)
+        expected = losses.erlang_b(n + 7, load) / losses.erlang_b(n, load)
+        assert losses.peaked_blocking(7, mean, variance) == pytest.approx(expected, rel=1e-3)
         enough = losses.trunks_for_overflow(mean, variance, 0.01)
         assert losses.peaked_blocking(enough, mean, variance) <= 0.01
-    assert losses.equivalent(5.0, 5.0) == (5.0, 0.0)
-    # Hayward's way is close for loads of ten erlangs and more, and not much below.
+    assert losses.equivalent_random(5.0, 5.0) == (5.0, 0.0)
+    # Hayward's approximation is close for loads of ten erlangs and more, but not far below that.
     mean, variance = losses.overflow(40, 50.0)
     for n in (10, 15, 20, 25):
         exact = losses.erlang_b(40 + n, 50.0) * 50.0 / mean
@@ -195,17 +199,17 @@
         (lambda: losses.erlang_b(1, "2"), "erlangs"),
         (lambda: losses.erlang_b(True, 1.0), "trunks"),
         (lambda: losses.erlang_c(2, 2.0), "erlangs must be below trunks"),
-        (lambda: losses.erlang_c(2.5, 2.0), "trunks must be whole"),
+        (lambda: losses.erlang_c(2.5, 2.0), "trunks must be an integer"),
         (lambda: losses.engset(2, 3, 3.0), "erlangs must be below sources"),
         (lambda: losses.trunks_for(1.0, 0.0), "blocking"),
         (lambda: losses.trunks_for(1e5, 1e-9), "blocking is not reached with 100000 trunks"),
         (lambda: losses.load_for(0, 0.1), "trunks must be above 0"),
         (lambda: losses.load_for(1, 1e-9), "blocking of 1e-09 is met by no load"),
-        (lambda: losses.equivalent(5.0, 4.0), "variance"),
+        (lambda: losses.equivalent_random(5.0, 4.0), "variance"),
         (lambda: losses.hayward_blocking(5, 4.0, 0.0), "peakedness"),
         (lambda: losses.wait_over(5, 4.0, 0.0, 1.0), "hold_s"),
     ],
 )
-def test_what_the_formulas_are_not_for_is_refused_by_name(ask, named):
+def test_an_argument_out_of_bounds_raises_an_error_that_names_it(ask, named):
     with pytest.raises(LossError, match=named):
         ask()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: what it keeps through kills, damage, full and read-only disks, and new versions."""
+"""The store: durability across kills, damage, full and read-only disks, and schema versions."""
 
 import os
 import signal
@@ -13,7 +13,7 @@
 from leadslip.logs import silent
 from leadslip.store import base
 from leadslip.store.base import Item, Point, Store, StoreError
-from leadslip.store.writer import MOST_WAITING, Batch, Writer
+from leadslip.store.writer import MAX_PENDING_RECORDS, Batch, Writer
 from leadslip.trunks import record
 from leadslip.trunks.traffic import Interval
 from tests.standins import PATIENCE_S, ROOT, Caller, Program, SetupServer, wait_for
@@ -30,7 +30,7 @@
     return str(tmp_path / "leadslip.db")
 
 
-def test_what_is_written_is_read_again_in_order(path):
+def test_written_records_are_read_back_in_order(path):
     store = Store(path)
     store.write([point(2), point(1, value=b"old")], [Item("gaps", "b", b"2", 50.0), Item("gaps", "a", b"1")])
     store.write([point(1, value=b"new")], [], [("gaps", "absent")])
@@ -42,13 +42,13 @@
     assert [i.key for i in store.items("gaps", 50.0)] == ["a"]
     store.close()
     store = Store(path)
-    assert store.forget_expired(60.0) == 1 and store.forget_before("t", 60, 120) == 1
-    store.write(gone=[("gaps", "a")])
+    assert store.forget_expired(60.0) == 1 and store.delete_before("t", 60, 120) == 1
+    store.write(deleted=[("gaps", "a")])
     assert not list(store.items("gaps", 0.0)) and len(list(store.points("t"))) == 1
     store.close()
 
 
-def test_a_damaged_record_is_named_and_the_rest_holds(path):
+def test_a_damaged_record_is_named_and_the_others_are_read(path):
     store = Store(path)
     store.write([point(i) for i in range(3)], [Item("gaps", "x", b"1"), Item("gaps", "y", b"2")])
     store.connection.execute("UPDATE series SET value = x'00' WHERE start_s = 60")
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("damage", ["noise", "pages"])
-def test_a_damaged_file_is_set_aside_by_name_and_a_new_one_begun(path, damage):
+def test_a_damaged_file_is_renamed_and_a_new_one_created(path, damage):
     store = Store(path)
     store.write([point(i, value=bytes(3000)) for i in range(200)])
     store.close()
@@ -69,18 +69,18 @@
             file.write(b"noise" * 50)
         else:
             for page in range(2, 40):
-                file.seek(page * base.PAGE)
-                file.write(b"\xff" * base.PAGE)
-    with pytest.raises(StoreError) if damage == "noise" else _fine():
+                file.seek(page * base.PAGE_BYTES)
+                file.write(b"\xff" * base.PAGE_BYTES)
+    with pytest.raises(StoreError) if damage == "noise" else _no_error():
         Store(path, read_only=True).close()
     store = Store(path)
-    assert store.set_aside is not None and os.path.getsize(store.set_aside) > 0
+    assert store.damaged_path is not None and os.path.getsize(store.damaged_path) > 0
     store.write([point(1)])
     assert len(list(store.points("t"))) == 1
     store.close()
 
 
-class _fine:  # noqa: N801
+class _no_error:  # noqa: N801
     def __enter__(self):
         return self
 
@@ -88,15 +88,23 @@
         return False
 
 
-def test_a_file_of_an_older_version_is_brought_up_to_date_and_a_newer_or_strange_one_refused(path):
+def test_an_older_version_is_migrated_and_a_newer_or_foreign_file_is_refused(path):
     old = apsw.Connection(path)
     old.execute(base.MIGRATIONS[0])
-    old.pragma("application_id", base.APPLICATION)
+    old.pragma("application_id", base.APPLICATION_ID)
     old.pragma("user_version", 1)
-    kept = point(7)
+    stored_point = point(7)
     old.execute(
         "INSERT INTO series VALUES (?,?,?,?,?,?,?)",
-        (kept.space, kept.span_s, kept.start_s, kept.key, kept.run, kept.value, kept.sum()),
+        (
+            stored_point.space,
+            stored_point.span_s,
+            stored_point.start_s,
+            stored_point.key,
+            stored_point.run,
+            stored_point.value,
+            stored_point.sum(),
+        ),
     )
     old.close()
     with pytest.raises(StoreError, match="is of version 1"):
@@ -108,12 +116,12 @@
     store.close()
     with pytest.raises(StoreError, match="newer version"):
         Store(path)
-    strange = path + ".other"
-    other = apsw.Connection(strange)
-    other.execute("CREATE TABLE theirs (x)")
-    other.close()
+    foreign_path = path + ".other"
+    foreign = apsw.Connection(foreign_path)
+    foreign.execute("CREATE TABLE theirs (x)")
+    foreign.close()
     with pytest.raises(StoreError, match="another program"):
-        Store(strange)
+        Store(foreign_path)
     with pytest.raises(StoreError, match="there is no store"):
         Store(path + ".absent", read_only=True)
 
@@ -124,28 +132,32 @@
     )
 
 
-def test_history_is_rolled_up_as_it_ages_and_no_call_is_lost(path):
+def test_history_is_rolled_up_as_it_ages_without_losing_calls(path):
     store = Store(path)
-    told = [interval(i * 60) for i in range(3 * 24 * 60)]
-    store.write([record.point_of(one, run=1) for one in told])
-    # A restart in the first quarter: another run covers the rest of a minute.
+    intervals = [interval(i * 60) for i in range(3 * 24 * 60)]
+    store.write([record.point_of(traffic_interval, run=1) for traffic_interval in intervals])
+    # A restart in the first quarter hour: another run covers part of a minute.
     store.write([record.point_of(interval(0, covered_s=20.0), run=2)])
 
     def sums():
-        found = list(record.intervals(store))
-        return sum(one.stood for one in found), sum(one.erlang_s for one in found)
+        recorded = list(record.intervals(store))
+        return sum(traffic_interval.stood for traffic_interval in recorded), sum(
+            traffic_interval.erlang_s for traffic_interval in recorded
+        )
 
-    whole = sums()
+    expected = sums()
     now_s = 3 * DAY_S
-    assert record.keep(store, now_s, 1, 2) > 0 and sums() == whole
-    spans = {one.span_s for one in record.intervals(store)}
+    assert record.keep(store, now_s, 1, 2) > 0 and sums() == expected
+    spans = {traffic_interval.span_s for traffic_interval in record.intervals(store)}
     assert spans == {60, 900, 3600}
     assert not [p for p in store.points(record.SPACE, 60) if p.start_s < now_s - DAY_S]
-    assert record.keep(store, now_s, 1, 2) == 0 and sums() == whole, "again changes nothing"
-    late = interval(30 * 60)  # a late one of a span that is rolled up already
-    store.write([record.point_of(late, run=3)])
+    assert record.keep(store, now_s, 1, 2) == 0 and sums() == expected, (
+        "applying retention again changes nothing"
+    )
+    late_interval = interval(30 * 60)  # arrives late, in a span that is already rolled up
+    store.write([record.point_of(late_interval, run=3)])
     record.keep(store, now_s, 1, 2)
-    assert sums()[0] == whole[0] + 3
+    assert sums()[0] == expected[0] + 3
     first = next(record.intervals(store))
     assert first.covered_s == 3600.0, "two runs of one minute do not cover more than the minute"
     store.connection.execute("UPDATE series SET value = x'00' WHERE start_s = 0")
@@ -153,8 +165,8 @@
     store.close()
 
 
-def test_a_full_store_forgets_its_oldest_history_and_keeps_its_state(path):
-    store = Store(path, most_bytes=1 << 20)
+def test_a_full_store_evicts_its_oldest_history_and_retains_its_state(path):
+    store = Store(path, max_bytes=1 << 20)
     store.write([], [Item("gaps", "a", b"1")])
     for i in range(40):
         store.write([point(i * 100 + j, value=bytes(400)) for j in range(100)])
@@ -168,81 +180,81 @@
 # The writer.
 
 
-class Loop:
-    """Runs on this thread what the writer's thread hands over."""
+class ReactorStandin:
+    """Stands in for the reactor: runs on this thread the functions that the writer thread schedules."""
 
     def __init__(self):
-        self.there, self.work = threading.Condition(), []
+        self.work_added, self.work = threading.Condition(), []
 
     def call(self, work):
-        with self.there:
+        with self.work_added:
             self.work.append(work)
-            self.there.notify()
+            self.work_added.notify()
 
     def run(self, until):
         while not until():
-            with self.there:
-                assert self.there.wait_for(lambda: self.work, PATIENCE_S)
+            with self.work_added:
+                assert self.work_added.wait_for(lambda: self.work, PATIENCE_S)
                 work, self.work = self.work, []
-            for one in work:
-                one()
+            for function in work:
+                function()
 
 
-def writer(path, loop, tally, log=silent, **more):
-    made = Writer(lambda: Store(path, **more), loop.call, tally, log)
-    made.start()
-    return made
+def started_writer(path, reactor, tally, log=silent, **options):
+    writer = Writer(lambda: Store(path, **options), reactor.call, tally, log)
+    writer.start()
+    return writer
 
 
-def test_the_writer_acknowledges_what_is_committed_and_drops_what_does_not_fit(path):
-    loop, tally, done = Loop(), Tally(), []
-    made = writer(path, loop, tally)
+def test_the_writer_acknowledges_commits_and_drops_records_beyond_the_queue_limit(path):
+    reactor, tally, done = ReactorStandin(), Tally(), []
+    writer = started_writer(path, reactor, tally)
     for i in range(50):
-        assert made.put(Batch([point(i)], done=done.append))
-    loop.run(lambda: len(done) == 50)
-    assert all(done) and made.count == 0 and tally.counts["store.written"] == 50
+        assert writer.put(Batch([point(i)], done=done.append))
+    reactor.run(lambda: len(done) == 50)
+    assert all(done) and writer.pending_records == 0 and tally.counts["store.written"] == 50
     reader = Store(path, read_only=True)
     assert len(list(reader.points("t"))) == 50
     reader.close()
-    held = threading.Event()
-    made.put(Batch(task=lambda store: held.wait(PATIENCE_S)))
-    assert made.put(Batch([point(1)] * (MOST_WAITING - 1)))
-    assert not made.put(Batch([point(1)], done=done.append)) and done[-1] is False
+    release_task = threading.Event()
+    writer.put(Batch(task=lambda store: release_task.wait(PATIENCE_S)))
+    assert writer.put(Batch([point(1)] * (MAX_PENDING_RECORDS - 1)))
+    assert not writer.put(Batch([point(1)], done=done.append)) and done[-1] is False
     assert tally.counts["store.dropped"] == 1
-    held.set()
-    assert made.close(PATIENCE_S) and not made.put(Batch([point(1)]))
+    release_task.set()
+    assert writer.close(PATIENCE_S) and not writer.put(Batch([point(1)]))
 
 
-def test_a_disk_that_takes_nothing_drops_history_and_says_so_once_each_way(path, tmp_path):
-    loop, tally, done, said = Loop(), Tally(), [], []
-    os.mkdir(path)  # where the file should be: nothing can be written
-    made = writer(path, loop, tally, lambda event, **fields: said.append(event))
-    made.put(Batch([point(1)], done=done.append))
-    loop.run(lambda: done)
+def test_an_unusable_disk_drops_history_and_logs_each_change_of_state_once(path, tmp_path):
+    reactor, tally, done, events = ReactorStandin(), Tally(), [], []
+    os.mkdir(path)  # a folder at the file's path, so nothing can be written
+    writer = started_writer(path, reactor, tally, lambda event, **fields: events.append(event))
+    writer.put(Batch([point(1)], done=done.append))
+    reactor.run(lambda: done)
     assert done == [False] and tally.counts["store.dropped"] == 1
     os.rmdir(path)
-    made.put(Batch([point(2)], done=done.append))
-    loop.run(lambda: len(done) == 2)
-    assert done == [False, True] and said == ["store.drops", "store.writes_again"]
-    assert made.close(PATIENCE_S)
+    writer.put(Batch([point(2)], done=done.append))
+    reactor.run(lambda: len(done) == 2)
+    assert done == [False, True] and events == ["store.drops", "store.writes_again"]
+    assert writer.close(PATIENCE_S)
 
 
-def test_a_full_disk_makes_room_and_a_read_only_one_drops(path):
-    loop, tally, done = Loop(), Tally(), []
-    made = writer(path, loop, tally, most_bytes=1 << 20)
+def test_a_full_disk_evicts_old_history_and_a_read_only_disk_drops_records(path):
+    reactor, tally, done = ReactorStandin(), Tally(), []
+    writer = started_writer(path, reactor, tally, max_bytes=1 << 20)
     for i in range(40):
-        made.put(Batch([point(i * 50 + j, value=bytes(900)) for j in range(50)], done=done.append))
-        loop.run(lambda count=i + 1: len(done) == count)
-    assert all(done), "the oldest went, the newest are there"
-    assert made.close(PATIENCE_S)
-    loop.run(lambda: True)
+        writer.put(Batch([point(i * 50 + j, value=bytes(900)) for j in range(50)], done=done.append))
+        reactor.run(lambda count=i + 1: len(done) == count)
+    assert all(done), "the oldest points are evicted to accept the newest"
+    assert writer.close(PATIENCE_S)
+    reactor.run(lambda: True)
     done.clear()
-    made = Writer(lambda: Store(path, read_only=True), loop.call, tally, silent)
-    made.start()
-    made.put(Batch([point(1)], done=done.append))
-    loop.run(lambda: done)
+    writer = Writer(lambda: Store(path, read_only=True), reactor.call, tally, silent)
+    writer.start()
+    writer.put(Batch([point(1)], done=done.append))
+    reactor.run(lambda: done)
     assert done == [False]
-    made.close(PATIENCE_S)
+    writer.close(PATIENCE_S)
 
 
 WRITES = """
@@ -258,19 +270,19 @@
 
 
 @pytest.mark.parametrize("kills", [25])
-def test_what_was_acknowledged_outlives_kill_9(path, kills):
+def test_acknowledged_records_survive_sigkill(path, kills):
     acknowledged = 0
     for i in range(kills):
         command = [sys.executable, "-c", WRITES, path, str(acknowledged)]
-        writing = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True)
+        process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True)
         for _ in range(3 + i % 7):
-            acknowledged = int(writing.stdout.readline())
-        writing.send_signal(signal.SIGKILL)
-        for line in writing.communicate()[0].splitlines():
+            acknowledged = int(process.stdout.readline())
+        process.send_signal(signal.SIGKILL)
+        for line in process.communicate()[0].splitlines():
             acknowledged = int(line) if line.strip() else acknowledged
         store = Store(path)
         starts = [p.start_s // 60 for p in store.points("t")]
-        assert store.set_aside is None and not store.damaged
+        assert store.damaged_path is None and not store.damaged
         assert starts == list(range(len(starts))) and len(starts) >= acknowledged
         acknowledged = len(starts)
         store.close()
@@ -281,7 +293,7 @@
 
 @pytest.fixture
 def stored(tmp_path, monkeypatch):
-    def begin(servers, *more, reserve=""):
+    def start_proxy(servers, *options, reserve=""):
         (tmp_path / "store.toml").write_text(f'enabled = true\npath = "{tmp_path}/leadslip.db"\n')
         group = f'[[group]]\nname = "north"\ndestinations = [0]\ntrunks = 50\n{reserve}'
         (tmp_path / "trunks.toml").write_text(f"enabled = true\ninterval_s = 1\n{group}")
@@ -290,19 +302,19 @@
             monkeypatch.setenv(f"LEADSLIP_{name.upper()}", str(tmp_path / f"{name}.toml"))
         return Program(tmp_path, {f"s{i}": server.address for i, server in enumerate(servers)})
 
-    return begin
+    return start_proxy
 
 
-def kept_of(program):
-    """What the program said that it has kept: (run, start) of intervals."""
-    told = [
+def stored_intervals(program):
+    """Returns the (run, start) of the intervals that the proxy logged as stored."""
+    fields_of_lines = [
         dict(part.split("=") for part in line.split()[2:]) for line in program.log if " trunks.kept" in line
     ]
-    return {(int(one["run"]), int(one["start_s"])) for one in told}
+    return {(int(fields["run"]), int(fields["start_s"])) for fields in fields_of_lines}
 
 
 @pytest.mark.parametrize("part", range(5))
-def test_history_outlives_kills_of_a_proxy_under_load(stored, tmp_path, part):
+def test_history_survives_kills_of_a_proxy_under_load(stored, tmp_path, part):
     acknowledged, calls = set(), 0
     server = SetupServer("answer")
     for kill in range(10):
@@ -313,32 +325,32 @@
             while not caller.hear()[0].startswith(("BYE", "SIP/2.0 5")):
                 pass
             calls += 1
-            if kept_of(program) and i % 5 == kill % 5:
+            if stored_intervals(program) and i % 5 == kill % 5:
                 break
             if i > 20:
-                wait_for(lambda program=program: kept_of(program))
+                wait_for(lambda program=program: stored_intervals(program))
         program.process.kill()
         program.process.wait()
         program.reader.join(PATIENCE_S)
-        acknowledged |= kept_of(program)
+        acknowledged |= stored_intervals(program)
         program.board.die()
     store = Store(str(tmp_path / "leadslip.db"))
-    assert store.set_aside is None
-    there = {(point.run, point.start_s) for point in store.points(record.SPACE)}
-    assert len(acknowledged) >= 10 and acknowledged <= there
-    told = list(record.intervals(store, group="north"))
-    assert 0 < sum(one.attempts for one in told) <= calls and not store.damaged
+    assert store.damaged_path is None
+    stored_keys = {(point.run, point.start_s) for point in store.points(record.SPACE)}
+    assert len(acknowledged) >= 10 and acknowledged <= stored_keys
+    intervals = list(record.intervals(store, group="north"))
+    assert 0 < sum(traffic_interval.attempts for traffic_interval in intervals) <= calls and not store.damaged
     store.close()
 
 
-def test_a_proxy_measures_reserves_and_keeps_all_when_it_ends(stored, tmp_path):
+def test_a_proxy_measures_reserves_and_stores_all_when_it_stops(stored, tmp_path):
     server = SetupServer("hold")
     program = stored([server], reserve="[group.reserve]\nplain = 49\n")
     caller = Caller(program)
     caller.invite("0" * 15 + "1", "plain")
     assert caller.hear()[0] == "SIP/2.0 200 OK"
     caller.invite("0" * 15 + "2", "plain")
-    assert caller.hear()[0].startswith("SIP/2.0 503"), "the other 49 are kept for the urgent"
+    assert caller.hear()[0].startswith("SIP/2.0 503"), "the other 49 are reserved for the urgent class"
     caller.invite("0" * 15 + "3", "urgent")
     assert caller.hear()[0] == "SIP/2.0 200 OK"
     (tmp_path / "trunks.toml").write_text(
@@ -356,14 +368,22 @@
     assert program.stop() == 0
     assert program.counts()["filters.reservation.refused"] == 1
     store = Store(str(tmp_path / "leadslip.db"), read_only=True)
-    told = list(record.intervals(store, group="north"))
-    assert (sum(one.stood for one in told), sum(one.refused for one in told)) == (3, 1)
-    assert sum(one.held for one in told) == 3 and sum(one.erlang_s for one in told) > 0
+    intervals = list(record.intervals(store, group="north"))
+    assert (
+        sum(traffic_interval.stood for traffic_interval in intervals),
+        sum(traffic_interval.refused for traffic_interval in intervals),
+    ) == (3, 1)
+    assert (
+        sum(traffic_interval.held for traffic_interval in intervals) == 3
+        and sum(traffic_interval.erlang_s for traffic_interval in intervals) > 0
+    )
     store.close()
 
 
-def test_the_features_libraries_are_not_loaded_where_they_are_off():
-    told = "import sys, leadslip.__main__; print(*sorted({name.split('.')[0] for name in sys.modules}))"
-    done = subprocess.run([sys.executable, "-c", told], cwd=ROOT, capture_output=True, text=True, check=True)
-    loaded = set(done.stdout.split())
+def test_libraries_of_disabled_features_are_not_loaded():
+    code = "import sys, leadslip.__main__; print(*sorted({name.split('.')[0] for name in sys.modules}))"
+    process = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    loaded = set(process.stdout.split())
     assert not loaded & {"apsw", "msgspec", "structlog", "click", "matplotlib", "numpy", "scipy", "google"}
