--- a/leadslip/shares/problem.py
+++ b/leadslip/shares/problem.py
@@ -238,8 +238,8 @@
             )
     least = _numbers(table, "least", prefix, set(allowed), 1.0)
     greatest = _numbers(table, "greatest", prefix, set(allowed), 1.0)
-    for name, part in least.items():
-        if part > greatest.get(name, 1.0):
+    for name, share in least.items():
+        if share > greatest.get(name, 1.0):
             raise ProblemError(f"{prefix}least.{name} is above greatest.{name}")
     if sum(least.values()) > 1.0:
         raise ProblemError(f"{prefix}least: the minimum shares add up to more than 1")
--- a/leadslip/store/writer.py
+++ b/leadslip/store/writer.py
@@ -22,7 +22,7 @@
 
 
 class Batch:
-    """Records written in one transaction; `done` is called with whether they were committed."""
+    """Records that are committed together or not at all; `done` is called with whether they were committed."""
 
     __slots__ = ("points", "items", "deleted", "done", "task")
 
