--- a/leadslip/__main__.py
+++ b/leadslip/__main__.py
@@ -40,10 +40,10 @@
 
 
 class ListenError(OperatorError):
-    """An address of the configuration can't be listened at."""
+    """The proxy can't listen on a configured address."""
 
     code = "run.listen"
-    action = "Free the address or name another; see that it is one of this machine's."
+    action = "Free the address or configure another; check that it belongs to this machine."
 
 
 class SystemClock:
--- a/leadslip/cli/errors.py
+++ b/leadslip/cli/errors.py
@@ -8,15 +8,15 @@
 import leadslip
 from leadslip.errors import all_errors
 
-HEAD = """# Errors, and what to do
+HEAD = """# Errors and what to do
 
-Every error that the program tells has a code that never changes, what happened, and what an operator can do. The log
-bears them as `fault`, `code` and `action`; the operators' address answers a problem in JSON (RFC 9457,
-`application/problem+json`: `type`, `title`, `status`, `detail`, with `code` and `action` beside them); the command line
-prints `leadslip: WHAT HAPPENED (CODE): WHAT TO DO` and ends with 2. This page is made from the program
-(`python -m leadslip.cli.errors`), and a test holds it equal.
+Every error reported to operators has a code that never changes, a message that says what happened, and an action that
+an operator can take. The log records them as `fault`, `code` and `action`; the operators' address answers with problem
+details in JSON (RFC 9457, `application/problem+json`: `type`, `title`, `status`, `detail`, and also `code` and
+`action`); the command line prints `leadslip: WHAT HAPPENED (CODE): WHAT TO DO` and exits with code 2. This page is
+generated from the program (`python -m leadslip.cli.errors`), and a test checks that it is up to date.
 
-| code | what it means | what to do | status |
+| code | meaning | action | status |
 | --- | --- | --- | --- |
 """
 SKIPPED_MODULES = ("__main__", "leadslip.cli.errors")
--- a/leadslip/cli/fleet.py
+++ b/leadslip/cli/fleet.py
@@ -20,10 +20,13 @@
 
 
 class AskError(OperatorError):
-    """A proxy can't be asked about its fleet."""
+    """A proxy can't be queried about its fleet."""
 
     code, status = "command.ask", 502
-    action = "See that the address is the operators' address of a proxy that runs, and that its fleet is on."
+    action = (
+        "Check that the address is the operators' address of a running proxy, "
+        "and that its fleet part is enabled."
+    )
 
 
 def fetch(ops: str, path: str) -> dict:
--- a/leadslip/cli/told.py
+++ b/leadslip/cli/told.py
@@ -59,17 +59,17 @@
 
 
 class FileError(OperatorError):
-    """A file that a command was given can't be read."""
+    """A file given to a command can't be read."""
 
     code, status = "command.file", 400
-    action = "See that the file is there, may be read, and is what the command takes."
+    action = "Check that the file exists, is readable, and has the content that the command expects."
 
 
 class PlotError(OperatorError):
-    """A plot was asked for and the library for it is missing."""
+    """A plot was requested, but the plotting library is not installed."""
 
     code, status = "command.plot", 501
-    action = "Install leadslip[plots], or leave the plot out."
+    action = "Install leadslip[plots], or omit the plot."
 
 
 def raise_file_error(*error_types: type[Exception]) -> Callable:
--- a/leadslip/config.py
+++ b/leadslip/config.py
@@ -40,7 +40,7 @@
 
 
 class MalformedError(OperatorError):
-    """A configuration value is invalid; the text names its key."""
+    """A configuration value is invalid; the error message names its key."""
 
     code, status = "config.malformed", 400
     action = "Correct the value of the key named; a running proxy keeps its current configuration."
@@ -75,7 +75,7 @@
     """A name or an address is used more than once in the configuration."""
 
     code = "config.taken"
-    action = "Give one of the two another name or address."
+    action = "Use a different name or address for one of the two."
 
 
 class UnreadableError(MalformedError):
@@ -93,7 +93,7 @@
 
 
 class NeedsError(MalformedError):
-    """A part that is enabled requires another part that is off."""
+    """An enabled part requires another part that is disabled."""
 
     code = "config.needs"
     action = "Enable the part named, or disable this one."
--- a/leadslip/drill/run.py
+++ b/leadslip/drill/run.py
@@ -51,10 +51,13 @@
 
 
 class DrillError(OperatorError):
-    """The drill itself could not be held, whatever the program does."""
+    """The fault-injection run itself could not be carried out, regardless of how the program behaves."""
 
     code = "drill.not-held"
-    action = "See that the machine is idle and 127/8 is free, keep the folder (--keep) and read its logs."
+    action = (
+        "Check that the machine is idle and that 127/8 is free; "
+        "keep the run's folder (--keep) and read its logs."
+    )
 
 
 def own_network() -> tuple[str, socket.socket]:
--- a/leadslip/drill/scenario.py
+++ b/leadslip/drill/scenario.py
@@ -38,10 +38,10 @@
 
 
 class ScenarioError(OperatorError):
-    """A scenario of a drill makes no sense; the text names its key."""
+    """A fault-injection scenario is invalid; the error message names the key."""
 
     code, status = "drill.scenario", 400
-    action = "Correct the key named; `leadslip drill list` shows those that come with the program."
+    action = "Correct the key named; `leadslip drill list` lists the scenarios included with the program."
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/leadslip/fleet/agreement/documents.py
+++ b/leadslip/fleet/agreement/documents.py
@@ -29,10 +29,10 @@
 
 
 class RefusedError(OperatorError):
-    """A change of the agreed settings may not be proposed; the text names the rule."""
+    """A change to the agreed settings breaks a rule and can't be proposed; the error message names the rule."""
 
     code, status = "agreement.refused", 422
-    action = "Change the document as the rule named asks, and propose it again."
+    action = "Change the document to comply with the rule named, and propose it again."
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/leadslip/fleet/agreement/member.py
+++ b/leadslip/fleet/agreement/member.py
@@ -49,28 +49,32 @@
 
 
 class StoppedError(OperatorError):
-    """This voter has stopped, as its disk or its log can't be trusted."""
+    """This voter has stopped because its disk or its log can't be trusted."""
 
     code, status = "agreement.voter-stopped", 503
     action = (
-        "Take the voter out of the list, remove its file, restart the proxy and put its new id in the list."
+        "Remove the voter from the list of voters, delete its file, restart the proxy, "
+        "and add its new id to the list."
     )
 
 
 class NoAgreementError(OperatorError):
-    """A change was not settled within the time that was waited for it; it may still be."""
+    """A change was not resolved before the time-out; it may still be committed."""
 
     code, status = "agreement.no-answer", 503
     action = (
-        "Send the same change with the same id again; see that a majority of the voters runs and is reached."
+        "Send the same change again with the same id; "
+        "check that a majority of the voters is running and reachable."
     )
 
 
 class ConflictError(OperatorError):
-    """A document has changed since the revision that a change names."""
+    """A document has changed since the revision that the change is based on."""
 
     code, status = "agreement.conflict", 409
-    action = "Read the settings anew, make the change to them, and send it with their revision and a new id."
+    action = (
+        "Read the settings again, reapply the change to them, and send it with their revision and a new id."
+    )
 
 
 class Bootstrap(msgspec.Struct, array_like=True, frozen=True, tag=30):
--- a/leadslip/fleet/agreement/raft.py
+++ b/leadslip/fleet/agreement/raft.py
@@ -121,10 +121,12 @@
 
 
 class RaftError(OperatorError):
-    """A voter can't do what is asked of it now; the text says why."""
+    """A voter can't perform the operation now; the error message says why."""
 
     code, status = "agreement.not-now", 503
-    action = "Ask again in a moment; if it lasts, see that a majority of the voters runs and is reached."
+    action = (
+        "Retry shortly; if the error persists, check that a majority of the voters is running and reachable."
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- a/leadslip/fleet/pools/policy.py
+++ b/leadslip/fleet/pools/policy.py
@@ -45,10 +45,10 @@
 
 
 class PolicyError(OperatorError):
-    """A pool policy can't be agreed on; the text names line and column."""
+    """A pool policy is invalid and can't be agreed on; the error message gives the line and column."""
 
     code, status = "pools.policy", 422
-    action = "Change the line named as the text says, and propose the policy again."
+    action = "Correct the line named as the error message says, and propose the policy again."
 
     def __init__(self, line: int, column: int, problem: str, remedy: str) -> None:
         super().__init__(f"line {line}, column {column}: {problem}; {remedy}")
--- a/leadslip/fleet/wire.py
+++ b/leadslip/fleet/wire.py
@@ -44,10 +44,10 @@
 
 
 class KeysError(OperatorError, ValueError):
-    """The keys of the fleet can't be used together."""
+    """The fleet keys can't be used together."""
 
     code, status = "fleet.keys", 400
-    action = "Write keys of 16 to 64 bytes into the key file, each on a line; replace the one that is named."
+    action = "Put keys of 16 to 64 bytes into the key file, one per line; replace the key named."
 
 
 class WireError(Exception):
--- a/leadslip/interface.py
+++ b/leadslip/interface.py
@@ -13,10 +13,13 @@
 
 
 class SettingsError(OperatorError, ValueError):
-    """Settings that the decisions can't take; the text names the field."""
+    """The Controller can't use the settings; the error message names the field."""
 
     code, status = "decisions.settings", 400
-    action = "Correct the figure named in the proxy's settings; a proxy that runs keeps those it has."
+    action = (
+        "Correct the value of the field named in the proxy's settings; "
+        "a running proxy keeps its current settings."
+    )
 
 
 class Repeat(Enum):
--- a/leadslip/net/ops.py
+++ b/leadslip/net/ops.py
@@ -35,21 +35,21 @@
     """The operators' address has no endpoint of this name."""
 
     code, status = "ops.no-such-call", 404
-    action = "Look the name up in docs/operators; the part that provides it may be off in this proxy."
+    action = "Look up the name in docs/operators; the part that provides it may be disabled on this proxy."
 
 
 class MethodError(OperatorError):
     """The endpoint does not support this HTTP method."""
 
     code, status = "ops.method", 405
-    action = "Use a method that the Allow header names."
+    action = "Use one of the methods listed in the Allow header."
 
 
 class TooLargeError(OperatorError):
     """The request body is longer than the endpoint accepts."""
 
     code, status = "ops.too-large", 413
-    action = "Send no body, or a document within the size limit that its documentation page gives."
+    action = "Send no body, or a document within the size limit given on its documentation page."
 
 
 class EndpointResource(resource.Resource):
--- a/leadslip/parts/agreement/part.py
+++ b/leadslip/parts/agreement/part.py
@@ -32,10 +32,10 @@
 
 
 class NoDocumentError(OperatorError):
-    """No document of this name is agreed on."""
+    """There is no agreed document of this name."""
 
     code, status = "agreement.no-document", 404
-    action = "Read /control/settings for the names there are, or propose the document."
+    action = "See /control/settings for the existing names, or propose the document."
 
 
 class AgreementPart(Part):
--- a/leadslip/parts/replicas/part.py
+++ b/leadslip/parts/replicas/part.py
@@ -21,11 +21,12 @@
 
 
 class NotReplicatedError(OperatorError):
-    """This proxy is no member of the fleet yet, so that nothing of it is held elsewhere."""
+    """This proxy has not joined the fleet yet, so none of its state is replicated to other members."""
 
     code, status = "replicas.not-begun", 503
     action = (
-        "Wait until the proxy serves; if it lasts, see /control/fleet and the seeds in deploy/fleet.toml."
+        "Wait until the proxy is ready; "
+        "if the error persists, check /control/fleet and the seeds in deploy/fleet.toml."
     )
 
 
--- a/leadslip/shares/problem.py
+++ b/leadslip/shares/problem.py
@@ -36,10 +36,10 @@
 
 
 class ProblemError(OperatorError):
-    """A problem of planned shares makes no sense; the text names the key."""
+    """A share-planning problem is invalid; the error message names the key."""
 
     code, status = "shares.problem", 400
-    action = "Correct the key named in the problem's file and ask again."
+    action = "Correct the key named in the problem file and try again."
 
 
 @dataclass(frozen=True, slots=True)
--- a/leadslip/shares/solve.py
+++ b/leadslip/shares/solve.py
@@ -23,10 +23,10 @@
 
 
 class RefusedError(OperatorError):
-    """There is no plan of shares; `conflict` names the constraints of which any one would have to go."""
+    """No share plan meets all constraints; `conflict` names those of which any one would have to be removed."""
 
     code, status = "shares.no-plan", 409
-    action = "Loosen one of the constraints named; any one of them is enough."
+    action = "Relax any one of the constraints named; one is enough."
 
     def __init__(self, conflict: Sequence[str]) -> None:
         super().__init__("constraints in conflict: " + "; ".join(conflict))
@@ -34,10 +34,10 @@
 
 
 class OutOfTimeError(OperatorError):
-    """The time was over before there was a plan of shares: the last good one is to be kept."""
+    """The time limit passed before a share plan was found; the last good plan should stay in use."""
 
     code, status = "shares.out-of-time", 503
-    action = "Allow more seconds, or fewer servers for each district."
+    action = "Allow more seconds, or fewer servers per district."
 
 
 @dataclass(frozen=True, slots=True)
--- a/leadslip/store/base.py
+++ b/leadslip/store/base.py
@@ -43,11 +43,12 @@
 
 
 class StoreError(OperatorError):
-    """A store can't be used: the text says which file and why."""
+    """A store can't be used; the error message names the file and the reason."""
 
     code = "store.unusable"
     action = (
-        "Name another file, or put this one right from a copy; the proxy goes on without what it would keep."
+        "Specify another file, or restore this one from a backup; "
+        "the proxy keeps running without the data it would store."
     )
 
 
--- a/leadslip/trunks/losses.py
+++ b/leadslip/trunks/losses.py
@@ -24,10 +24,10 @@
 
 
 class LossError(OperatorError, ValueError):
-    """A figure lies outside what the loss formulas are for; the text names it."""
+    """A value is outside the range of the loss formulas; the error message names it."""
 
     code, status = "trunks.figure", 400
-    action = "Ask for a figure within the bounds named."
+    action = "Choose a value within the range named."
 
 
 def check_range(name: str, value: float, minimum: float, maximum: float) -> float:
--- a/leadslip/trunks/plan.py
+++ b/leadslip/trunks/plan.py
@@ -46,10 +46,10 @@
 
 
 class PlanError(OperatorError):
-    """A plan of trunk groups makes no sense; the text names the key."""
+    """A trunk group plan is invalid; the error message names the key."""
 
     code, status = "trunks.plan", 400
-    action = "Correct the key named in the plan's file and ask again."
+    action = "Correct the key named in the plan file and try again."
 
 
 @dataclass(frozen=True, slots=True)
