--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -27,15 +27,15 @@
 
 import click
 
-from leadslip.checks import Tally
 from leadslip.drill.callers import Caller
-from leadslip.drill.run import own_network, start_toy
+from leadslip.drill.run import reserve_network, start_toy_server
 from leadslip.fleet import wire
 from leadslip.fleet.view import suspicion
 from leadslip.fleet.view.members import process_of
 from leadslip.fleet.view.view import View
 from leadslip.lab.fleet import Fleet
 from leadslip.lab.network import Clock, Network
+from leadslip.metrics import Metrics
 from leadslip.site import configuration
 
 PHI_8 = -statistics.NormalDist().inv_cdf(1e-8)  # standard deviations of silence at which phi is 8
@@ -49,7 +49,7 @@
     if parts in ("no health", "none"):
         suspicion.Health.scaled = lambda self, span_ms: span_ms
     if parts in ("no confirmation", "none"):
-        suspicion.Suspicion.due_ms = lambda self: self.since_ms + self.late_ms + self.least_ms
+        suspicion.Suspicion.expires_ms = lambda self: self.since_ms + self.late_ms + self.least_ms
     if parts in ("no telling", "none"):
         View._priority_updates = lambda self, now_ms, to: []
 
@@ -90,23 +90,23 @@
     fleet.grow(members)
     crash_ms, join_ms, leave_ms = [], [], []
     for i in range(rounds):
-        name = fleet.draw.choice(sorted(fleet.hosts)[3:])
+        name = fleet.rng.choice(sorted(fleet.hosts)[3:])
         run = fleet.kill(name).view.run
-        crash_ms.append(fleet.until(lambda run=run: fleet.known_gone(run), 30_000.0))
+        crash_ms.append(fleet.until(lambda run=run: fleet.gone_everywhere(run), 30_000.0))
         fleet.run(500.0)
         joined = fleet.add(f"new{i}")
-        join_ms.append(fleet.until(lambda joined=joined: fleet.known(joined.view.run), 30_000.0))
+        join_ms.append(fleet.until(lambda joined=joined: fleet.alive_everywhere(joined.view.run), 30_000.0))
         fleet.run(500.0)
-        name = fleet.draw.choice(sorted(fleet.hosts)[3:])
+        name = fleet.rng.choice(sorted(fleet.hosts)[3:])
         host = fleet.hosts[name]
         began_ms = fleet.clock.now_ms
         host.view.leave(began_ms)
         host.flush()
         fleet.hosts.pop(name)
-        leave_ms.append(fleet.until(lambda host=host: fleet.known_gone(host.view.run), 30_000.0))
+        leave_ms.append(fleet.until(lambda host=host: fleet.gone_everywhere(host.view.run), 30_000.0))
         host.up = False
         fleet.add(f"back{i}")
-        fleet.until(fleet.agreed, 30_000.0)
+        fleet.until(fleet.converged, 30_000.0)
     print_json(
         members=members,
         seed=seed,
@@ -126,12 +126,12 @@
         fleet = Fleet(seed)
         fleet.grow(members)
         names = sorted(fleet.hosts)
-        fleet.draw.shuffle(names)
+        fleet.rng.shuffle(names)
         fleet.partition(names[: members // 2], names[members // 2 :])
         fleet.run(partition_s * 1000.0)
         before = fleet.traffic()
         fleet.heal()
-        healed_ms = fleet.until(fleet.agreed, 60_000.0)
+        healed_ms = fleet.until(fleet.converged, 60_000.0)
         used = [after - earlier for after, earlier in zip(fleet.traffic(), before, strict=True)]
         print_json(
             members=members,
@@ -154,23 +154,25 @@
     disable_lifeguard(parts)
     fleet = Fleet(seed)
     fleet.grow(members)
-    fleet.network.links.lost = lost
+    fleet.network.conditions.loss_rate = lost
     before, stalled = fleet.traffic(), []
     for second in range(int(minutes * 60)):
         if second % 300 == 299:
-            click.echo(f"after {second + 1} s: {len(fleet.wrongly())} removals of running members", err=True)
+            click.echo(
+                f"after {second + 1} s: {len(fleet.false_removals())} removals of running members", err=True
+            )
         # No member twice in a row: it would be stalled for two seconds.
-        stalled = fleet.draw.sample(
+        stalled = fleet.rng.sample(
             [host for host in fleet.hosts.values() if host not in stalled], members // 10 or 1
         )
         for host in stalled:
             host.stall(1000.0)
         fleet.run(1000.0)
-    falsely_removed = {process_of(removal[2]) for removal in fleet.wrongly()}
+    falsely_removed = {process_of(removal[2]) for removal in fleet.false_removals()}
     used = [
         (after - earlier) / (minutes * 60) for after, earlier in zip(fleet.traffic(), before, strict=True)
     ]
-    counts = {key: fleet.tally.counts[key] for key in ("fleet.suspected", "fleet.refuted", "fleet.reborn")}
+    counts = {key: fleet.metrics.counts[key] for key in ("fleet.suspected", "fleet.refuted", "fleet.reborn")}
     print_json(
         members=members,
         parts=parts,
@@ -208,10 +210,10 @@
     """All-to-all baseline: each member sends a heartbeat to every other once a second; dead after 3 s of silence."""
     clock, rng = Clock(), random.Random(seed)
     network = Network(clock, random.Random(seed))
-    network.links.lost = lost
+    network.conditions.loss_rate = lost
     names = [f"h{i}" for i in range(members)]
     last_received_ms = {name: dict.fromkeys(names, 0.0) for name in names}
-    heartbeat = wire.encode(wire.Gossip(10**6, 5 << 60, 0)) + bytes(wire.SEAL_SIZE)
+    heartbeat = wire.encode(wire.Gossip(10**6, 5 << 60, 0)) + bytes(wire.SEAL_BYTES)
     crashed: set[str] = set()
     false_suspicions = 0
 
@@ -221,15 +223,15 @@
     def send(name: str) -> None:
         if name in crashed:
             return
-        clock.at(clock.now_ms + 1000.0, send, name)
+        clock.call_at(clock.now_ms + 1000.0, send, name)
         for other in names:
             if other != name:
                 network.datagrams[name] = network.datagrams.get(name, 0) + 1
                 if rng.random() >= lost:
-                    clock.at(clock.now_ms + rng.uniform(0.3, 3.0), arrive, other, name)
+                    clock.call_at(clock.now_ms + rng.uniform(0.3, 3.0), arrive, other, name)
 
     for name in names:
-        clock.at(rng.random() * 1000.0, send, name)
+        clock.call_at(rng.random() * 1000.0, send, name)
     clock.run(seconds * 500.0)
     victim = names[0]
     crashed.add(victim)
@@ -325,7 +327,7 @@
         )
 
     def herd(fleet: Fleet) -> None:
-        names = fleet.draw.sample(sorted(fleet.hosts)[3:], int(members * 0.7))
+        names = fleet.rng.sample(sorted(fleet.hosts)[3:], int(members * 0.7))
         for name in names:
             fleet.kill(name)
         fleet.run(1000.0)
@@ -356,13 +358,13 @@
 
         def sample(fleet: Fleet = fleet, totals: list[float] = totals) -> None:
             totals.append(bytes_sent(fleet))
-            fleet.clock.at(fleet.clock.now_ms + 1000.0, sample)
+            fleet.clock.call_at(fleet.clock.now_ms + 1000.0, sample)
 
         sample()
         began_ms = fleet.clock.now_ms
         scenario(fleet)
         took_ms = fleet.clock.now_ms - began_ms
-        settled_ms = fleet.until(fleet.agreed, 60_000.0)
+        settled_ms = fleet.until(fleet.converged, 60_000.0)
         fleet.run(WINDOW_S * 1000.0)
         rates = [(after - before) / members for before, after in itertools.pairwise(totals)]
         affected_s = min(len(rates), max(WINDOW_S, round((took_ms + settled_ms) / 1000.0)))
@@ -399,18 +401,20 @@
     for i in range(20_000):
         other = others[i % len(others)]
         digest = view.table.live_digest
-        ping = wire.Ping(next(other.counts), other.run, view.run, i, other.me.address, members, digest)
-        pings.append(seal.close(wire.encode(ping)))
+        ping = wire.Ping(
+            next(other.message_counter), other.run, view.run, i, other.me.address, members, digest
+        )
+        pings.append(seal.sign(wire.encode(ping)))
     began = time.perf_counter()
     for data in pings:
-        view.received(fleet.clock.now_ms, wire.decode(seal.open(data)))
-        for outgoing in view.out:
-            seal.close(wire.encode(outgoing.message))
-        view.out.clear()
+        view.received(fleet.clock.now_ms, wire.decode(seal.verify(data)))
+        for outgoing in view.outbox:
+            seal.sign(wire.encode(outgoing.message))
+        view.outbox.clear()
     us_per_datagram = (time.perf_counter() - began) / len(pings) * 1e6
     tracemalloc.start()
-    records = [member.full(0.0) for member in view.table]
-    fresh = View(view.me, (), random.Random(1), Tally(), view.pace, 4096)
+    records = [member.record(0.0) for member in view.table]
+    fresh = View(view.me, (), random.Random(1), Metrics(), view.pace, 4096)
     before, _ = tracemalloc.get_traced_memory()
     fresh.start(0.0)
     fresh._merge(0.0, records)
@@ -418,7 +422,7 @@
     began = time.perf_counter()
     for step in range(5 * 200):
         fresh.due(step * 10.0)
-        fresh.out.clear()
+        fresh.outbox.clear()
     timers_share = (time.perf_counter() - began) / 10.0
     print_json(
         members=members,
@@ -450,8 +454,8 @@
     work_folder: Path, members: int, seed: int, rate: float, seconds: float, rounds: int
 ) -> dict[str, object]:
     """Run real processes on loopback that share one toy server."""
-    prefix, network_lock = own_network()
-    toy_process, ports = await start_toy()
+    prefix, network_lock = reserve_network()
+    toy_process, ports = await start_toy_server()
     running: list[asyncio.subprocess.Process] = []
     try:
         server_port, board_port = await ports
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -33,7 +33,7 @@
             began = time.monotonic()
             for i in range(calls):
                 caller.invite(f"{i:016x}")
-                while not caller.hear()[0].startswith(("BYE", "SIP/2.0 5")):
+                while not caller.receive()[0].startswith(("BYE", "SIP/2.0 5")):
                     pass
             took_s = time.monotonic() - began
             return start_mb, resident_mb(program.process.pid), took_s
--- a/benchmarks/trunks.py
+++ b/benchmarks/trunks.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from types import SimpleNamespace
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.trunks import losses
 from leadslip.trunks.traffic import Traffic
 
@@ -76,12 +76,12 @@
         SimpleNamespace(destination=i % 4, call_class="plain", number=str(i), redialled=False)
         for i in range(1000)
     ]
-    attempts = [SimpleNamespace(request=request, stands=True, sent_ms=0.0) for request in requests]
+    attempts = [SimpleNamespace(request=request, established=True, sent_ms=0.0) for request in requests]
 
     def establish_and_end() -> None:
         for attempt in attempts:
             traffic.request_answered(attempt.request, "stands", 1000.0)
-            traffic.attempt_ended(attempt, face.Outcome.SERVED, 9000.0)
+            traffic.attempt_ended(attempt, interface.Outcome.SERVED, 9000.0)
 
     def refuse() -> None:
         for request in requests:
--- a/leadslip/__main__.py
+++ b/leadslip/__main__.py
@@ -14,16 +14,16 @@
 from twisted.internet import reactor
 
 from leadslip import config, parts
-from leadslip.checks import Tally
-from leadslip.core import Deadlines, Engine, Observers, Watcher
+from leadslip.core import Deadlines, Engine, Observer, Observers
 from leadslip.counters import Counters
 from leadslip.errors import OperatorError
 from leadslip.logs import Log, open_log
-from leadslip.net.board import Board
+from leadslip.metrics import Metrics
+from leadslip.net.board import BoardClient
 from leadslip.net.clients import Clients
-from leadslip.net.links import listen_shared, stop_shared
+from leadslip.net.connections import listen_shared, stop_shared
 from leadslip.net.servers import Servers
-from leadslip.operators import Answer, Asked, Calls, Verbs
+from leadslip.operators import Answer, Endpoint, Endpoints, OperatorRequest
 from leadslip.parts.part import Part
 from leadslip.readiness import Readiness
 
@@ -60,7 +60,7 @@
     logger.globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False, discardBuffer=True)
 
 
-def combine_observers(observers: list[Watcher]) -> Watcher | None:
+def combine_observers(observers: list[Observer]) -> Observer | None:
     """Combine observers into one; None for an empty list, so that the engine skips notifications."""
     return observers[0] if len(observers) == 1 else Observers(*observers) if observers else None
 
@@ -92,7 +92,7 @@
     @classmethod
     def load(cls, conf: config.Config) -> LoadedConfig:
         """Read and check the files of all parts."""
-        return cls(conf, parts.read(conf))
+        return cls(conf, parts.read_settings(conf))
 
 
 class Node:
@@ -101,61 +101,63 @@
     def __init__(self, loaded: LoadedConfig, log: Log) -> None:
         self.loaded, self.log, self.reactor = loaded, log, reactor
         conf = loaded.conf
-        self.conf, self.tally, self.clock = conf, Tally(), SystemClock()
+        self.conf, self.metrics, self.clock = conf, Metrics(), SystemClock()
         self.readiness = Readiness()
         self.port = None
         self.deadlines = Deadlines(self.clock, reactor)
         self.parts: dict[str, Part] = {}
-        watches: dict[str, list[Watcher]] = {"sip": [], "dns": []}
+        observers_by_engine: dict[str, list[Observer]] = {"sip": [], "dns": []}
         for name, part_conf in loaded.parts.items():
             if part_conf is not None:
-                part = self.parts[name] = parts.wiring(name)(self, part_conf)
-                part.watch(watches)
-        self.watches = {name: combine_observers(observers) for name, observers in watches.items()}
+                part = self.parts[name] = parts.part_class(name)(self, part_conf)
+                part.add_observers(observers_by_engine)
+        self.observers = {
+            name: combine_observers(observers) for name, observers in observers_by_engine.items()
+        }
         descriptors = Descriptors.from_config(conf)
         self.servers = Servers(
             reactor,
-            self.tally,
+            self.metrics,
             self.clock.now_ms,
             conf.dial_timeout_ms,
             self.on_unknown_end,
             self.deadlines,
             descriptors.servers,
         )
-        self.figures = Counters()
+        self.counters = Counters()
         self.engine = self.servers.engine = Engine(
             conf.settings,
             conf.seed,
             self.clock,
             self.deadlines,
             self.servers,
-            self.tally,
+            self.metrics,
             log,
             conf.most_held,
-            self.watches["sip"],
-            counters=self.figures,
+            self.observers["sip"],
+            counters=self.counters,
         )
-        self.figures.watch("pool_size", self.servers.listed_count)
-        self.figures.watch("pool_ejected", self.servers.avoided)
+        self.counters.add_gauge("pool_size", self.servers.listed_count)
+        self.counters.add_gauge("pool_ejected", self.servers.unreachable_count)
         for part in self.parts.values():
-            for name, read_value in part.figures().items():
-                self.figures.watch(name, read_value)
+            for name, read_value in part.gauges().items():
+                self.counters.add_gauge(name, read_value)
         self.engines = [self.engine]
-        self.filter()
+        self.rebuild_filters()
         self.clients = Clients(
-            self.engine, self.tally, descriptors.callers, self.readiness, descriptors.overflow
+            self.engine, self.metrics, descriptors.callers, self.readiness, descriptors.overflow
         )
-        self.board = Board(
+        self.board = BoardClient(
             reactor,
             self.deadlines,
-            self.tally,
+            self.metrics,
             conf.board,
             conf.last_event,
             self.apply_notice,
             conf.dial_timeout_ms / 1000.0,
         )
 
-    def filter(self) -> None:
+    def rebuild_filters(self) -> None:
         """Rebuild the filter chain from the configuration; open requests keep the filters that admitted them."""
         self.engine.chain.replace([filter_ for part in self.parts.values() for filter_ in part.filters()])
 
@@ -171,11 +173,11 @@
         if self.conf.ops is not None:
             from leadslip.net.ops import Site
 
-            site = Site(self.deadlines, self.tally, self.calls())
+            site = Site(self.deadlines, self.metrics, self.endpoints())
             ops_host, ops_port = self.conf.ops
             ops_port = reactor.listenTCP(ops_port, site, backlog=64, interface=ops_host).getHost().port
             self.log("ops.serves", address=f"{ops_host}:{ops_port}")
-        self.servers.look()
+        self.servers.check_connections()
         self.board.poll()
         for part in self.parts.values():
             part.start()
@@ -187,38 +189,38 @@
 
     def apply_notice(self, notice: config.Notice) -> None:
         """Apply a server list update: upstream first, as the engine may send to new servers at once."""
-        self.servers.listed(notice.news, notice.addresses)
-        self.engine.news(notice.news)
+        self.servers.apply_list_update(notice.update, notice.addresses)
+        self.engine.update_servers(notice.update)
 
-    def calls(self) -> Calls:
+    def endpoints(self) -> Endpoints:
         """Return the endpoints at the operators' address: those of the proxy and of its parts."""
 
-        def ready(request: Asked) -> Answer:
+        def ready(request: OperatorRequest) -> Answer:
             return Answer(200, b"ready\n") if self.readiness.ready() else Answer(503, b"not ready\n")
 
-        def take_out(request: Asked) -> Answer:
+        def take_out(request: OperatorRequest) -> Answer:
             self.take_out_of_service()
             return Answer(200, b"out of service\n")
 
-        def put_back(request: Asked) -> Answer:
+        def put_back(request: OperatorRequest) -> Answer:
             self.return_to_service()
             return Answer(200, b"in service\n")
 
-        endpoints: Calls = {
-            b"ready": Verbs({b"GET": ready, b"HEAD": ready}),
-            b"counters": Verbs({b"GET": lambda request: Answer(200, self.figures.text())}),
-            b"out-of-service": Verbs({b"PUT": take_out, b"POST": take_out}),
-            b"in-service": Verbs({b"PUT": put_back, b"POST": put_back}),
+        endpoints: Endpoints = {
+            b"ready": Endpoint({b"GET": ready, b"HEAD": ready}),
+            b"counters": Endpoint({b"GET": lambda request: Answer(200, self.counters.text())}),
+            b"out-of-service": Endpoint({b"PUT": take_out, b"POST": take_out}),
+            b"in-service": Endpoint({b"PUT": put_back, b"POST": put_back}),
         }
         for part in self.parts.values():
-            endpoints |= part.calls()
+            endpoints |= part.endpoints()
         return endpoints
 
     def take_out_of_service(self) -> None:
         """Drain client connections on an operator's request; the process keeps running."""
         if self.readiness.out_of_service(self.clock.now_ms()):
             self.log("out_of_service")
-            self.clients.send_away()
+            self.clients.drain_connections()
             self.notify_service_state()
 
     def return_to_service(self) -> None:
@@ -229,22 +231,22 @@
 
     def notify_service_state(self) -> None:
         """Notify the parts of the proxy's service state."""
-        service_state = self.readiness.service()
+        service_state = self.readiness.service_state()
         for part in self.parts.values():
-            part.service(service_state)
+            part.service_state_changed(service_state)
 
     def on_unknown_end(self, call: bytes, cut: bool) -> None:
         """A server ended a call unknown here, such as one set up before a restart: notify its caller."""
-        self.tally.add("servers.unknown_ends")
+        self.metrics.add("servers.unknown_ends")
         self.clients.release(call.hex(), cut)
         for part in self.parts.values():
             part.ended_elsewhere(call.hex())
 
     def log_counters(self, _: object = None) -> None:
         """Log the counters periodically."""
-        counts = sorted(self.tally.counts.items())
+        counts = sorted(self.metrics.counts.items())
         self.log("counts", **{name.replace(" ", "_"): count for name, count in counts})
-        self.deadlines.at(self.clock.now_ms() + COUNTS_LOG_INTERVAL_MS, self.log_counters)
+        self.deadlines.call_at(self.clock.now_ms() + COUNTS_LOG_INTERVAL_MS, self.log_counters)
 
     def reload(self) -> None:
         """SIGHUP: apply the whole new configuration, or reject it and log the reason."""
@@ -253,62 +255,73 @@
         try:
             conf = config.reload(self.conf)
             loaded = LoadedConfig.load(conf)
-            running = parts.fixed(self.loaded.parts)
-            for key, fixed_settings in parts.fixed(loaded.parts).items():
+            running = parts.restart_settings(self.loaded.parts)
+            for key, fixed_settings in parts.restart_settings(loaded.parts).items():
                 if fixed_settings != running[key]:
                     raise config.FixedError(f"{key} can't change without a restart")
             if (conf.settings, conf.most_held) != (self.conf.settings, self.conf.most_held):
-                self.engine.adopt(conf.settings, conf.most_held)  # first, as the Controller may reject them
+                # first, as the Controller may reject them
+                self.engine.apply_settings(conf.settings, conf.most_held)
         except OperatorError as error:
-            self.figures.config_rejected += 1
-            self.tally.add("reloads.rejected")
+            self.counters.config_rejected += 1
+            self.metrics.add("reloads.rejected")
             self.log("reload.refused", level="error", **error.fields())
             return
         old, self.conf, self.loaded = self.conf, conf, loaded
         for name, part in self.parts.items():
-            part.retuned(loaded.parts[name])
-        self.filter()
-        self.figures.config_applied += 1
-        self.tally.add("reloads")
-        self.servers.dial_timeout_s = conf.dial_timeout_ms / 1000.0
+            part.settings_reloaded(loaded.parts[name])
+        self.rebuild_filters()
+        self.counters.config_applied += 1
+        self.metrics.add("reloads")
+        self.servers.connect_timeout_s = conf.dial_timeout_ms / 1000.0
         descriptors = Descriptors.from_config(conf)
-        self.clients.accepted.most, self.clients.accepted.spare = descriptors.callers, descriptors.overflow
-        self.servers.most_links = descriptors.servers
+        self.clients.inbound.max_connections, self.clients.inbound.overflow = (
+            descriptors.callers,
+            descriptors.overflow,
+        )
+        self.servers.max_connections = descriptors.servers
         for notice in conf.notices:
-            if notice.rev > self.board.last:
-                self.board.last = notice.rev
+            if notice.rev > self.board.last_event_id:
+                self.board.last_event_id = notice.rev
                 self.apply_notice(notice)
         if conf.board != old.board:
-            self.board.move(conf.board)
+            self.board.change_address(conf.board)
         self.log("reload.taken")
 
     def drain(self) -> None:
         """SIGTERM: stop accepting connections, answer the open requests and drain client connections."""
-        if not self.readiness.end(self.clock.now_ms(), self.longest_deadline_ms()):
+        if not self.readiness.begin_shutdown(self.clock.now_ms(), self.longest_deadline_ms()):
             return
         if self.port is not None:
-            self.deadlines.at(self.clock.now_ms() + LISTEN_AFTER_SIGTERM_MS, lambda _: stop_shared(self.port))
+            self.deadlines.call_at(
+                self.clock.now_ms() + LISTEN_AFTER_SIGTERM_MS, lambda _: stop_shared(self.port)
+            )
         self.log("draining")
         self.notify_service_state()
-        self.clients.send_away()
+        self.clients.drain_connections()
         self.exit_when_drained()
 
     def exit_when_drained(self, _: object = None) -> None:
         """Exit once no call depends on this process, or shortly before SIGKILL; otherwise check again."""
         now_ms = self.clock.now_ms()
-        ending_ms, last_ms = self.readiness.ending_ms, self.readiness.last_ms(self.longest_deadline_ms())
+        ending_ms, last_ms = (
+            self.readiness.shutdown_since_ms,
+            self.readiness.answer_by_ms(self.longest_deadline_ms()),
+        )
         # The end of an established call can be reported only on a connection from a caller. Once none is left, the
         # servers report it to their other clients, such as a new process beside this one.
-        pending = any(engine.open for engine in self.engines) or (self.engine.standing and self.clients.links)
+        pending = any(engine.open for engine in self.engines) or (
+            self.engine.established and self.clients.connections
+        )
         if now_ms >= last_ms - FINAL_CLOSE_MS:
             # Prevents the exit from dropping connections during a set-up: each is closed once no answer is pending,
             # so that callers resend a set-up that crosses the close.
-            for link in self.clients.links:
+            for link in self.clients.connections:
                 link.still_used = True
         if now_ms >= last_ms or (now_ms >= ending_ms + MIN_DRAIN_MS and not pending):
             self.begin_exit()
             return
-        self.deadlines.at(now_ms + 50.0, self.exit_when_drained)
+        self.deadlines.call_at(now_ms + 50.0, self.exit_when_drained)
 
     def longest_deadline_ms(self) -> float:
         """Return the longest deadline of all classes."""
@@ -322,7 +335,7 @@
         """
         self.board.stop()
         for engine in self.engines:
-            engine.settle()
+            engine.shut_down()
         for part in self.parts.values():
             part.close()
         self.log_counters()
@@ -331,8 +344,8 @@
     def stop_when_flushed(self, last_ms: float) -> None:
         """Stop the reactor once all answers have been flushed to the callers, or at `last_ms`."""
         now_ms = self.clock.now_ms()
-        if now_ms < last_ms and not self.clients.finish():
-            self.deadlines.at(now_ms + FLUSH_POLL_MS, self.stop_when_flushed, last_ms)
+        if now_ms < last_ms and not self.clients.close_connections():
+            self.deadlines.call_at(now_ms + FLUSH_POLL_MS, self.stop_when_flushed, last_ms)
             return
         # The delay lets cancellations of unfinished attempts reach the servers first.
         reactor.callLater(FLUSH_POLL_MS / 1000.0, reactor.stop)
--- a/leadslip/choice.py
+++ b/leadslip/choice.py
@@ -9,9 +9,9 @@
 
 import random
 
-from leadslip import interface as face
+from leadslip import interface
 
-READY = face.ServerState.READY
+READY = interface.ServerState.READY
 
 INTERVAL_MS = 500.0  # between two updates of the refusal probabilities
 SMOOTHING_FACTOR = 0.6  # weight of the newest load value and of the newest refusal probability
@@ -37,8 +37,8 @@
 UNANSWERED_WINDOW_MS = 400.0  # of the calm rate that may be unanswered; in the middle of the curve
 URGENT_WORTH_RATIO = 3.0  # a class worth this many times the least is urgent: well above mere preference
 BUSY_TRIAL_FRACTION = 0.2  # of the calls to a busy number that may be sent as a trial
-MEMORY_GAPS = 3.0  # mean gaps between set-ups for which a load value counts; outlasts an overload
-MEMORY_MS = 30_000.0  # upper bound of that time; half of what the baseline delay is kept for
+SAMPLE_LIFETIME_GAPS = 3.0  # mean gaps between set-ups for which a load value counts; outlasts an overload
+MAX_SAMPLE_LIFETIME_MS = 30_000.0  # upper bound of that time; half of what the baseline delay is kept for
 LOSS_THRESHOLD = 0.7  # recent lost set-ups from which more are expected: one within a few seconds
 MAX_LOG_LINES = 60  # of one controller; few people read the log
 
@@ -46,7 +46,7 @@
 class _Server:
     """State of one setup server as this gateway sees it."""
 
-    def __init__(self, entry: face.ListEntry, started_ms: float, now_ms: float) -> None:
+    def __init__(self, entry: interface.ListEntry, started_ms: float, now_ms: float) -> None:
         self.entry = entry
         self.started_ms = started_ms  # when it started cold; 0: long ago
         self.established = 0  # calls established in this interval
@@ -65,7 +65,9 @@
 class _Call:
     """One call that has not been answered finally."""
 
-    def __init__(self, offered: face.CallOffered, call_class: face.CallClass, max_attempts: int) -> None:
+    def __init__(
+        self, offered: interface.CallOffered, call_class: interface.CallClass, max_attempts: int
+    ) -> None:
         self.offered, self.call_class = offered, call_class
         self.attempts, self.max_attempts = 0, max_attempts  # the bound stays when settings change
         self.server: _Server | None = None  # where an attempt is in progress
@@ -78,14 +80,14 @@
 class Controller:
     """Decides on the calls of one gateway; gateways share no state."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.quotas: dict[str, float] = {}  # tenant -> fraction of all quotas
         self.worths: dict[str, float] = {}  # class -> worth
-        self.adopt(settings)
+        self.apply_settings(settings)
         self.rng = random.Random(seed)
         self.servers: dict[str, _Server] = {}
         self.calls: dict[str, _Call] = {}
-        self.gone: dict[str, float] = {}  # server -> when it was reported gone, oldest first
+        self.gone_servers: dict[str, float] = {}  # server -> when it was reported gone, oldest first
         self.list_received = False
         self.timer_started = False
         self.busy_numbers: dict[str, float] = {}  # number called -> not to be tried before
@@ -94,9 +96,9 @@
         self.learned_ms, self.learned_calls = 0.0, 0  # time and calls over which rates have been learned
         self.logged_lines = 0
         self.recent_losses = 0.0  # set-ups recently found lost, decaying
-        self.actions: list[face.Action] = []
+        self.actions: list[interface.Action] = []
 
-    def adopt(self, settings: face.Settings) -> None:
+    def apply_settings(self, settings: interface.Settings) -> None:
         """Applies settings, initially and when they change; learned server states and rates are kept."""
         _validate(settings)
         self.settings = settings
@@ -111,58 +113,60 @@
         if quotas != self.quotas or not quotas:
             self.quotas, self.tenant_mix = quotas, dict(quotas)  # the latter: of the calls offered here
 
-    def learned(self) -> tuple[float, int, dict[int, float]]:
+    def learned_rates(self) -> tuple[float, int, dict[int, float]]:
         """Returns the time and calls over which rates were learned, and the calm rates by server number."""
         return self.learned_ms, self.learned_calls, dict(self.calm_rates)
 
-    def recall(self, learned_ms: float, learned_calls: int, calm_rates: dict[int, float]) -> None:
+    def restore_rates(self, learned_ms: float, learned_calls: int, calm_rates: dict[int, float]) -> None:
         """Restores what a predecessor process learned, unless this one has learned for longer."""
         if learned_ms > self.learned_ms:
             self.learned_ms, self.learned_calls, self.calm_rates = learned_ms, learned_calls, dict(calm_rates)
 
-    def handle(self, now_ms: float, event: face.Event) -> list[face.Action]:
+    def handle(self, now_ms: float, event: interface.Event) -> list[interface.Action]:
         """Processes one event and returns the actions to take, in order."""
         self.actions = []
         if not self.timer_started:
             self.timer_started = True
             # Gateways that were started together must not end their intervals together.
-            self.actions.append(face.SetTimer(INTERVAL_MS * self.rng.random(), "interval"))
-            self.actions += [face.SubscribeList()] if self.settings.list_on_request else []
+            self.actions.append(interface.SetTimer(INTERVAL_MS * self.rng.random(), "interval"))
+            self.actions += [interface.SubscribeList()] if self.settings.list_on_request else []
         match event:
-            case face.ListNews():
+            case interface.ServerListUpdate():
                 self._update_servers(now_ms, event)
-            case face.CallOffered():
+            case interface.CallOffered():
                 self._on_offered(now_ms, event)
-            case face.CallStands():
+            case interface.CallEstablished():
                 self._on_established(now_ms, event)
-            case face.AttemptEnded():
+            case interface.AttemptEnded():
                 self._on_attempt_ended(now_ms, event)
-            case face.CallerLeft(call):
+            case interface.CallerLeft(call):
                 self.calls.pop(call, None)
-            case face.TimerDue("interval"):
-                self.actions.append(face.SetTimer(INTERVAL_MS, "interval"))
+            case interface.TimerDue("interval"):
+                self.actions.append(interface.SetTimer(INTERVAL_MS, "interval"))
                 self._end_interval(now_ms)
-            case face.TimerDue("list"):
-                self.actions.append(face.SubscribeList())
-            case face.TimerDue(token) if token in self.calls:
+            case interface.TimerDue("list"):
+                self.actions.append(interface.SubscribeList())
+            case interface.TimerDue(token) if token in self.calls:
                 self._decide(now_ms, self.calls[token])
-            case face.ServerLooked(server, _, _, load) if server in self.servers and load:
+            case interface.LoadReported(server, _, _, load) if server in self.servers and load:
                 self.servers[server].free_lines = load.free_lines
         return self.actions
 
     # Server list.
 
-    def _update_servers(self, now_ms: float, update: face.ListNews) -> None:
-        if update.kind is face.NewsKind.FAILED:
-            self.actions.append(face.SetTimer(INTERVAL_MS, "list"))
+    def _update_servers(self, now_ms: float, update: interface.ServerListUpdate) -> None:
+        if update.kind is interface.UpdateKind.FAILED:
+            self.actions.append(interface.SetTimer(INTERVAL_MS, "list"))
             return
-        if update.kind is not face.NewsKind.CHANGES:
+        if update.kind is not interface.UpdateKind.CHANGES:
             names = [entry.server for entry in update.entries]
             self.servers = {name: server for name, server in self.servers.items() if name in names}
         for entry in update.entries:
             old = self.servers.get(entry.server)
-            if entry.state is face.ServerState.GONE and (old is None or old.entry.state is not entry.state):
-                self.gone[entry.server] = now_ms
+            if entry.state is interface.ServerState.GONE and (
+                old is None or old.entry.state is not entry.state
+            ):
+                self.gone_servers[entry.server] = now_ms
             if old is not None and entry.online_since_ms <= old.entry.online_since_ms:
                 old.entry = entry
                 continue
@@ -174,7 +178,9 @@
 
     # Load values and refusal probabilities.
 
-    def _on_answer(self, now_ms: float, server: _Server, delay_ms: float, load: face.Load | None) -> None:
+    def _on_answer(
+        self, now_ms: float, server: _Server, delay_ms: float, load: interface.Load | None
+    ) -> None:
         """Records the load value of an answer: that of its load report if there is one, else its delay."""
         slot = now_ms // BASELINE_SLOT_MS
         server.baselines[slot] = min(server.baselines.get(slot, delay_ms), delay_ms)
@@ -219,9 +225,11 @@
         self.learned_ms += INTERVAL_MS
         # Servers may be replaced under new ids. Deleting those that are gone bounds the table, and keeps the
         # mean calm rate from falling with their number.
-        for name in [name for name, gone_ms in self.gone.items() if gone_ms + MEMORY_MS < now_ms]:
-            del self.gone[name]
-            if name in self.servers and self.servers[name].entry.state is face.ServerState.GONE:
+        for name in [
+            name for name, gone_ms in self.gone_servers.items() if gone_ms + MAX_SAMPLE_LIFETIME_MS < now_ms
+        ]:
+            del self.gone_servers[name]
+            if name in self.servers and self.servers[name].entry.state is interface.ServerState.GONE:
                 del self.servers[name]
         self.recent_losses *= 1.0 - INTERVAL_MS / CALM_RATE_WINDOW_MS
         for server in self.servers.values():
@@ -233,7 +241,7 @@
                 server.sample, server.sampled_ms, server.peak = age, now_ms, max(server.peak, age)
             # One gateway among hundreds gets an answer of a server every few seconds: a sample counts until
             # the next one is due.
-            gap_ms = min(MEMORY_GAPS / max(self._calm_rate(server), 1e-9), MEMORY_MS)
+            gap_ms = min(SAMPLE_LIFETIME_GAPS / max(self._calm_rate(server), 1e-9), MAX_SAMPLE_LIFETIME_MS)
             fresh = now_ms - server.sampled_ms < max(STALE_INTERVALS * INTERVAL_MS, gap_ms)
             server.load += SMOOTHING_FACTOR * ((server.sample if fresh else 0.0) - server.load)
             probability = min(1.0, max(0.0, (server.load - MINOR_MS) / (MAJOR_MS - MINOR_MS)))
@@ -268,7 +276,7 @@
         if server.overloaded is not overloaded and self.logged_lines < MAX_LOG_LINES:
             self.logged_lines += 1
             self.actions.append(
-                face.Log(f"{server.entry.server} is {'jammed' if overloaded else 'calm again'}")
+                interface.Log(f"{server.entry.server} is {'jammed' if overloaded else 'calm again'}")
             )
         server.overloaded = overloaded
 
@@ -282,10 +290,10 @@
 
     # Calls.
 
-    def _on_offered(self, now_ms: float, offered: face.CallOffered) -> None:
+    def _on_offered(self, now_ms: float, offered: interface.CallOffered) -> None:
         call_class = self.classes.get(offered.call_class)
         if call_class is None:
-            self.actions.append(face.Refuse(offered.call))
+            self.actions.append(interface.Refuse(offered.call))
             return
         self.learned_calls += 1
         self.mean_worth += (call_class.worth - self.mean_worth) / MIX_WINDOW_CALLS
@@ -300,7 +308,7 @@
         if call.server is not None or call.established or now_ms < call.retry_at_ms:
             return
         timeout_at_ms = call.offered.valid_until_ms - 2 * self.settings.tick_ms
-        unsafe = call.may_have_run and call.call_class.repeat is not face.Repeat.FREE
+        unsafe = call.may_have_run and call.call_class.repeat is not interface.Repeat.FREE
         # While all lines of a number are busy, calls to it only cost work. Refusing them keeps one number
         # from taking the servers' capacity; it may harm a number that becomes free quickly.
         if now_ms < self.busy_numbers.get(call.offered.number_called, 0.0):
@@ -324,7 +332,7 @@
         server.tokens, server.refilled_ms = self._tokens(now_ms, server) - 1.0, now_ms
         if server.free_lines is not None:
             server.free_lines -= call.offered.lines
-        self.actions.append(face.SetUp(call.offered.call, server.entry.server, timeout_at_ms))
+        self.actions.append(interface.SetUp(call.offered.call, server.entry.server, timeout_at_ms))
 
     def _eligible(self, now_ms: float, call: _Call, server: _Server) -> bool:
         pools, offered, number = call.call_class.allowed_pools, call.offered, server.entry.number
@@ -446,7 +454,7 @@
             return False
         return self.rng.random() < server.refusal_probability
 
-    def _on_established(self, now_ms: float, event: face.CallStands) -> None:
+    def _on_established(self, now_ms: float, event: interface.CallEstablished) -> None:
         call = self.calls.get(event.call)
         if call is None or call.server is None or call.server.entry.server != event.server:
             return
@@ -454,10 +462,10 @@
         call.server.established += 1
         self.busy_numbers.pop(call.offered.number_called, None)
         call.server.unanswered.pop(event.call, None)
-        call.server.answered_sent_ms = max(call.server.answered_sent_ms, now_ms - event.taken_ms)
-        self._on_answer(now_ms, call.server, event.taken_ms, None)
+        call.server.answered_sent_ms = max(call.server.answered_sent_ms, now_ms - event.elapsed_ms)
+        self._on_answer(now_ms, call.server, event.elapsed_ms, None)
 
-    def _on_attempt_ended(self, now_ms: float, event: face.AttemptEnded) -> None:
+    def _on_attempt_ended(self, now_ms: float, event: interface.AttemptEnded) -> None:
         call, server = self.calls.get(event.call), self.servers.get(event.server)
         if server is not None:
             self._record_end(now_ms, server, event)
@@ -469,27 +477,27 @@
             return
         outcome = event.outcome
         call.failed_servers.append(event.server)
-        never_ran = (face.Outcome.FULL, face.Outcome.NO_CONNECTION, face.Outcome.NOT_SENT)
+        never_ran = (interface.Outcome.FULL, interface.Outcome.NO_CONNECTION, interface.Outcome.NOT_SENT)
         call.may_have_run = call.may_have_run or outcome not in never_ran
-        if event.cause is face.Cause.NO_LINE and server is not None:
+        if event.cause is interface.Cause.NO_LINE and server is not None:
             # Free lines are reported late, and a set-up refused for want of one costs work and a detour. This
             # covers full servers and broken groups; it may harm where free lines are reported seldom
             # and lines become free quickly.
             server.free_lines = 0.0 if server.free_lines is not None else None
-        if event.cause is face.Cause.NUMBER_BUSY:
+        if event.cause is interface.Cause.NUMBER_BUSY:
             self.busy_numbers[call.offered.number_called] = now_ms + BUSY_RETRY_MS
-            self._answer(call, failed=call.call_class.repeat is not face.Repeat.FREE, busy=True)
+            self._answer(call, failed=call.call_class.repeat is not interface.Repeat.FREE, busy=True)
             return
-        if outcome in (face.Outcome.TIMED_OUT, face.Outcome.CUT, face.Outcome.WITHDRAWN):
+        if outcome in (interface.Outcome.TIMED_OUT, interface.Outcome.CUT, interface.Outcome.WITHDRAWN):
             call.retry_at_ms = now_ms + self.settings.release_wait_ms + self.settings.tick_ms
             if call.retry_at_ms >= call.offered.valid_until_ms - 2 * self.settings.tick_ms:
                 self._answer(call, failed=True)
             else:
-                self.actions.append(face.SetTimer(call.retry_at_ms - now_ms, event.call))
+                self.actions.append(interface.SetTimer(call.retry_at_ms - now_ms, event.call))
             return
         self._decide(now_ms, call)
 
-    def _record_end(self, now_ms: float, server: _Server, event: face.AttemptEnded) -> None:
+    def _record_end(self, now_ms: float, server: _Server, event: interface.AttemptEnded) -> None:
         """Records what the end of an attempt shows about its server."""
         server.unanswered.pop(event.call, None)
         outcome, load = event.outcome, event.load
@@ -497,19 +505,19 @@
             # Each report gives the free lines as of its sending. Else a server would be taken for full until
             # its next unsolicited report, although lines become free there all the time.
             server.free_lines = load.free_lines
-        server.timed_out = server.timed_out or outcome is face.Outcome.TIMED_OUT
-        if outcome in (face.Outcome.ERROR, face.Outcome.FULL):
-            self._on_answer(now_ms, server, event.taken_ms, load)
-        elif outcome is face.Outcome.SERVED and load is not None and load.wait_ms is not None:
+        server.timed_out = server.timed_out or outcome is interface.Outcome.TIMED_OUT
+        if outcome in (interface.Outcome.ERROR, interface.Outcome.FULL):
+            self._on_answer(now_ms, server, event.elapsed_ms, load)
+        elif outcome is interface.Outcome.SERVED and load is not None and load.wait_ms is not None:
             self._record_sample(now_ms, server, load.wait_ms)
-        if outcome is face.Outcome.NO_CONNECTION or event.cause is face.Cause.PROCESSOR_FULL:
+        if outcome is interface.Outcome.NO_CONNECTION or event.cause is interface.Cause.PROCESSOR_FULL:
             self._record_sample(now_ms, server, MAJOR_MS)
             server.refusal_probability = 1.0
 
     def _answer(self, call: _Call, failed: bool, busy: bool = False) -> None:
         name, settings = call.offered.call, self.settings
         pause_ms = settings.max_pause_ms if busy and settings.callers_obey_pause else 0.0
-        self.actions.append(face.Fail(name) if failed else face.Refuse(name, pause_ms))
+        self.actions.append(interface.Fail(name) if failed else interface.Refuse(name, pause_ms))
         self.calls.pop(name, None)
 
 
@@ -519,7 +527,7 @@
     return max(0.0, MINOR_MS + (value - minor) / (major - minor) * (MAJOR_MS - MINOR_MS))
 
 
-def _validate(settings: face.Settings) -> None:
+def _validate(settings: interface.Settings) -> None:
     """Raises SettingsError, which names the field, for values out of range."""
     positive = ("gateways", "max_attempts", "cold_fraction", "push_multiple", "tick_ms")
     wrong = [field for field in positive if not getattr(settings, field) > 0]
@@ -527,7 +535,7 @@
     wrong += ["cold_fraction"] if settings.cold_fraction > 1 else []
     wrong += ["classes"] if not settings.classes or min(item.worth for item in settings.classes) < 0 else []
     if wrong:
-        raise face.SettingsError(
+        raise interface.SettingsError(
             f"{wrong[0]} is out of range: {getattr(settings, wrong[0])!r} (waiting times and worths must be "
             "at least 0, all else above 0, fractions at most 1; one class at least)"
         )
--- a/leadslip/cli/demo.py
+++ b/leadslip/cli/demo.py
@@ -12,7 +12,7 @@
 
 import click
 
-from leadslip.cli.told import json_option
+from leadslip.cli.output import json_option
 
 CALL_INTERVAL_S = 0.25
 HOLD_S = 1.5  # holding time of an established call
--- a/leadslip/cli/drill.py
+++ b/leadslip/cli/drill.py
@@ -14,10 +14,10 @@
 
 import click
 
-from leadslip.cli.told import PlotError, format_table, json_option, print_result
+from leadslip.cli.output import PlotError, format_table, json_option, print_result
 from leadslip.drill import check as checker
 from leadslip.drill import scenario as scenarios
-from leadslip.drill.scenario import Act, Scenario
+from leadslip.drill.scenario import Scenario, ScheduledAction
 
 
 @click.group()
@@ -26,7 +26,7 @@
 
 
 def run_scenario(
-    scenario: Scenario, seed: int, folder: Path, acts: list[Act] | None = None, broken: str = ""
+    scenario: Scenario, seed: int, folder: Path, acts: list[ScheduledAction] | None = None, broken: str = ""
 ) -> dict:
     """Run one scenario with its files in `folder` and return the checked result."""
     from leadslip.drill.run import Drill
@@ -132,7 +132,7 @@
 def list_() -> None:
     """List the scenarios that come with the program."""
     rows = []
-    for path in sorted(scenarios.HERE.glob("*.toml")):
+    for path in sorted(scenarios.SCENARIO_DIR.glob("*.toml")):
         scenario = scenarios.load(path)
         rows.append((path.stem, scenario.processes, scenario.provokes))
     for line in format_table(("scenario", "processes", "provokes"), rows):
@@ -150,15 +150,15 @@
 
     parsed_scenario = scenarios.load(scenario)
     schedule = json.loads((Path(folder) / "schedule.json").read_text())
-    acts = [msgspec.convert(act, Act) for act in schedule["acts"]]
+    acts = [msgspec.convert(act, ScheduledAction) for act in schedule["acts"]]
 
-    def breaks_invariant(subset: list[Act]) -> bool:
+    def breaks_invariant(subset: list[ScheduledAction]) -> bool:
         with tempfile.TemporaryDirectory(prefix="drill-") as run_folder:
             return not run_scenario(parsed_scenario, schedule["seed"], Path(run_folder), subset, broken)[
                 "held"
             ]
 
-    shortest = scenarios.shrunk(acts, breaks_invariant)
+    shortest = scenarios.minimized(acts, breaks_invariant)
     (Path(folder) / "least.json").write_bytes(
         msgspec.json.encode({"seed": schedule["seed"], "acts": shortest})
     )
--- a/leadslip/cli/fleet.py
+++ b/leadslip/cli/fleet.py
@@ -12,7 +12,7 @@
 
 import click
 
-from leadslip.cli.told import format_table, json_option, print_result
+from leadslip.cli.output import format_table, json_option, print_result
 from leadslip.errors import OperatorError
 
 if TYPE_CHECKING:
--- a/leadslip/cli/lab.py
+++ b/leadslip/cli/lab.py
@@ -7,7 +7,7 @@
 import click
 
 from leadslip.cli.drill import plot_run
-from leadslip.cli.told import format_table, json_option, print_result
+from leadslip.cli.output import format_table, json_option, print_result
 from leadslip.drill.scenario import load
 
 
@@ -24,9 +24,9 @@
 @json_option
 def fleet(scenario: str, members: int, seed: int, plot: str | None, json_: bool) -> None:
     """Simulate a drill's SCENARIO; exits with 0 if all invariants held, 1 if one was broken."""
-    from leadslip.lab.play import Play
+    from leadslip.lab.simulation import Simulation
 
-    simulation = Play(load(scenario), members, seed)
+    simulation = Simulation(load(scenario), members, seed)
     result = simulation.run()
     if plot:
         title = f"{result['title']}, {members} members, seed {seed}"
--- a/leadslip/cli/toy.py
+++ b/leadslip/cli/toy.py
@@ -10,16 +10,16 @@
 from leadslip.net.servers import (
     ANSWER,
     CAUSE,
+    CAUSE_NORMAL,
     DESCRIPTION,
-    NORMAL,
     NOTE,
     RELEASE,
     REPORT,
     SET_UP,
     STATE,
     TEST,
-    TEST_ENDED,
-    message,
+    TEST_RESULT,
+    encode_message,
 )
 
 CAUSE_NO_CIRCUIT = 34  # cause value "no circuit/channel available" (ITU-T Q.850)
@@ -35,7 +35,7 @@
         self.transport.setTcpNoDelay(True)
         server.connections.append(self)
         releases, server.recent_releases = server.recent_releases, []
-        self.send(message(STATE, bytes(8), (REPORT, server.report())) + b"".join(releases))
+        self.send(encode_message(STATE, bytes(8), (REPORT, server.report())) + b"".join(releases))
 
     def connectionLost(self, reason: object = None) -> None:  # noqa: N802
         self.factory.connections.remove(self)
@@ -46,23 +46,23 @@
         if message_type == RELEASE and call_id in server.release_timers:
             server.release_timers.pop(call_id).cancel()
         if message_type == TEST:
-            self.send(message(TEST_ENDED, call_id, (CAUSE, b"\x01")))
+            self.send(encode_message(TEST_RESULT, call_id, (CAUSE, b"\x01")))
         if message_type != SET_UP:
             return
         if len(server.release_timers) >= server.lines:
             server.log(f"{call_id.hex()} refused: all {server.lines} lines are busy")
             fields = (CAUSE, bytes((CAUSE_NO_CIRCUIT,))), (NOTE, b"no_circuit"), (REPORT, server.report())
-            self.send(message(RELEASE, call_id, *fields))
+            self.send(encode_message(RELEASE, call_id, *fields))
             return
         server.log(f"{call_id.hex()} established on line {len(server.release_timers) + 1} of {server.lines}")
         server.release_timers[call_id] = server.reactor.callLater(server.hold_s, self.release, call_id)
-        self.send(message(ANSWER, call_id, (DESCRIPTION, OFFER), (REPORT, server.report())))
+        self.send(encode_message(ANSWER, call_id, (DESCRIPTION, OFFER), (REPORT, server.report())))
 
     def release(self, call_id: bytes) -> None:
         """Release a call at the end of its holding time."""
         server = self.factory
         del server.release_timers[call_id]
-        release = message(RELEASE, call_id, (CAUSE, bytes((NORMAL,))), (REPORT, server.report()))
+        release = encode_message(RELEASE, call_id, (CAUSE, bytes((CAUSE_NORMAL,))), (REPORT, server.report()))
         # Sent on the connection of the set-up, or on any open one, and repeated on the next one that is opened.
         server.recent_releases = [*server.recent_releases[-99:], release]
         if server.connections:
--- a/leadslip/cli/trunks.py
+++ b/leadslip/cli/trunks.py
@@ -7,7 +7,7 @@
 
 import click
 
-from leadslip.cli.told import PlotError, format_table, json_option, print_result, raise_file_error
+from leadslip.cli.output import PlotError, format_table, json_option, print_result, raise_file_error
 from leadslip.trunks import losses, plan, sizing
 from leadslip.trunks import redials as redial_model
 from leadslip.trunks.losses import LossError
@@ -243,7 +243,9 @@
     from leadslip.trunks import report
 
     quarters = report.Quarters(store)
-    reports = [quarters.told(name, kind, confidence) for name in ([group] if group else quarters.groups)]
+    reports = [
+        quarters.group_report(name, kind, confidence) for name in ([group] if group else quarters.groups)
+    ]
     if plot is not None:
         try:
             report.draw(quarters, [group_report.group for group_report in reports], plot)
@@ -291,5 +293,5 @@
         for start_s, peak in group_report.surges:
             start = datetime.datetime.fromtimestamp(start_s, datetime.UTC)
             lines.append(f"{group_report.group}: surge of {peak:.4g} erlangs on {start:%Y-%m-%d}, excluded")
-    lines += [f"damaged record, excluded: {record}" for record in quarters.damaged]
-    print_result({"busy_hour": kind, "groups": reports, "damaged": quarters.damaged}, json_, lines)
+    lines += [f"damaged record, excluded: {record}" for record in quarters.damaged_records]
+    print_result({"busy_hour": kind, "groups": reports, "damaged": quarters.damaged_records}, json_, lines)
--- a/leadslip/config.py
+++ b/leadslip/config.py
@@ -11,13 +11,17 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.errors import OperatorError
 
 Fields = dict[str, str]
 Address = tuple[str, int]
 
-REPEATS = {"retryable": face.Repeat.FREE, "dedup": face.Repeat.DEDUPED, "fragile": face.Repeat.ONCE}
+REPEATS = {
+    "retryable": interface.Repeat.FREE,
+    "dedup": interface.Repeat.DEDUPED,
+    "fragile": interface.Repeat.ONCE,
+}
 LOAD_FIELDS = {  # name in a load report -> field of Load
     "idle": "free_lines",
     "circuits": "lines",
@@ -115,7 +119,7 @@
     return value
 
 
-def whole(fields: Fields, key: str, default: int | None = None) -> int:
+def integer(fields: Fields, key: str, default: int | None = None) -> int:
     """The integer under a key, which is required if there is no default."""
     value = number(fields, key, default)
     if value != int(value):
@@ -123,14 +127,14 @@
     return int(fields[key]) if fields.get(key, "").lstrip("-").isdigit() else int(value)
 
 
-def word(fields: Fields, key: str) -> str:
+def required_text(fields: Fields, key: str) -> str:
     """The text under a required key."""
     if not fields.get(key):
         raise MissingError(f"{key} is missing")
     return fields[key]
 
 
-def flag(fields: Fields, key: str, default: bool = False) -> bool:
+def boolean(fields: Fields, key: str, default: bool = False) -> bool:
     """The boolean under a key: 1, 0, true or false."""
     text = fields.get(key)
     if text is None:
@@ -140,45 +144,47 @@
     return text in ("1", "true")
 
 
-def known(table: dict, value: object, key: str) -> object:
+def lookup_keyword(table: dict, value: object, key: str) -> object:
     """Looks up a keyword in a table; raises MalformedError for one that is not in it."""
     if value not in table:
         raise MalformedError(f"{key} is unknown: {value}")
     return table[value]
 
 
-def settings_of(conf: Fields) -> face.Settings:
+def parse_settings(conf: Fields) -> interface.Settings:
     """The library's Settings from the flat settings of a configuration or of the simulator's start message."""
     classes = []
-    for i in range(whole(conf, "services.count")):
+    for i in range(integer(conf, "services.count")):
         prefix = f"services.{i}."
         pools = conf.get(f"extra.allowed_pools.{i}")
         classes.append(
-            face.CallClass(
-                name=word(conf, prefix + "name"),
+            interface.CallClass(
+                name=required_text(conf, prefix + "name"),
                 worth=number(conf, prefix + "gain"),
                 late_worth=number(conf, prefix + "late_worth", 0.0),
                 aim_ms=number(conf, prefix + "aim_ms"),
                 deadline_ms=number(conf, prefix + "deadline_ms"),
-                repeat=known(REPEATS, conf.get(prefix + "idempotency", "retryable"), prefix + "idempotency"),
+                repeat=lookup_keyword(
+                    REPEATS, conf.get(prefix + "idempotency", "retryable"), prefix + "idempotency"
+                ),
                 allowed_pools=None if pools is None else tuple(pool_numbers(pools, i)),
             )
         )
     tenants = tuple(
-        face.Tenant(word(conf, f"customers.{i}.name"), number(conf, f"customers.{i}.quota_rps"))
-        for i in range(whole(conf, "customers.count", 0))
+        interface.Tenant(required_text(conf, f"customers.{i}.name"), number(conf, f"customers.{i}.quota_rps"))
+        for i in range(integer(conf, "customers.count", 0))
     )
-    return face.Settings(
-        gateways=whole(conf, "balancers"),
-        index=whole(conf, "index"),
+    return interface.Settings(
+        gateways=integer(conf, "balancers"),
+        index=integer(conf, "index"),
         classes=tuple(classes),
         tenants=tenants,
         over_share_worth=number(conf, "over_share_worth", 1.0),
-        max_attempts=whole(conf, "limits.most_tries"),
-        may_withdraw=flag(conf, "limits.cancel"),
-        may_probe=flag(conf, "limits.may_probe"),
-        may_tell_peers=flag(conf, "limits.peers"),
-        callers_obey_pause=flag(conf, "limits.retry_after"),
+        max_attempts=integer(conf, "limits.most_tries"),
+        may_withdraw=boolean(conf, "limits.cancel"),
+        may_probe=boolean(conf, "limits.may_probe"),
+        may_tell_peers=boolean(conf, "limits.peers"),
+        callers_obey_pause=boolean(conf, "limits.retry_after"),
         max_pause_ms=number(conf, "limits.max_retry_after_ms", 0.0),
         drain_grace_ms=number(conf, "obligations.stop_sending_within_ms", 0.0),
         cold_fraction=number(conf, "obligations.cold_from"),
@@ -189,7 +195,7 @@
         resend_ms=number(conf, "extra.resend_ms", 0.0),
         tick_ms=number(conf, "tick_ms", 1.0),
         list_on_request=conf.get("membership_mode") == "on_request",
-        own_number=whole(conf, "extra.here", -1),
+        own_number=integer(conf, "extra.here", -1),
     )
 
 
@@ -197,10 +203,10 @@
     """The pools that class i may use."""
     for item in text.split(","):
         if item:
-            yield whole({f"extra.allowed_pools.{i}": item}, f"extra.allowed_pools.{i}")
+            yield integer({f"extra.allowed_pools.{i}": item}, f"extra.allowed_pools.{i}")
 
 
-def load_of(text: str | None, names: list[str]) -> face.Load | None:
+def parse_load_values(text: str | None, names: list[str]) -> interface.Load | None:
     """A load report of comma-separated values: negative ones count as not reported, unknown names are skipped."""
     if not text:
         return None
@@ -209,10 +215,10 @@
         value = number({"stats": item}, "stats")
         if name in LOAD_FIELDS and value >= 0:
             values[LOAD_FIELDS[name]] = value
-    return face.Load(**values)
+    return interface.Load(**values)
 
 
-def load_named(text: str) -> face.Load:
+def parse_load_report(text: str) -> interface.Load:
     """A load report as setup servers send it, such as x0:12;x1:40: negative values count as not reported.
 
     Unknown names are skipped.
@@ -224,15 +230,15 @@
             value = number({name: value_text}, name)
             if value >= 0:
                 values[LOAD_FIELDS[name]] = value
-    return face.Load(**values)
+    return interface.Load(**values)
 
 
 # The configuration file of a signalling proxy, and the events of the notice board, which have the same form.
 
 SERVER_STATES = {
-    "active": face.ServerState.READY,
-    "leaving": face.ServerState.DRAINING,
-    "left": face.ServerState.GONE,
+    "active": interface.ServerState.READY,
+    "leaving": interface.ServerState.DRAINING,
+    "left": interface.ServerState.GONE,
 }
 
 
@@ -252,7 +258,7 @@
     """One event of the notice board: a server list update, and the address of each server in it."""
 
     rev: int
-    news: face.ListNews
+    update: interface.ServerListUpdate
     addresses: dict[str, Address]
 
 
@@ -268,7 +274,7 @@
     board: Address
     last_event: int
     notices: tuple[Notice, ...]
-    settings: face.Settings
+    settings: interface.Settings
     dial_timeout_ms: float
     most_held: int
     keys: frozenset[str] = frozenset()  # the keys written in the file, except those of events and classes
@@ -296,7 +302,7 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def member(table: Mapping, key: str, types: type | tuple[type, ...], path: str = "") -> object:
+def required_value(table: Mapping, key: str, types: type | tuple[type, ...], path: str = "") -> object:
     """The value of a required key of a JSON object; raises MalformedError if it is not of the type."""
     name = f"{path}.{key}" if path else key
     if key not in table:
@@ -307,7 +313,7 @@
     return value
 
 
-def address_of(text: object, key: str) -> Address:
+def parse_address(text: object, key: str) -> Address:
     """Parses IP:port; host names are rejected, since DNS may not be available."""
     host, _, port = str(text).rpartition(":")
     try:
@@ -319,37 +325,43 @@
     return host, int(port)
 
 
-def notice_of(event: object, path: str) -> Notice:
+def parse_notice(event: object, path: str) -> Notice:
     """Parses an event of the notice board; `boot_ms` is Unix time, like the clock of the core."""
     if not isinstance(event, Mapping):
         raise MalformedError(f"{path} must be an object")
-    rev = int(member(event, "rev", int, path))
-    pool = member(event, "pool", Mapping, path)
+    rev = int(required_value(event, "rev", int, path))
+    pool = required_value(event, "pool", Mapping, path)
     entries, addresses = [], {}
-    for i, target in enumerate(member(pool, "targets", list, f"{path}.pool")):
+    for i, target in enumerate(required_value(pool, "targets", list, f"{path}.pool")):
         target_path = f"{path}.pool.targets.{i}"
         if not isinstance(target, Mapping):
             raise MalformedError(f"{target_path} must be an object")
-        uid = str(member(target, "uid", str, target_path))
-        state = known(SERVER_STATES, member(target, "state", str, target_path), f"{target_path}.state")
-        addresses[uid] = address_of(member(target, "endpoint", str, target_path), f"{target_path}.endpoint")
+        uid = str(required_value(target, "uid", str, target_path))
+        state = lookup_keyword(
+            SERVER_STATES, required_value(target, "state", str, target_path), f"{target_path}.state"
+        )
+        addresses[uid] = parse_address(
+            required_value(target, "endpoint", str, target_path), f"{target_path}.endpoint"
+        )
         pod_group = target.get("pod_group", -1)
         boot_ms = target.get("boot_ms", 0)
         fields = {"pod_group": str(pod_group), "boot_ms": str(boot_ms)}
-        entries.append(face.ListEntry(uid, whole(fields, "pod_group"), state, number(fields, "boot_ms")))
-    update_kind = face.NewsKind.WHOLE if pool.get("all") is True else face.NewsKind.CHANGES
-    return Notice(rev, face.ListNews(update_kind, tuple(entries)), addresses)
+        entries.append(
+            interface.ListEntry(uid, integer(fields, "pod_group"), state, number(fields, "boot_ms"))
+        )
+    update_kind = interface.UpdateKind.SNAPSHOT if pool.get("all") is True else interface.UpdateKind.CHANGES
+    return Notice(rev, interface.ServerListUpdate(update_kind, tuple(entries)), addresses)
 
 
 def config_of(document: object) -> Config:
     """Parses and validates the configuration of a signalling proxy. Raises MalformedError."""
     if not isinstance(document, Mapping):
         raise MalformedError("the configuration is no object")
-    flat = flatten(member(document, "settings", Mapping))
+    flat = flatten(required_value(document, "settings", Mapping))
     flat.setdefault("services.count", "0")
     try:
-        settings = settings_of(flat)
-        if whole(flat, "services.count") < 1:
+        settings = parse_settings(flat)
+        if integer(flat, "services.count") < 1:
             raise MalformedError("services is empty")
         for key in POSITIVE_KEYS + tuple(f"services.{i}.deadline_ms" for i in range(len(settings.classes))):
             if key in flat and not number(flat, key) > 0:
@@ -357,16 +369,16 @@
         if settings.cold_fraction > 1:
             raise BoundsError(f"obligations.cold_from must not be above 1: {settings.cold_fraction}")
         dial_timeout_ms = number(flat, "limits.dial_timeout_ms", 500.0)
-        most_held = whole(flat, "limits.most_held", 20_000)
+        most_held = integer(flat, "limits.most_held", 20_000)
     except MalformedError as error:
         raise error.with_prefix("settings.") from error
-    known_state = member(document, "known", Mapping)
+    known_state = required_value(document, "known", Mapping)
     notices = [
-        notice_of(event, f"known.notices.{i}")
-        for i, event in enumerate(member(known_state, "notices", list, "known"))
+        parse_notice(event, f"known.notices.{i}")
+        for i, event in enumerate(required_value(known_state, "notices", list, "known"))
     ]
     try:
-        seed = int(str(member(document, "seed", (str, int))), 16)
+        seed = int(str(required_value(document, "seed", (str, int))), 16)
     except ValueError as error:
         raise MalformedError("seed must be a hexadecimal number") from error
     limits = document.get("limits", {})
@@ -377,12 +389,12 @@
         raise MalformedError(f"limits.sockets must be an integer of at least 16: {sockets!r}")
     return Config(
         name=str(document.get("name", "")),
-        listen=address_of(member(document, "listen", str), "listen"),
-        ops=None if document.get("ops") is None else address_of(document["ops"], "ops"),
+        listen=parse_address(required_value(document, "listen", str), "listen"),
+        ops=None if document.get("ops") is None else parse_address(document["ops"], "ops"),
         seed=seed,
         sockets=sockets,
-        board=address_of(member(document, "board", str), "board"),
-        last_event=int(member(known_state, "rev", int, "known")),
+        board=parse_address(required_value(document, "board", str), "board"),
+        last_event=int(required_value(known_state, "rev", int, "known")),
         notices=tuple(notices),
         settings=settings,
         dial_timeout_ms=dial_timeout_ms,
@@ -390,7 +402,7 @@
     )
 
 
-def turned_on(table: Mapping, path: str, keys: tuple[str, ...]) -> bool:
+def is_enabled(table: Mapping, path: str, keys: tuple[str, ...]) -> bool:
     """Whether the settings file of a part enables it; raises MalformedError for an unknown key."""
     for key in table:
         if key != "enabled" and key not in keys:
@@ -401,7 +413,7 @@
     return enabled
 
 
-def figures_of(table: Mapping, path: str, bounds: Mapping[str, tuple]) -> dict:
+def bounded_numbers(table: Mapping, path: str, bounds: Mapping[str, tuple]) -> dict:
     """The numbers of a table, checked against key -> (default, minimum, maximum); integers where the default is one."""
     numbers = {}
     for key, (default, minimum, maximum) in bounds.items():
--- a/leadslip/configure.py
+++ b/leadslip/configure.py
@@ -75,7 +75,7 @@
         for key in table:
             if key not in APPLICATION_KEYS:
                 raise UnknownKeyError(f"{path}.{key} is unknown")
-        name = str(config.member(table, "name", str, path))
+        name = str(config.required_value(table, "name", str, path))
         if not name or name != Path(name).name or name in applications:
             raise TakenError(f"{path}.name must be a file name that no other application has: {name!r}")
         merged = {key: value for key, value in document.items() if key != "application"} | table
@@ -86,14 +86,18 @@
         try:
             config_table["known"] = known_state_of(merged.get("servers", []))
             conf = config.config_of(config_table)
-            around = parts.Around(tuple(call_class.name for call_class in conf.settings.classes))
+            context = parts.SettingsContext(tuple(call_class.name for call_class in conf.settings.classes))
             for part in parts.NAMES:
-                around.settings[part] = parts.kind(part).settings(merged.get(part, {}), around)
+                context.settings[part] = parts.settings_class(part).settings(merged.get(part, {}), context)
         except MalformedError as error:
             raise error.with_prefix(f"{path} ({name}): ") from error
         exclusive = [("listen", conf.listen)]
-        for part, part_settings in around.settings.items():
-            exclusive += parts.kind(part).taken(part_settings) if part_settings is not None else ()
+        for part, part_settings in context.settings.items():
+            exclusive += (
+                parts.settings_class(part).exclusive_values(part_settings)
+                if part_settings is not None
+                else ()
+            )
         for key, value in exclusive:
             if value in owners:
                 value_text = "{}:{}".format(*value) if isinstance(value, tuple) else value
@@ -139,10 +143,10 @@
     if name.endswith(".json"):
         config.config_of(config.read_json(path, "file"))
     elif name.endswith(".toml") and name[:-5] in parts.NAMES:
-        around = parts.Around(
+        context = parts.SettingsContext(
             settings=dict.fromkeys(parts.NAMES, True)
         )  # which other parts are on is unknown here
-        parts.kind(name[:-5]).settings(read_toml(path), around)
+        parts.settings_class(name[:-5]).settings(read_toml(path), context)
     else:
         applications_of(read_toml(path))
 
--- a/leadslip/core.py
+++ b/leadslip/core.py
@@ -12,33 +12,33 @@
 from dataclasses import replace
 from typing import Protocol
 
-from leadslip import interface as face
-from leadslip.checks import Tally
+from leadslip import interface
 from leadslip.choice import Controller
 from leadslip.counters import Counters
 from leadslip.deadlines import Clock, Deadlines
 from leadslip.filters import Chain
 from leadslip.logs import Log
+from leadslip.metrics import Metrics
 from leadslip.request import Attempt, Request, State
 
-RELEASE_WAIT_OUTCOMES = (face.Outcome.TIMED_OUT, face.Outcome.CUT, face.Outcome.WITHDRAWN)
+RELEASE_WAIT_OUTCOMES = (interface.Outcome.TIMED_OUT, interface.Outcome.CUT, interface.Outcome.WITHDRAWN)
 
 
-class FarSide(Protocol):
+class Upstream(Protocol):
     """Sends attempts to setup servers and reports their results through Engine.stood and Engine.ended."""
 
-    def send(self, attempt: Attempt) -> face.Outcome | None:
+    def send(self, attempt: Attempt) -> interface.Outcome | None:
         """Send a set-up; returns an outcome if it could not be sent, else None."""
 
-    def give_up(self, attempt: Attempt) -> None: ...
+    def cancel(self, attempt: Attempt) -> None: ...
 
     def release(self, attempt: Attempt) -> None: ...
 
 
-class Watcher(Protocol):
+class Observer(Protocol):
     """Notified of ended attempts and answered requests, for traces and metrics."""
 
-    def attempt_ended(self, attempt: Attempt, outcome: face.Outcome, now_ms: float) -> None: ...
+    def attempt_ended(self, attempt: Attempt, outcome: interface.Outcome, now_ms: float) -> None: ...
 
     def request_answered(self, request: Request, answer: str, now_ms: float) -> None: ...
 
@@ -46,10 +46,10 @@
 class Observers:
     """Notifies several observers in order."""
 
-    def __init__(self, *observers: Watcher) -> None:
+    def __init__(self, *observers: Observer) -> None:
         self.observers = observers
 
-    def attempt_ended(self, attempt: Attempt, outcome: face.Outcome, now_ms: float) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: interface.Outcome, now_ms: float) -> None:
         for observer in self.observers:
             observer.attempt_ended(attempt, outcome, now_ms)
 
@@ -63,48 +63,54 @@
 
     def __init__(
         self,
-        settings: face.Settings,
+        settings: interface.Settings,
         seed: int,
         clock: Clock,
         deadlines: Deadlines,
-        far_side: FarSide,
-        tally: Tally,
+        upstream: Upstream,
+        metrics: Metrics,
         log: Log,
-        most_held: int = 20_000,
-        watcher: Watcher | None = None,
-        attempt_ms: float = float("inf"),
+        max_open_requests: int = 20_000,
+        observer: Observer | None = None,
+        max_attempt_ms: float = float("inf"),
         counters: Counters | None = None,
     ) -> None:
         self.settings, self.clock, self.deadlines = settings, clock, deadlines
         self.controller = Controller(settings, seed)
-        self.far_side, self.tally, self.log, self.most_held = far_side, tally, log, most_held
-        self.watcher = watcher
+        self.upstream, self.metrics, self.log, self.max_open_requests = (
+            upstream,
+            metrics,
+            log,
+            max_open_requests,
+        )
+        self.observer = observer
         self.counters = counters or Counters()
-        self.counters.count_classes(call_class.name for call_class in settings.classes)
-        self.counters.watch("active", self.active)
-        self.attempt_ms = attempt_ms  # upper limit per attempt, so that a silent peer leaves time for another
-        self.chain = Chain(tally, log)
+        self.counters.add_classes(call_class.name for call_class in settings.classes)
+        self.counters.add_gauge("active", self.active_count)
+        # upper limit per attempt, so that a silent peer leaves time for another
+        self.max_attempt_ms = max_attempt_ms
+        self.chain = Chain(metrics, log)
         self.open: dict[str, Request] = {}
-        self.standing: dict[str, Request] = {}
-        self.states: dict[str, face.ServerState] = {}
-        self.entries: dict[str, face.ListEntry] = {}  # as in the server list, before local drains
+        self.established: dict[str, Request] = {}
+        self.states: dict[str, interface.ServerState] = {}
+        self.entries: dict[str, interface.ListEntry] = {}  # as in the server list, before local drains
         self.out_of_rotation: frozenset[str] = frozenset()  # servers taken out of rotation by operators
         self.unavailable_since_ms: dict[str, float] = {}  # when each server was reported as draining or gone
-        self.events: deque[face.Event] = deque()
+        self.events: deque[interface.Event] = deque()
         self.dispatching = False
         self.stopped = False  # the process is shutting down: nothing more is sent
 
-    def adopt(self, settings: face.Settings, most_held: int) -> None:
+    def apply_settings(self, settings: interface.Settings, max_open_requests: int) -> None:
         """Apply changed settings while running; open requests keep their deadlines and attempt limits.
 
         Raises SettingsError, before anything changes, for settings that the Controller rejects.
         """
         # First, since the Controller raises for invalid settings and nothing may have changed by then.
-        self.controller.adopt(settings)
-        self.settings, self.most_held = settings, most_held
-        self.counters.count_classes(call_class.name for call_class in settings.classes)
+        self.controller.apply_settings(settings)
+        self.settings, self.max_open_requests = settings, max_open_requests
+        self.counters.add_classes(call_class.name for call_class in settings.classes)
 
-    def settle(self) -> None:
+    def shut_down(self) -> None:
         """Fail all open requests now and refuse new ones, since nothing can be answered after the exit."""
         self.stopped = True
         for request in list(self.open.values()):
@@ -112,72 +118,72 @@
 
     # Server list updates.
 
-    def news(self, news: face.ListNews) -> None:
+    def update_servers(self, update: interface.ServerListUpdate) -> None:
         """Apply a server list update, and note when servers start to drain for the drain grace."""
-        news = self._mask_drained(news)
-        if news.kind is not face.NewsKind.CHANGES:
-            listed = {entry.server for entry in news.entries}
+        update = self._mask_drained(update)
+        if update.kind is not interface.UpdateKind.CHANGES:
+            listed = {entry.server for entry in update.entries}
             for server in self.states.keys() - listed:
-                self._set_state(server, face.ServerState.GONE)
-        for entry in news.entries:
+                self._set_state(server, interface.ServerState.GONE)
+        for entry in update.entries:
             self._set_state(entry.server, entry.state)
         # Prevents unbounded growth where servers are repeatedly replaced by new ones under new ids.
         drained_before_ms = self.clock.now_ms() - self.settings.drain_grace_ms
         for server, since_ms in list(self.unavailable_since_ms.items()):
-            if self.states[server] is face.ServerState.GONE and since_ms <= drained_before_ms:
+            if self.states[server] is interface.ServerState.GONE and since_ms <= drained_before_ms:
                 del self.unavailable_since_ms[server], self.states[server]
-        self._dispatch(news)
+        self._dispatch(update)
 
-    def _mask_drained(self, news: face.ListNews) -> face.ListNews:
+    def _mask_drained(self, update: interface.ServerListUpdate) -> interface.ServerListUpdate:
         """Return the update with servers out of rotation marked as draining, whatever the list reports."""
-        if news.kind is not face.NewsKind.CHANGES:
+        if update.kind is not interface.UpdateKind.CHANGES:
             self.entries.clear()
-        for entry in news.entries:
-            if entry.state is face.ServerState.GONE:
+        for entry in update.entries:
+            if entry.state is interface.ServerState.GONE:
                 self.entries.pop(entry.server, None)
             else:
                 self.entries[entry.server] = entry
         if not self.out_of_rotation:
-            return news
+            return update
         masked_entries = (
-            replace(entry, state=face.ServerState.DRAINING)
-            if entry.server in self.out_of_rotation and entry.state is face.ServerState.READY
+            replace(entry, state=interface.ServerState.DRAINING)
+            if entry.server in self.out_of_rotation and entry.state is interface.ServerState.READY
             else entry
-            for entry in news.entries
+            for entry in update.entries
         )
-        return replace(news, entries=tuple(masked_entries))
+        return replace(update, entries=tuple(masked_entries))
 
-    def hold(self, servers: frozenset[str]) -> None:
+    def drain_servers(self, servers: frozenset[str]) -> None:
         """Take exactly these servers out of rotation; others taken out earlier return to it."""
         changed, self.out_of_rotation = servers ^ self.out_of_rotation, servers
         entries = tuple(self.entries[name] for name in sorted(changed) if name in self.entries)
         if entries:
-            self.news(face.ListNews(face.NewsKind.CHANGES, entries))
+            self.update_servers(interface.ServerListUpdate(interface.UpdateKind.CHANGES, entries))
 
-    def _set_state(self, server: str, state: face.ServerState) -> None:
-        if state is face.ServerState.READY:
+    def _set_state(self, server: str, state: interface.ServerState) -> None:
+        if state is interface.ServerState.READY:
             self.unavailable_since_ms.pop(server, None)
-        elif self.states.get(server) in (face.ServerState.READY, None):
+        elif self.states.get(server) in (interface.ServerState.READY, None):
             self.unavailable_since_ms[server] = self.clock.now_ms()
         self.states[server] = state
 
     # Called by the downstream side.
 
-    def offer(self, request: Request, room: bool = True) -> None:
-        """Accept a request; its one final answer goes to its `front`. Without `room` it is refused at once."""
-        now_ms = request.taken_ms = self.clock.now_ms()
-        request.most_tries = self.settings.max_attempts
-        self.tally.add("requests")
-        if request.id in self.open or request.id in self.standing:
+    def offer(self, request: Request, has_capacity: bool = True) -> None:
+        """Accept a request; `downstream` gets its one final answer. Without `has_capacity` it is refused at once."""
+        now_ms = request.received_at_ms = self.clock.now_ms()
+        request.max_attempts = self.settings.max_attempts
+        self.metrics.add("requests")
+        if request.id in self.open or request.id in self.established:
             # Ids must be unique: the second request fails, the first keeps its call.
-            self.tally.add("requests.doubled")
+            self.metrics.add("requests.doubled")
             request.state = State.ENDED
-            self.counters.answered(request.call_class, "errors")
-            request.front.failed(request)
+            self.counters.count_answer(request.call_class, "errors")
+            request.downstream.failed(request)
             return
         self.open[request.id] = request
-        if self.stopped or not room or len(self.open) > self.most_held:
-            self.tally.add("requests.after_the_end" if self.stopped else "requests.over_most_held")
+        if self.stopped or not has_capacity or len(self.open) > self.max_open_requests:
+            self.metrics.add("requests.after_the_end" if self.stopped else "requests.over_most_held")
             self._refuse(request, 0.0)
             return
         if self.chain.filters:
@@ -186,11 +192,11 @@
                 self._refuse(request, refused.pause_ms)
                 return
         # Prevents a request from staying unanswered if the Controller never decides about it.
-        request.overall_deadline = self.deadlines.at(
+        request.overall_deadline = self.deadlines.call_at(
             max(now_ms, request.valid_until_ms - self.settings.tick_ms), self._on_overall_deadline, request
         )
         self._dispatch(
-            face.CallOffered(
+            interface.CallOffered(
                 request.id,
                 request.call_class,
                 request.valid_until_ms,
@@ -207,77 +213,79 @@
         if request.state is not State.OPEN:
             return  # the cancellation crossed the answer
         self._mark_closed(request)
-        self.tally.add("requests.cancelled")
+        self.metrics.add("requests.cancelled")
         self._notify_filters_ended(request)
         self._notify_observer(request, "cancelled")
-        self._dispatch(face.CallerLeft(request.id))
+        self._dispatch(interface.CallerLeft(request.id))
         if request.attempt is not None:
-            self.ended(request.attempt, face.Outcome.WITHDRAWN)
+            self.on_attempt_ended(request.attempt, interface.Outcome.WITHDRAWN)
 
     def hang_up(self, request: Request) -> None:
         """The caller ends an established call."""
-        if request.state is not State.STANDING:
+        if request.state is not State.ESTABLISHED:
             return
         attempt = request.attempt
-        if attempt is not None and attempt.out:
-            self.far_side.release(attempt)
-            self._finish(attempt, face.Outcome.SERVED, notify=False)
+        if attempt is not None and attempt.active:
+            self.upstream.release(attempt)
+            self._finish(attempt, interface.Outcome.SERVED, notify=False)
 
     # Called by the upstream side.
 
-    def stood(self, attempt: Attempt, payload: object) -> None:
+    def on_established(self, attempt: Attempt, payload: object) -> None:
         """An attempt was answered: pass the answer on, unless the request has already ended."""
         request = attempt.request
-        if not attempt.out or attempt.stands or request.state is not State.OPEN:
+        if not attempt.active or attempt.established or request.state is not State.OPEN:
             return
         self.deadlines.cancel(attempt.deadline)
-        attempt.stands = True
+        attempt.established = True
         self._mark_closed(request)
-        request.state = State.STANDING
-        self.standing[request.id] = request
-        self.tally.add("answers.stands")
-        self.counters.answered(request.call_class, "ok")
+        request.state = State.ESTABLISHED
+        self.established[request.id] = request
+        self.metrics.add("answers.stands")
+        self.counters.count_answer(request.call_class, "ok")
         now_ms = self.clock.now_ms()
-        if request.passed:
-            self.chain.stood(request, now_ms)
+        if request.admitted_by:
+            self.chain.established(request, now_ms)
         self._notify_observer(request, "stands")
-        request.front.stands(request, payload)
-        self._dispatch(face.CallStands(request.id, attempt.server, attempt.index, now_ms - attempt.sent_ms))
+        request.downstream.established(request, payload)
+        self._dispatch(
+            interface.CallEstablished(request.id, attempt.server, attempt.index, now_ms - attempt.sent_ms)
+        )
 
-    def ended(
+    def on_attempt_ended(
         self,
         attempt: Attempt,
-        outcome: face.Outcome,
-        cause: face.Cause = face.Cause.NONE,
-        load: face.Load | None = None,
+        outcome: interface.Outcome,
+        cause: interface.Cause = interface.Cause.NONE,
+        load: interface.Load | None = None,
     ) -> None:
         """An attempt, or the call established by it, has ended."""
-        if not attempt.out:
+        if not attempt.active:
             return  # the report crossed the end of the attempt on this side
-        if outcome is face.Outcome.WITHDRAWN or outcome is face.Outcome.TIMED_OUT:
+        if outcome is interface.Outcome.WITHDRAWN or outcome is interface.Outcome.TIMED_OUT:
             # The server may still be working on it: cancel it there, so that its resources are released.
-            self.far_side.give_up(attempt)
+            self.upstream.cancel(attempt)
         self._finish(attempt, outcome, cause, load)
 
-    def spent(self, attempt: Attempt) -> None:
+    def on_ended_unanswered(self, attempt: Attempt) -> None:
         """A call was established and has ended although its answer never arrived.
 
         Prevents another attempt: the call has already taken place, and its end would be attributed to the new one.
         """
         request = attempt.request
-        if not attempt.out:
+        if not attempt.active:
             return
         if request.state is State.OPEN:
-            self.tally.add("requests.spent")
+            self.metrics.add("requests.spent")
             self._fail(request)
-            self._dispatch(face.CallerLeft(request.id))
-        self.ended(attempt, face.Outcome.CUT)
+            self._dispatch(interface.CallerLeft(request.id))
+        self.on_attempt_ended(attempt, interface.Outcome.CUT)
 
-    def active(self) -> int:
+    def active_count(self) -> int:
         """Number of requests that are open or answered with a call still established."""
-        return len(self.open) + len(self.standing)
+        return len(self.open) + len(self.established)
 
-    def wanted(self, attempt: Attempt) -> bool:
+    def may_send(self, attempt: Attempt) -> bool:
         """Whether a set-up may be sent now; the upstream side checks just before it writes one.
 
         Prevents set-ups for a caller that has left: its cancellation may still be unread, after other data received
@@ -285,18 +293,18 @@
         passed its attempt time-out.
         """
         request = attempt.request
-        request.front.catch_up(request)
-        return attempt.out and request.state is State.OPEN and self.clock.now_ms() < attempt.cut_at_ms
+        request.downstream.read_pending(request)
+        return attempt.active and request.state is State.OPEN and self.clock.now_ms() < attempt.timeout_at_ms
 
-    def written(self, attempt: Attempt) -> None:
+    def on_set_up_written(self, attempt: Attempt) -> None:
         """The upstream side has fully written an attempt's set-up; counts as a try."""
-        self.counters.tried(attempt.request.call_class)
+        self.counters.count_attempt(attempt.request.call_class)
 
-    def looked(self, server: str, load: face.Load) -> None:
+    def on_load_report(self, server: str, load: interface.Load) -> None:
         """A server has sent an unsolicited load report."""
-        self._dispatch(face.ServerLooked(server, face.Outcome.SERVED, 0.0, load))
+        self._dispatch(interface.LoadReported(server, interface.Outcome.SERVED, 0.0, load))
 
-    def sent_to(self, server: str) -> bool:
+    def accepts_set_ups(self, server: str) -> bool:
         """Whether new set-ups may be sent to a server; checked again for those that waited for a connection."""
         since_ms = self.unavailable_since_ms.get(server)
         if server not in self.states:
@@ -308,29 +316,29 @@
     def _finish(
         self,
         attempt: Attempt,
-        outcome: face.Outcome,
-        cause: face.Cause = face.Cause.NONE,
-        load: face.Load | None = None,
+        outcome: interface.Outcome,
+        cause: interface.Cause = interface.Cause.NONE,
+        load: interface.Load | None = None,
         notify: bool = True,
     ) -> None:
         request, now_ms = attempt.request, self.clock.now_ms()
-        attempt.out = False
+        attempt.active = False
         self.deadlines.cancel(attempt.deadline)
         request.attempt = None
         if outcome in RELEASE_WAIT_OUTCOMES:
             request.not_before_ms = now_ms + self.settings.release_wait_ms
-        self.tally.add("attempts." + outcome.value)
-        if self.watcher is not None:
-            self.watcher.attempt_ended(attempt, outcome, now_ms)
-        if request.state is State.STANDING:
+        self.metrics.add("attempts." + outcome.value)
+        if self.observer is not None:
+            self.observer.attempt_ended(attempt, outcome, now_ms)
+        if request.state is State.ESTABLISHED:
             request.state = State.ENDED
-            self.standing.pop(request.id, None)
-            if request.passed:
+            self.established.pop(request.id, None)
+            if request.admitted_by:
                 self.chain.ended(request, now_ms)
             if notify:
-                request.front.over(request, outcome is not face.Outcome.SERVED)
+                request.downstream.call_ended(request, outcome is not interface.Outcome.SERVED)
         self._dispatch(
-            face.AttemptEnded(
+            interface.AttemptEnded(
                 request.id,
                 attempt.server,
                 attempt.index,
@@ -343,7 +351,7 @@
             )
         )
 
-    def _dispatch(self, event: face.Event) -> None:
+    def _dispatch(self, event: interface.Event) -> None:
         """Pass events to the Controller in order; events caused by its actions are queued until these are done."""
         self.events.append(event)
         if self.dispatching:
@@ -356,93 +364,97 @@
         finally:
             self.dispatching = False
 
-    def _execute(self, action: face.Action) -> None:
+    def _execute(self, action: interface.Action) -> None:
         match action:
-            case face.SetUp(call, server, cut_at_ms):
-                self._send_attempt(call, server, cut_at_ms)
-            case face.Refuse(call, pause_ms):
+            case interface.SetUp(call, server, timeout_at_ms):
+                self._send_attempt(call, server, timeout_at_ms)
+            case interface.Refuse(call, pause_ms):
                 request = self.open.get(call)
-                if self.tally.must(request is not None, "one final answer"):
+                if self.metrics.check_invariant(request is not None, "one final answer"):
                     self._refuse(request, pause_ms)
-            case face.Fail(call):
+            case interface.Fail(call):
                 request = self.open.get(call)
-                if self.tally.must(request is not None, "one final answer"):
+                if self.metrics.check_invariant(request is not None, "one final answer"):
                     self._fail(request)
-            case face.Withdraw(call, attempt):
+            case interface.Withdraw(call, attempt):
                 request = self.open.get(call)
                 if request is not None and request.attempt and request.attempt.index == attempt:
-                    self.ended(request.attempt, face.Outcome.WITHDRAWN)
-            case face.SetTimer(after_ms, token):
-                self.deadlines.at(self.clock.now_ms() + after_ms, self._on_timer, token)
-            case face.Log(text):
+                    self.on_attempt_ended(request.attempt, interface.Outcome.WITHDRAWN)
+            case interface.SetTimer(after_ms, token):
+                self.deadlines.call_at(self.clock.now_ms() + after_ms, self._on_timer, token)
+            case interface.Log(text):
                 self.log("decision", text=text)
             case _:
                 # The server list is pushed to this engine; polling it, probes and peer messages are unsupported.
-                self.tally.add("actions.unsupported")
+                self.metrics.add("actions.unsupported")
 
     def _on_timer(self, token: str) -> None:
-        self._dispatch(face.TimerDue(token))
+        self._dispatch(interface.TimerDue(token))
 
-    def _send_attempt(self, call: str, server: str, cut_at_ms: float) -> None:
-        request, now_ms, check = self.open.get(call), self.clock.now_ms(), self.tally.must
+    def _send_attempt(self, call: str, server: str, timeout_at_ms: float) -> None:
+        request, now_ms, check = self.open.get(call), self.clock.now_ms(), self.metrics.check_invariant
         if not check(request is not None, "a set-up is for an open request"):
             return
         if not check(request.attempt is None, "one attempt out"):
             return
-        max_attempt_ms = min(self.attempt_ms, request.attempt_ms)
-        cut_at_ms = min(cut_at_ms or request.valid_until_ms, request.valid_until_ms, now_ms + max_attempt_ms)
-        attempt = Attempt(request, server, request.attempt_count, now_ms, cut_at_ms)
+        max_attempt_ms = min(self.max_attempt_ms, request.max_attempt_ms)
+        timeout_at_ms = min(
+            timeout_at_ms or request.valid_until_ms, request.valid_until_ms, now_ms + max_attempt_ms
+        )
+        attempt = Attempt(request, server, request.attempt_count, now_ms, timeout_at_ms)
         request.attempt = attempt
         request.attempt_count += 1
-        allowed = check(request.attempt_count <= request.most_tries, "most attempts")
+        allowed = check(request.attempt_count <= request.max_attempts, "most attempts")
         allowed = check(now_ms >= request.not_before_ms, "release wait") and allowed
-        allowed = check(self.sent_to(server), "nothing new after a drain") and allowed
-        outcome = self.far_side.send(attempt) if allowed and now_ms < cut_at_ms else face.Outcome.NOT_SENT
+        allowed = check(self.accepts_set_ups(server), "nothing new after a drain") and allowed
+        outcome = (
+            self.upstream.send(attempt) if allowed and now_ms < timeout_at_ms else interface.Outcome.NOT_SENT
+        )
         if outcome is not None:
             self._finish(attempt, outcome)
-        elif attempt.out:
-            attempt.deadline = self.deadlines.at(cut_at_ms, self._on_attempt_timeout, attempt)
+        elif attempt.active:
+            attempt.deadline = self.deadlines.call_at(timeout_at_ms, self._on_attempt_timeout, attempt)
 
     def _on_attempt_timeout(self, attempt: Attempt) -> None:
-        self.ended(attempt, face.Outcome.TIMED_OUT)
+        self.on_attempt_ended(attempt, interface.Outcome.TIMED_OUT)
 
     def _on_overall_deadline(self, request: Request) -> None:
         if request.state is not State.OPEN:
             return
-        self.tally.add("requests.overdue")
+        self.metrics.add("requests.overdue")
         self._fail(request)
-        self._dispatch(face.CallerLeft(request.id))
+        self._dispatch(interface.CallerLeft(request.id))
         if request.attempt is not None:
-            self.ended(request.attempt, face.Outcome.TIMED_OUT)
+            self.on_attempt_ended(request.attempt, interface.Outcome.TIMED_OUT)
 
     def _mark_closed(self, request: Request) -> None:
         """Record that a request needs no further answer."""
-        self.tally.must(request.state is State.OPEN, "one final answer")
+        self.metrics.check_invariant(request.state is State.OPEN, "one final answer")
         request.state = State.ENDED
         self.deadlines.cancel(request.overall_deadline)
         self.open.pop(request.id, None)
 
     def _notify_filters_ended(self, request: Request) -> None:
         """Notify the filters that admitted a request that it ended without an established call."""
-        if request.passed:
+        if request.admitted_by:
             self.chain.ended(request, self.clock.now_ms())
 
     def _refuse(self, request: Request, pause_ms: float) -> None:
         self._mark_closed(request)
         self._notify_filters_ended(request)
-        self.tally.add("answers.refused")
-        self.counters.answered(request.call_class, "shed")
+        self.metrics.add("answers.refused")
+        self.counters.count_answer(request.call_class, "shed")
         self._notify_observer(request, "refused")
-        request.front.refused(request, min(max(pause_ms, 0.0), self.settings.max_pause_ms))
+        request.downstream.refused(request, min(max(pause_ms, 0.0), self.settings.max_pause_ms))
 
     def _fail(self, request: Request) -> None:
         self._mark_closed(request)
         self._notify_filters_ended(request)
-        self.tally.add("answers.failed")
-        self.counters.answered(request.call_class, "errors")
+        self.metrics.add("answers.failed")
+        self.counters.count_answer(request.call_class, "errors")
         self._notify_observer(request, "failed")
-        request.front.failed(request)
+        request.downstream.failed(request)
 
     def _notify_observer(self, request: Request, answer: str) -> None:
-        if self.watcher is not None:
-            self.watcher.request_answered(request, answer, self.clock.now_ms())
+        if self.observer is not None:
+            self.observer.request_answered(request, answer, self.clock.now_ms())
--- a/leadslip/counters.py
+++ b/leadslip/counters.py
@@ -29,37 +29,37 @@
 
     Only requests of the given `classes` are counted, which bounds the number of names whatever clients send.
     `active`, `pool_size` and `pool_ejected` are gauges: they are read when printed, from the callables registered
-    by `watch`.
+    by `add_gauge`.
     """
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
         self.by_class: dict[str, ClassCounters] = {}
         self.config_applied = self.config_rejected = 0
         self.gauges: dict[str, Callable[[], int]] = {}
-        self.count_classes(classes)
+        self.add_classes(classes)
 
-    def count_classes(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """Also counts these classes from now on; classes counted before keep their counters."""
         for name in classes:
             self.by_class.setdefault(name, ClassCounters())
 
-    def watch(self, name: str, read: Callable[[], int]) -> None:
+    def add_gauge(self, name: str, read: Callable[[], int]) -> None:
         """Registers a gauge, a value that is read when printed, such as `active`."""
         self.gauges[name] = read
 
-    def answered(self, call_class: str, outcome: str) -> None:
+    def count_answer(self, call_class: str, outcome: str) -> None:
         """Counts a final answer; `outcome` is ok, shed or errors."""
         counters = self.by_class.get(call_class)
         if counters is not None:
             setattr(counters, outcome, getattr(counters, outcome) + 1)
 
-    def tried(self, call_class: str) -> None:
+    def count_attempt(self, call_class: str) -> None:
         """Counts an attempt that has been fully written to its server."""
         counters = self.by_class.get(call_class)
         if counters is not None:
             counters.tries += 1
 
-    def figures(self) -> dict[str, int]:
+    def values(self) -> dict[str, int]:
         """Returns all values by the names that operators read."""
         values = {}
         for name, counters in sorted(self.by_class.items()):
@@ -73,4 +73,4 @@
 
     def text(self) -> bytes:
         """Returns all values as `name=value` lines."""
-        return "".join(f"{name}={value}\n" for name, value in self.figures().items()).encode()
+        return "".join(f"{name}={value}\n" for name, value in self.values().items()).encode()
--- a/leadslip/deadlines.py
+++ b/leadslip/deadlines.py
@@ -32,10 +32,10 @@
 class Deadline:
     """One entry of the heap; a cancelled one has no callback (`work` is None)."""
 
-    __slots__ = ("due_ms", "order", "work", "argument")
+    __slots__ = ("due_ms", "order", "callback", "argument")
 
     def __init__(self, due_ms: float, order: int, callback: Callable | None, argument: object) -> None:
-        self.due_ms, self.order, self.work, self.argument = due_ms, order, callback, argument
+        self.due_ms, self.order, self.callback, self.argument = due_ms, order, callback, argument
 
     def __lt__(self, other: Deadline) -> bool:
         return (self.due_ms, self.order) < (other.due_ms, other.order)
@@ -51,7 +51,7 @@
         self.timer: Timer | None = None
         self.timer_due_ms = 0.0
 
-    def at(self, due_ms: float, callback: Callable, argument: object = None) -> Deadline:
+    def call_at(self, due_ms: float, callback: Callable, argument: object = None) -> Deadline:
         """Schedule `callback(argument)` at a time in Unix milliseconds."""
         self.last_order += 1
         entry = Deadline(due_ms, self.last_order, callback, argument)
@@ -62,12 +62,12 @@
 
     def cancel(self, entry: Deadline | None) -> None:
         """Cancel a deadline; the heap is compacted when most of its entries are cancelled."""
-        if entry is None or entry.work is None:
+        if entry is None or entry.callback is None:
             return
-        entry.work = entry.argument = None
+        entry.callback = entry.argument = None
         self.cancelled += 1
         if self.cancelled > MIN_CANCELLED_TO_COMPACT and self.cancelled * 2 > len(self.heap):
-            self.heap = [pending for pending in self.heap if pending.work is not None]
+            self.heap = [pending for pending in self.heap if pending.callback is not None]
             heapq.heapify(self.heap)
             self.cancelled = 0
 
@@ -99,11 +99,11 @@
         try:
             while self.heap and self.heap[0].due_ms <= now_ms:
                 entry = heapq.heappop(self.heap)
-                callback, argument = entry.work, entry.argument
+                callback, argument = entry.callback, entry.argument
                 if callback is None:
                     self.cancelled -= 1
                     continue
-                entry.work = entry.argument = None
+                entry.callback = entry.argument = None
                 callback(argument)
         finally:
             self._arm()
--- a/leadslip/drill/callers.py
+++ b/leadslip/drill/callers.py
@@ -45,7 +45,7 @@
         self, name: str, address: tuple[str, int], rate: float, seed: int, releases_calls: bool = False
     ) -> None:
         self.releases_calls = releases_calls  # release half of the established calls, about a second later
-        self.name, self.address, self.rate, self.draw = name, address, rate, Random(seed)
+        self.name, self.address, self.rate, self.rng = name, address, rate, Random(seed)
         self.calls: dict[bytes, dict] = {}
         self.writer: asyncio.StreamWriter | None = None
 
@@ -57,11 +57,11 @@
                     reader, self.writer = await asyncio.open_connection(*self.address)
                     asyncio.get_running_loop().create_task(self.listen(reader, self.writer))
                     # The proxy closes a connection that is silent for 2 s; a call sent at that moment would be lost.
-                    self.writer.write(OPTIONS % f"{self.draw.getrandbits(64):016x}".encode())
-                await asyncio.sleep(self.draw.expovariate(self.rate))
+                    self.writer.write(OPTIONS % f"{self.rng.getrandbits(64):016x}".encode())
+                await asyncio.sleep(self.rng.expovariate(self.rate))
                 if self.writer.is_closing():
                     continue
-                id_ = f"{self.draw.getrandbits(64):016x}"
+                id_ = f"{self.rng.getrandbits(64):016x}"
                 call = {
                     "id": id_,
                     "proxy": self.name,
@@ -70,7 +70,7 @@
                     "lost": False,
                 }
                 self.calls[id_.encode()] = call
-                text = INVITE.format(number=self.draw.randrange(10**8), id=id_, valid=int(REQUEST_VALID_MS))
+                text = INVITE.format(number=self.rng.randrange(10**8), id=id_, valid=int(REQUEST_VALID_MS))
                 self.writer.write(text.encode())
                 await self.writer.drain()
             except OSError:
@@ -96,7 +96,7 @@
                     self.calls[id_]["released"] = int(head[8:11])
                 elif id_ in self.calls and b" INVITE\r\n" in head and not head.startswith(b"SIP/2.0 1"):
                     self.calls[id_]["answers"].append([time.time() * 1000.0, int(head[8:11])])
-                    if self.releases_calls and head.startswith(b"SIP/2.0 200") and self.draw.random() < 0.5:
+                    if self.releases_calls and head.startswith(b"SIP/2.0 200") and self.rng.random() < 0.5:
                         asyncio.get_running_loop().call_later(1.0, self.release, id_, writer)
         except (OSError, asyncio.IncompleteReadError):
             pass
--- a/leadslip/drill/changes.py
+++ b/leadslip/drill/changes.py
@@ -16,7 +16,7 @@
     """Submits changes until cancelled, and records them in `changes`."""
 
     def __init__(self, names: list[str], rate: float, seed: int, send_request: RequestSender) -> None:
-        self.names, self.rate, self.draw, self.send_request = (
+        self.names, self.rate, self.rng, self.send_request = (
             names,
             rate,
             Random(f"changes {seed}"),
@@ -48,10 +48,10 @@
         number, pending = 0, set()
         try:
             while True:
-                await asyncio.sleep(self.draw.expovariate(self.rate))
+                await asyncio.sleep(self.rng.expovariate(self.rate))
                 number += 1
-                content = {"prefixes": [f"9{self.draw.randrange(1000):03d}"]}
-                change = self.submit("bars", content, self.draw.choice(self.names), f"change-{number}")
+                content = {"prefixes": [f"9{self.rng.randrange(1000):03d}"]}
+                change = self.submit("bars", content, self.rng.choice(self.names), f"change-{number}")
                 # Changes run concurrently: a partitioned proxy must not delay the changes at others.
                 pending.add(asyncio.create_task(change))
                 pending = {task for task in pending if not task.done()}
--- a/leadslip/drill/check.py
+++ b/leadslip/drill/check.py
@@ -190,7 +190,7 @@
     found, figures["settled_ms"] = convergence(histories, faults, down, settle_s)
     breaches += found
     breaches += resurrected(histories)
-    found, figures["calls_judged"] = unanswered(calls, faults)
+    found, figures["calls_judged"] = check_answers(calls, faults)
     return breaches + found, figures
 
 
@@ -368,7 +368,7 @@
     return breaches
 
 
-def unanswered(calls: list[dict], faults: list[dict]) -> tuple[list[Breach], int]:
+def check_answers(calls: list[dict], faults: list[dict]) -> tuple[list[Breach], int]:
     """C1, and the number of calls judged; times of calls are Unix times."""
     affected: dict[str, list[Span]] = {}
     for fault in faults:
--- a/leadslip/drill/broken.py
+++ b/leadslip/drill/faulty.py
@@ -15,22 +15,22 @@
 from leadslip.fleet.agreement.member import Agreement, Rules
 from leadslip.fleet.agreement.raft import Raft
 from leadslip.fleet.view.members import Member, State, Table
-from leadslip.fleet.view.view import Me, View
+from leadslip.fleet.view.view import OwnMember, View
 
 
 class Deaf(View):
     """Ignores that it was declared dead, and goes on under the same run (violates V1)."""
 
-    def _reborn(self, now_ms: float, run: int) -> None:
+    def _start_generation(self, now_ms: float, run: int) -> None:
         return
 
 
 class Apart(View):
     """Never contacts dead members or the seeds again, so that a partition does not heal (violates V2)."""
 
-    def _reach(self, now_ms: float, _: int) -> None:
+    def _contact_absent(self, now_ms: float, _: int) -> None:
         if not self.joined:
-            super()._reach(now_ms, _)
+            super()._contact_absent(now_ms, _)
 
 
 class Forgiving(View):
@@ -40,9 +40,9 @@
         super().__init__(*args)
         self.table.__class__ = ForgivingTable
 
-    def _reborn(self, now_ms: float, run: int) -> None:
+    def _start_generation(self, now_ms: float, run: int) -> None:
         self.incarnation += 1
-        self._tell_self(now_ms)
+        self._publish_self(now_ms)
 
 
 class ForgivingTable(Table):
@@ -58,65 +58,67 @@
         ):
             self._put(member, replace(member, state=State.ALIVE, incarnation=incarnation))
 
-    def take(self, update: wire.Full, now_ms: float) -> Member | None:
+    def merge(self, update: wire.MemberRecord, now_ms: float) -> Member | None:
         self._revive(update.run, update.state, update.incarnation)
-        return super().take(update, now_ms)
+        return super().merge(update, now_ms)
 
-    def hear(self, update: wire.Short, now_ms: float) -> Member | None:
+    def apply_update(self, update: wire.MemberUpdate, now_ms: float) -> Member | None:
         self._revive(update.run, update.state, update.incarnation)
-        return super().hear(update, now_ms)
+        return super().apply_update(update, now_ms)
 
 
 class Waiting(View):
     """Blocks its process for 6 s before it declares a suspected member dead (violates C1: calls wait for the fleet)."""
 
-    def _verdict(self, now_ms: float, key: int) -> None:
+    def _on_suspicion_timeout(self, now_ms: float, key: int) -> None:
         if key in self.suspicions:
             time.sleep(6.0)
-        super()._verdict(now_ms, key)
+        super()._on_suspicion_timeout(now_ms, key)
 
 
-class Former(View):
+class PreviousVersion(View):
     """Speaks wire version 1 only, as older releases do: sends no facts, ignores editions, refuses version 2."""
 
-    speaks = 1
+    max_version = 1
 
-    def __init__(self, me: Me, *args: object) -> None:
+    def __init__(self, me: OwnMember, *args: object) -> None:
         super().__init__(replace(me, facts={}), *args)
 
     def change_facts(self, now_ms: float, facts: dict[str, str | int]) -> None:
         return
 
-    def _news(self, now_ms: float, message: wire.Ping | wire.Ack | wire.Gossip) -> None:
-        super()._news(now_ms, msgspec.structs.replace(message, full=self._without_editions(message.full)))
+    def _apply_gossip(self, now_ms: float, message: wire.Ping | wire.Ack | wire.Gossip) -> None:
+        super()._apply_gossip(
+            now_ms, msgspec.structs.replace(message, records=self._without_editions(message.records))
+        )
 
-    def _merge(self, now_ms: float, members: list[wire.Full]) -> None:
+    def _merge(self, now_ms: float, members: list[wire.MemberRecord]) -> None:
         super()._merge(now_ms, self._without_editions(members))
 
     @staticmethod
-    def _without_editions(members: list[wire.Full]) -> list[wire.Full]:
+    def _without_editions(members: list[wire.MemberRecord]) -> list[wire.MemberRecord]:
         return [msgspec.structs.replace(member, edition=0) for member in members]
 
 
 class Timeless(Agreement):
     """Applies its current revision however long ago its freshness was confirmed (violates A2)."""
 
-    def in_force(self, now_ms: float) -> Rules:
-        return self.rules if self.rules is not None else self.alone
+    def rules_in_effect(self, now_ms: float) -> Rules:
+        return self.rules if self.rules is not None else self.fallback_rules
 
 
 class Headstrong(Agreement):
     """Commits entries that only the leader has stored, and stays leader without a majority (violates A1 and A3)."""
 
-    def _begin(self, now_ms: float) -> None:
-        super()._begin(now_ms)
+    def _start_raft(self, now_ms: float) -> None:
+        super()._start_raft(now_ms)
         self.raft.__class__ = HeadstrongRaft
 
 
 class HeadstrongRaft(Raft):
     """A Raft in which any single voter is a majority."""
 
-    def _majority(self, of: Sequence[str]) -> bool:
+    def _is_majority(self, of: Sequence[str]) -> bool:
         return bool(of)
 
     def _advance(self, now_ms: float) -> None:
@@ -127,5 +129,11 @@
         self.confirmed_ms, self.confirmed_index = now_ms, self.committed
 
 
-AGREEMENTS = {"timeless": Timeless, "headstrong": Headstrong}
-KINDS = {"deaf": Deaf, "apart": Apart, "forgiving": Forgiving, "waiting": Waiting, "former": Former}
+AGREEMENT_VARIANTS = {"timeless": Timeless, "headstrong": Headstrong}
+VIEW_VARIANTS = {
+    "deaf": Deaf,
+    "apart": Apart,
+    "forgiving": Forgiving,
+    "waiting": Waiting,
+    "former": PreviousVersion,
+}
--- a/leadslip/drill/ways.py
+++ b/leadslip/drill/link_faults.py
@@ -15,7 +15,7 @@
     """The faults in effect on each path: (sender, receiver) -> kind -> figures."""
 
     def __init__(self, seed: int) -> None:
-        self.draw = Random(seed)
+        self.rng = Random(seed)
         self.active: dict[tuple[str, str], dict[str, dict[str, float]]] = {}
         self.passed_count = self.dropped_count = 0
 
@@ -36,23 +36,23 @@
         if not kinds:
             self.passed_count += 1
             return [(0.0, data)]
-        draw, late_s = self.draw, 0.0
+        rng, late_s = self.rng, 0.0
         if "cut" in kinds or ("hole" in kinds and len(data) > HOLE_MAX_BYTES):
             self.dropped_count += 1
             return []
-        if "loss" in kinds and draw.random() < kinds["loss"]["share"]:
+        if "loss" in kinds and rng.random() < kinds["loss"]["share"]:
             self.dropped_count += 1
             return []
         if "late" in kinds:
             late_s = kinds["late"]["ms"] / 1000.0
         if "disorder" in kinds:
-            late_s += draw.random() * kinds["disorder"]["ms"] / 1000.0
-        if "spoil" in kinds and draw.random() < kinds["spoil"]["share"]:
-            index = draw.randrange(len(data))
-            data = data[:index] + bytes((data[index] ^ (1 << draw.randrange(8)),)) + data[index + 1 :]
+            late_s += rng.random() * kinds["disorder"]["ms"] / 1000.0
+        if "spoil" in kinds and rng.random() < kinds["spoil"]["share"]:
+            index = rng.randrange(len(data))
+            data = data[:index] + bytes((data[index] ^ (1 << rng.randrange(8)),)) + data[index + 1 :]
         copies = [(late_s, data)]
-        if "twice" in kinds and draw.random() < kinds["twice"]["share"]:
-            copies.append((late_s + draw.random() * 0.5, data))
+        if "twice" in kinds and rng.random() < kinds["twice"]["share"]:
+            copies.append((late_s + rng.random() * 0.5, data))
         return copies
 
     def stream(self, path: tuple[str, str]) -> tuple[bool, bool, float]:
--- a/leadslip/drill/relay.py
+++ b/leadslip/drill/relay.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from leadslip.drill.ways import LinkFaults
+from leadslip.drill.link_faults import LinkFaults
 
 PORT = 7946
 
--- a/leadslip/drill/run.py
+++ b/leadslip/drill/run.py
@@ -25,7 +25,14 @@
 from leadslip.drill.changes import Changer
 from leadslip.drill.clocks import Clocks
 from leadslip.drill.relay import PORT, LinkFaults, Relay
-from leadslip.drill.scenario import Act, Scenario, draw_drifts, draw_schedule, names, previous_version_names
+from leadslip.drill.scenario import (
+    Scenario,
+    ScheduledAction,
+    draw_drifts,
+    draw_schedule,
+    names,
+    previous_version_names,
+)
 from leadslip.errors import OperatorError
 from leadslip.site import configuration
 
@@ -57,7 +64,7 @@
     action = "See that the machine is idle and 127/8 is free, keep the folder (--keep) and read its logs."
 
 
-def own_network() -> tuple[str, socket.socket]:
+def reserve_network() -> tuple[str, socket.socket]:
     """Reserve a /24 of loopback among the runs on this machine; returns its prefix and the socket that holds it."""
     for _ in range(1000):
         prefix = f"127.{64 + secrets.randbelow(128)}.{secrets.randbelow(256)}"
@@ -71,7 +78,9 @@
     raise DrillError("no free network on loopback")
 
 
-async def start_toy(hold_s: float = 0.3) -> tuple[asyncio.subprocess.Process, Awaitable[tuple[int, int]]]:
+async def start_toy_server(
+    hold_s: float = 0.3,
+) -> tuple[asyncio.subprocess.Process, Awaitable[tuple[int, int]]]:
     """Start a toy server and notice board in a separate process; also returns an awaitable of their ports."""
     toy = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -261,7 +270,12 @@
     """One run of a scenario."""
 
     def __init__(
-        self, scenario: Scenario, seed: int, folder: Path, acts: list[Act] | None = None, broken: str = ""
+        self,
+        scenario: Scenario,
+        seed: int,
+        folder: Path,
+        acts: list[ScheduledAction] | None = None,
+        broken: str = "",
     ) -> None:
         self.scenario, self.seed, self.folder, self.broken = scenario, seed, folder, broken
         self.acts = draw_schedule(scenario, seed) if acts is None else acts
@@ -269,7 +283,7 @@
         self.processes: dict[str, Process] = {}
         self.faults: list[dict] = []
         self.link_faults = LinkFaults(seed)
-        self.prefix, self.reservation = own_network()
+        self.prefix, self.reservation = reserve_network()
         self.toy_ports: tuple[int, int] = (0, 0)
         self.pending: set[asyncio.Task] = set()  # starts and ends still in progress
 
@@ -285,7 +299,7 @@
         scenario, folder = self.scenario, self.folder
         (folder / "fleet.key").write_text(secrets.token_hex(32) + "\n")
         (folder / "schedule.json").write_bytes(msgspec.json.encode({"seed": self.seed, "acts": self.acts}))
-        toy, ports = await start_toy(LONG_CALL_S if scenario.replicas else SHORT_CALL_S)
+        toy, ports = await start_toy_server(LONG_CALL_S if scenario.replicas else SHORT_CALL_S)
         relays, callers, tasks = [], [], []
         changer = None
         try:
@@ -419,7 +433,7 @@
         if self.pending:
             await asyncio.gather(*self.pending)
 
-    async def execute(self, act: Act) -> None:
+    async def execute(self, act: ScheduledAction) -> None:
         """Carry out one action of the schedule, and record it."""
         processes = [self.processes[name] for name in act.who]
         if act.ways:
@@ -459,7 +473,7 @@
 
         return asyncio.create_task(wait())
 
-    async def apply_to_running(self, process: Process, act: Act) -> None:
+    async def apply_to_running(self, process: Process, act: ScheduledAction) -> None:
         """Begin or end a fault of a running process."""
         ms = act.figures.get("ms", 0.0)
         if act.do == "stop":
--- a/leadslip/drill/scenario.py
+++ b/leadslip/drill/scenario.py
@@ -34,7 +34,7 @@
 PROCESS_FAULTS = ("stall", "busy", "clock", "descriptors", "service")  # with a begin and an end
 KINDS = ("partition", *PATH_FAULTS, *PROCESS_FAULTS, "kill", "leave", "upgrade")
 MAX_DRIFT_PPM = 10_000.0
-HERE = Path(__file__).parent / "scenarios"
+SCENARIO_DIR = Path(__file__).parent / "scenarios"
 
 
 class ScenarioError(OperatorError):
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class ScheduledAction:
     """An action of a schedule: `who` are names of processes, `ways` are paths (sender, receiver)."""
 
     at_s: float
@@ -91,8 +91,8 @@
 def load(path: str | Path) -> Scenario:
     """Load a scenario from a file, or a bundled one by name. Raises ScenarioError."""
     file = Path(path)
-    if not file.exists() and (HERE / f"{path}.toml").exists():
-        file = HERE / f"{path}.toml"
+    if not file.exists() and (SCENARIO_DIR / f"{path}.toml").exists():
+        file = SCENARIO_DIR / f"{path}.toml"
     try:
         scenario = msgspec.convert(tomllib.loads(file.read_text(encoding="utf-8")), Scenario)
     except (OSError, ValueError, msgspec.ValidationError) as error:
@@ -143,14 +143,14 @@
 
 def draw_drifts(scenario: Scenario, seed: int) -> dict[str, float]:
     """The drift of each process's monotonic clock, in parts per million."""
-    draw, max_ppm = Random(f"drift {seed}"), scenario.drift_ppm
-    return {name: draw.uniform(-max_ppm, max_ppm) for name in names(scenario.processes)}
+    rng, max_ppm = Random(f"drift {seed}"), scenario.drift_ppm
+    return {name: rng.uniform(-max_ppm, max_ppm) for name in names(scenario.processes)}
 
 
-def cut_ways(draw: Random, all_names: tuple[str, ...], parts: str) -> tuple[tuple[str, str], ...]:
+def partition_paths(rng: Random, all_names: tuple[str, ...], parts: str) -> tuple[tuple[str, str], ...]:
     """The paths that a partition blocks, in both directions."""
     shuffled = list(all_names)
-    draw.shuffle(shuffled)
+    rng.shuffle(shuffled)
     half = len(shuffled) // 2
     if parts == "ring":
         neighbours = {
@@ -174,49 +174,54 @@
     )
 
 
-def draw_schedule(scenario: Scenario, seed: int) -> list[Act]:
+def draw_schedule(scenario: Scenario, seed: int) -> list[ScheduledAction]:
     """The actions drawn from a seed, in order of time."""
-    draw, all_names = Random(seed), names(scenario.processes)
-    acts: list[Act] = []
+    rng, all_names = Random(seed), names(scenario.processes)
+    acts: list[ScheduledAction] = []
     for fault in scenario.fault:
         for i in range(fault.times):
-            acts += _draw_acts(draw, all_names, fault, fault.at_s + i * fault.every_s)
+            acts += _draw_acts(rng, all_names, fault, fault.at_s + i * fault.every_s)
     return sorted(acts, key=lambda act: act.at_s)
 
 
-def _draw_acts(draw: Random, all_names: tuple[str, ...], fault: Fault, at_s: float) -> list[Act]:
+def _draw_acts(rng: Random, all_names: tuple[str, ...], fault: Fault, at_s: float) -> list[ScheduledAction]:
     end_s = at_s + fault.for_s
     if fault.kind in ("partition", *PATH_FAULTS):
         if fault.kind == "partition":
-            paths = cut_ways(draw, all_names, fault.parts)
+            paths = partition_paths(rng, all_names, fault.parts)
         elif fault.kind == "oneway":
-            paths = tuple(tuple(draw.sample(all_names, 2)) for _ in range(fault.count))
+            paths = tuple(tuple(rng.sample(all_names, 2)) for _ in range(fault.count))
         else:
-            affected = set(draw.sample(all_names, fault.count))
+            affected = set(rng.sample(all_names, fault.count))
             paths = tuple(
                 (a, b) for a in all_names for b in all_names if a != b and (a in affected or b in affected)
             )
         kind = "cut" if fault.kind in ("partition", "oneway") else fault.kind
         figures = {"share": fault.share, "ms": fault.ms}
-        return [Act(at_s, kind, (), paths, figures), Act(end_s, f"end {kind}", (), paths)]
-    affected = tuple(draw.sample(all_names, fault.count))
+        return [
+            ScheduledAction(at_s, kind, (), paths, figures),
+            ScheduledAction(end_s, f"end {kind}", (), paths),
+        ]
+    affected = tuple(rng.sample(all_names, fault.count))
     if fault.kind in PROCESS_FAULTS:
         begin, end = PROCESS_FAULT_ACTIONS.get(fault.kind, (fault.kind, f"end {fault.kind}"))
-        ms = fault.ms * draw.choice((-1.0, 1.0)) if fault.kind == "clock" else fault.ms
+        ms = fault.ms * rng.choice((-1.0, 1.0)) if fault.kind == "clock" else fault.ms
         figures = {"ms": ms} if fault.ms else {}
-        return [Act(at_s, begin, affected, (), figures), Act(end_s, end, affected)]
+        return [ScheduledAction(at_s, begin, affected, (), figures), ScheduledAction(end_s, end, affected)]
     if fault.kind == "upgrade":
         return [
-            Act(at_s, "start beside", affected),
-            Act(at_s + max(fault.for_s, 1.0), "end the older", affected),
+            ScheduledAction(at_s, "start beside", affected),
+            ScheduledAction(at_s + max(fault.for_s, 1.0), "end the older", affected),
         ]
-    acts = [Act(at_s, "kill" if fault.kind == "kill" else "end", affected)]
+    acts = [ScheduledAction(at_s, "kill" if fault.kind == "kill" else "end", affected)]
     if fault.back_s >= 0:
-        acts.append(Act(at_s + fault.back_s, "start", affected))
+        acts.append(ScheduledAction(at_s + fault.back_s, "start", affected))
     return acts
 
 
-def shrunk(acts: list[Act], breaks: Callable[[list[Act]], bool]) -> list[Act]:
+def minimized(
+    acts: list[ScheduledAction], breaks: Callable[[list[ScheduledAction]], bool]
+) -> list[ScheduledAction]:
     """Minimize a failing schedule: remove actions in halves, quarters and so on, down to single ones.
 
     An action that ends a fault is removed together with the one that began it. Returns an equal schedule if nothing
@@ -236,13 +241,13 @@
     return _flatten(groups)
 
 
-def _group_with_ends(acts: list[Act]) -> list[list[Act]]:
+def _group_with_ends(acts: list[ScheduledAction]) -> list[list[ScheduledAction]]:
     """Group each action that begins a fault with the one that ends it."""
     ends = {"kill": "start", "end": "start", "start beside": "end the older"} | dict(
         PROCESS_FAULT_ACTIONS.values()
     )
-    groups: list[list[Act]] = []
-    unfinished: list[tuple[str, Act, list[Act]]] = []
+    groups: list[list[ScheduledAction]] = []
+    unfinished: list[tuple[str, ScheduledAction, list[ScheduledAction]]] = []
     for act in acts:
         match = next(
             (
@@ -262,5 +267,5 @@
     return groups
 
 
-def _flatten(groups: list[list[Act]]) -> list[Act]:
+def _flatten(groups: list[list[ScheduledAction]]) -> list[ScheduledAction]:
     return sorted((act for group in groups for act in group), key=lambda act: act.at_s)
--- a/leadslip/filters.py
+++ b/leadslip/filters.py
@@ -11,12 +11,12 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from leadslip.checks import Tally
 from leadslip.logs import Log
+from leadslip.metrics import Metrics
 from leadslip.request import Request
 
 
-class Refused:
+class Refusal:
     """A filter's refusal; the caller is asked to retry after `pause_ms` milliseconds (0: no time is given)."""
 
     __slots__ = ("pause_ms",)
@@ -30,10 +30,10 @@
 
     name: str  # used in its counters; unique within a chain
 
-    def admit(self, request: Request, now_ms: float) -> Refused | None:
+    def admit(self, request: Request, now_ms: float) -> Refusal | None:
         """Admits a request (None), possibly after modifying it, or refuses it."""
 
-    def stood(self, request: Request, now_ms: float) -> None:
+    def established(self, request: Request, now_ms: float) -> None:
         """Called when the call of an admitted request is established."""
 
     def ended(self, request: Request, now_ms: float) -> None:
@@ -47,8 +47,8 @@
     by exactly one `ended`, even if the chain has been replaced meanwhile.
     """
 
-    def __init__(self, tally: Tally, log: Log, filters: Sequence[Filter] = ()) -> None:
-        self.tally, self.log = tally, log
+    def __init__(self, metrics: Metrics, log: Log, filters: Sequence[Filter] = ()) -> None:
+        self.metrics, self.log = metrics, log
         self.filters: tuple[Filter, ...] = ()
         self.logged_names: set[str] = set()  # filters whose failure has been logged
         self.replace(filters)
@@ -60,7 +60,7 @@
             raise ValueError(f"filter names must be unique within a chain: {names}")
         self.filters = tuple(filters)
 
-    def admit(self, request: Request, now_ms: float) -> Refused | None:
+    def admit(self, request: Request, now_ms: float) -> Refusal | None:
         """Asks the filters in order; the first refusal ends the request at those that had admitted it."""
         filters = self.filters
         latest_ms = request.valid_until_ms
@@ -73,24 +73,24 @@
             # A filter may not move the deadline beyond the time that the caller waits.
             request.valid_until_ms = min(request.valid_until_ms, latest_ms)
             if refused is not None:
-                self.tally.add(f"filters.{filter_.name}.refused")
-                request.passed = filters[:index]
+                self.metrics.add(f"filters.{filter_.name}.refused")
+                request.admitted_by = filters[:index]
                 self.ended(request, now_ms)
                 return refused
-        request.passed = filters
+        request.admitted_by = filters
         return None
 
-    def stood(self, request: Request, now_ms: float) -> None:
+    def established(self, request: Request, now_ms: float) -> None:
         """Notifies the filters that admitted a request that its call is established."""
-        for filter_ in request.passed:
+        for filter_ in request.admitted_by:
             try:
-                filter_.stood(request, now_ms)
+                filter_.established(request, now_ms)
             except Exception as error:
                 self._log_failure(filter_, error)
 
     def ended(self, request: Request, now_ms: float) -> None:
         """Notifies the filters that admitted a request that it has ended, in reverse order and only once."""
-        passed, request.passed = request.passed, ()
+        passed, request.admitted_by = request.admitted_by, ()
         for filter_ in reversed(passed):
             try:
                 filter_.ended(request, now_ms)
@@ -98,7 +98,7 @@
                 self._log_failure(filter_, error)
 
     def _log_failure(self, filter_: Filter, error: Exception) -> None:
-        self.tally.add(f"filters.{filter_.name}.raised")
+        self.metrics.add(f"filters.{filter_.name}.raised")
         if filter_.name not in self.logged_names:  # only once: a failure in each call would fill the log
             self.logged_names.add(filter_.name)
             text = f"{type(error).__name__}: {error}"
--- a/leadslip/fleet/agreement/disk.py
+++ b/leadslip/fleet/agreement/disk.py
@@ -17,8 +17,8 @@
 import apsw
 import msgspec
 
-from leadslip.fleet.agreement.raft import Entry, Kept, Save, Snapshot
-from leadslip.store.base import StoreError, check_sum, whole
+from leadslip.fleet.agreement.raft import Entry, PersistentState, Save, Snapshot
+from leadslip.store.base import StoreError, check_sum, transaction
 
 APPLICATION_ID = 0x6C736C76  # "lslv", in the file header
 SCHEMA_VERSION = 1
@@ -55,7 +55,7 @@
             if version and connection.pragma("quick_check", 1) != "ok":
                 raise StoreError(f"{self.path}: SQLite quick_check found damaged pages")
             if not version:
-                with whole(connection):
+                with transaction(connection):
                     connection.execute(SCHEMA)
                     connection.execute("INSERT INTO voter VALUES (?, 0, 0, '')", (secrets.token_hex(8),))
                     connection.pragma("application_id", APPLICATION_ID)
@@ -67,11 +67,11 @@
 
     def _count_start(self) -> tuple[str, int, int, str]:
         """Increments the start counter, then returns the voter's id, starts, term and vote."""
-        with whole(self.connection):
+        with transaction(self.connection):
             self.connection.execute("UPDATE voter SET starts = starts + 1")
         return next(iter(self.connection.execute("SELECT id, starts, term, vote FROM voter")))
 
-    def load(self, voters: list[str]) -> Kept:
+    def load(self, voters: list[str]) -> PersistentState:
         """Returns the persistent state; `voters` is its list of voters where no snapshot was saved.
 
         Raises StoreError if a checksum does not match or an entry is missing.
@@ -88,18 +88,18 @@
             if check_sum(str(index), body) != checksum or index != snapshot.index + len(entries) + 1:
                 raise StoreError(f"{self.path}: entry {index} is damaged, or one before it is missing")
             entries.append(msgspec.msgpack.decode(body, type=Entry))
-        return Kept(self.term, self.vote, snapshot, entries)
+        return PersistentState(self.term, self.vote, snapshot, entries)
 
     def write(self, save: Save) -> None:
         """Writes one save atomically; it is durable on return. Raises apsw.Error if nothing was written."""
         connection = self.connection
-        with whole(connection):
+        with transaction(connection):
             connection.execute("UPDATE voter SET term = ?, vote = ?", (save.term, save.vote))
             if save.snapshot is not None:
                 body = msgspec.msgpack.encode(save.snapshot)
                 row = body, check_sum("snapshot", body)
                 connection.execute("INSERT OR REPLACE INTO snapshot VALUES (1, ?, ?)", row)
-                last_dropped = -1 if save.whole else save.snapshot.index  # -1: all entries
+                last_dropped = -1 if save.replaces_log else save.snapshot.index  # -1: all entries
                 connection.execute(
                     "DELETE FROM entries WHERE ? < 0 OR idx <= ?", (last_dropped, last_dropped)
                 )
--- a/leadslip/fleet/agreement/documents.py
+++ b/leadslip/fleet/agreement/documents.py
@@ -8,7 +8,7 @@
 schema, as proxies of other versions might judge otherwise: a proxy that can't read the agreed documents applies the
 fallback rules.
 
-The fallback rules apply where the agreed documents are no longer known to be fresh (vouch.py). They are a document
+The fallback rules apply where the agreed documents are no longer known to be fresh (freshness.py). They are a document
 themselves, `isolated`, and at least as strict as any revision: a call that they admit is refused by no revision. A
 change that is stricter than they are is refused when proposed, and the refusal names the rule.
 """
@@ -117,7 +117,7 @@
     unix_ms: float
 
 
-class Outcome(msgspec.Struct, array_like=True, frozen=True):
+class ChangeResult(msgspec.Struct, array_like=True, frozen=True):
     """Result of a change: applied as this revision, or in conflict with a document that has changed since."""
 
     revision: int
@@ -209,7 +209,7 @@
         self.changed_in: dict[str, int] = {}  # name -> the revision that changed it last
         self.history: list[Revision] = []  # the oldest first
         self.bodies_by_hash: dict[str, bytes] = {}  # of all revisions in the history
-        self.ids: dict[str, Outcome] = {}  # change id -> result, the oldest first
+        self.ids: dict[str, ChangeResult] = {}  # change id -> result, the oldest first
 
     def check(self, proposal: Proposal) -> None:
         """Checks whether a change may be proposed now. Raises RefusedError with the rule it breaks."""
@@ -239,14 +239,14 @@
                 return f"{name} changed in revision {self.changed_in[name]}"
         return ""
 
-    def apply(self, proposal: Proposal) -> Outcome:
+    def apply(self, proposal: Proposal) -> ChangeResult:
         """Applies a committed change; the result is the same at every proxy, whatever its version."""
         earlier_result = self.ids.get(proposal.id)
         if earlier_result is not None:
             return earlier_result
         conflict = self.conflict(proposal)
         if conflict:
-            return self._record_result(proposal.id, Outcome(self.revision, conflict))
+            return self._record_result(proposal.id, ChangeResult(self.revision, conflict))
         self.revision += 1
         self.bodies = {name: body for name, body in (self.bodies | proposal.bodies).items() if body}
         for name in proposal.bodies:
@@ -269,9 +269,9 @@
             self.history = self.history[-MAX_HISTORY:]
             used = {body_hash for revision in self.history for body_hash in revision.hashes.values()}
             self.bodies_by_hash = {key: body for key, body in self.bodies_by_hash.items() if key in used}
-        return self._record_result(proposal.id, Outcome(self.revision))
+        return self._record_result(proposal.id, ChangeResult(self.revision))
 
-    def _record_result(self, id_: str, result: Outcome) -> Outcome:
+    def _record_result(self, id_: str, result: ChangeResult) -> ChangeResult:
         self.ids[id_] = result
         while len(self.ids) > MAX_RESULTS:
             del self.ids[next(iter(self.ids))]
@@ -309,7 +309,7 @@
                 dict[str, int],
                 list[Revision],
                 dict[str, bytes],
-                dict[str, Outcome],
+                dict[str, ChangeResult],
             ]
             state = msgspec.msgpack.decode(data, type=shape)
             (
--- a/leadslip/fleet/agreement/filter.py
+++ b/leadslip/fleet/agreement/filter.py
@@ -10,9 +10,9 @@
 from dataclasses import replace
 from typing import Protocol
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.deadlines import Clock
-from leadslip.filters import Refused
+from leadslip.filters import Refusal
 from leadslip.fleet.agreement.documents import Bars, Classes, Held, Reserve
 from leadslip.fleet.agreement.member import Agreement, Rules
 from leadslip.request import Request
@@ -23,16 +23,16 @@
 class RulesTarget(Protocol):
     """What the rules are applied to: the proxy's engine and trunk reservation, with the settings of its own file."""
 
-    def settings(self) -> face.Settings:
+    def settings(self) -> interface.Settings:
         """The settings of the proxy's own file."""
 
-    def adopt(self, settings: face.Settings) -> None:
+    def apply_settings(self, settings: interface.Settings) -> None:
         """Applies these settings in place of the current ones."""
 
-    def hold(self, servers: frozenset[str]) -> None:
+    def drain_servers(self, servers: frozenset[str]) -> None:
         """Takes exactly these setup servers out of rotation."""
 
-    def keep(self, lines: dict[str, int]) -> None:
+    def set_reserved_lines(self, lines: dict[str, int]) -> None:
         """Reserves lines for the first class, by trunk group."""
 
 
@@ -49,21 +49,21 @@
         self.bars = Bars()
         self.last_decision_ms = self.reported_ms = 0.0
 
-    def admit(self, request: Request, now_ms: float) -> Refused | None:
+    def admit(self, request: Request, now_ms: float) -> Refusal | None:
         """Refuses a call that the rules in effect bar; applies changed rules first."""
         fleet_now_ms = self.clock.now_ms()
-        rules = self.agreement.in_force(fleet_now_ms)
+        rules = self.agreement.rules_in_effect(fleet_now_ms)
         if rules is not self.rules:
             self._apply_rules(rules, fleet_now_ms)
-            request.most_tries = self.target.settings().max_attempts
-            if rules.most_tries is not None:
-                request.most_tries = min(request.most_tries, rules.most_tries)
+            request.max_attempts = self.target.settings().max_attempts
+            if rules.max_attempts is not None:
+                request.max_attempts = min(request.max_attempts, rules.max_attempts)
         elif self.report is not None and fleet_now_ms - self.reported_ms > REPORT_INTERVAL_MS:
             self._report_rules(rules, fleet_now_ms)
         self.last_decision_ms = fleet_now_ms
         bars = self.bars
         if request.destination in bars.destinations or request.number.startswith(tuple(bars.prefixes)):
-            return Refused()
+            return Refusal()
         return None
 
     def _report_rules(self, rules: Rules, fleet_now_ms: float) -> None:
@@ -96,13 +96,13 @@
                 for call_class in settings.classes
             )
             settings = replace(settings, classes=merged_classes)
-        if rules.most_tries is not None:
-            settings = replace(settings, max_attempts=min(settings.max_attempts, rules.most_tries))
-        self.target.adopt(settings)
-        self.target.hold(frozenset(documents.get("held", Held()).servers))
-        self.target.keep(documents.get("reserve", Reserve()).lines)
+        if rules.max_attempts is not None:
+            settings = replace(settings, max_attempts=min(settings.max_attempts, rules.max_attempts))
+        self.target.apply_settings(settings)
+        self.target.drain_servers(frozenset(documents.get("held", Held()).servers))
+        self.target.set_reserved_lines(documents.get("reserve", Reserve()).lines)
 
-    def stood(self, request: Request, now_ms: float) -> None:
+    def established(self, request: Request, now_ms: float) -> None:
         """Does nothing: the filter keeps no state per call."""
 
     def ended(self, request: Request, now_ms: float) -> None:
--- a/leadslip/fleet/agreement/member.py
+++ b/leadslip/fleet/agreement/member.py
@@ -1,7 +1,7 @@
 """Agreement member of one proxy: a Raft voter or a learner, and the rules that may be applied now. Performs no I/O.
 
-Driven by `received`, `vouched_by`, `on_view_change`, `saved`, `due` and operators' requests; it leaves
-messages in `out`, saves in `saves` and the next wake-up in `wake_ms`. Voters have the log (raft.py) and apply it to
+Driven by `received`, `on_freshness_report`, `on_view_change`, `saved`, `due` and operators' requests; it leaves
+messages in `outbox`, saves in `saves` and the next wake-up in `wake_ms`. Voters have the log (raft.py) and apply it to
 the documents (documents.py). All other members are learners: one that sees in an answer that a newer revision is
 known asks the answering member for the hashes of its documents, and then for the bodies that it lacks, one chunk at a
 time, from any member that has them. Chunks already received are retained when that member goes away. A body is
@@ -22,24 +22,34 @@
 
 import msgspec
 
-from leadslip.checks import Tally
 from leadslip.errors import OperatorError
 from leadslip.fleet.agreement import raft as raft_messages
 from leadslip.fleet.agreement.documents import (
+    ChangeResult,
     Classes,
     Documents,
     Isolated,
-    Outcome,
     Proposal,
     RefusedError,
     Strict,
     hash_of,
     read,
 )
-from leadslip.fleet.agreement.raft import Entry, Kept, Kind, Pace, Raft, RaftError, Role, Save, Snapshot
-from leadslip.fleet.agreement.vouch import Freshness
+from leadslip.fleet.agreement.freshness import Freshness
+from leadslip.fleet.agreement.raft import (
+    Entry,
+    EntryKind,
+    PersistentState,
+    Raft,
+    RaftError,
+    Role,
+    Save,
+    Snapshot,
+    Timing,
+)
 from leadslip.fleet.view.members import Change, Member, process_of
 from leadslip.fleet.view.view import View
+from leadslip.metrics import Metrics
 
 CHUNK_BYTES = 32 * 1024  # of a body in one message
 RETRY_MS = 400.0  # between two sends of an unanswered request
@@ -176,7 +186,7 @@
         return cls(revision, False, mark, documents | {"isolated": isolated})
 
     @property
-    def most_tries(self) -> int | None:
+    def max_attempts(self) -> int | None:
         """Maximum number of attempts per call; None: as in the proxy's own file."""
         if not self.agreed:
             return self.documents["isolated"].most_tries
@@ -225,7 +235,7 @@
 
     request: Propose
     deadline_ms: float
-    done: Callable[[Outcome | OperatorError], None]
+    done: Callable[[ChangeResult | OperatorError], None]
     asked_ms: float = -float("inf")
     leader: str = ""  # as named by the voter that answered last
     leader_asked_ms: float = -float("inf")  # when the leader itself was last asked
@@ -243,43 +253,43 @@
         voters: tuple[str, ...],
         in_force_ms: float,
         isolated: Isolated,
-        draw: Random,
-        tally: Tally,
+        rng: Random,
+        metrics: Metrics,
         log_event: Callable[..., None],
-        pace: Pace = Pace(),  # noqa: B008
+        pace: Timing = Timing(),  # noqa: B008
     ) -> None:
-        self.view, self.voter_names, self.isolated, self.draw, self.tally, self.log_event = (
+        self.view, self.voter_names, self.isolated, self.rng, self.metrics, self.log_event = (
             view,
             voters,
             isolated,
-            draw,
-            tally,
+            rng,
+            metrics,
             log_event,
         )
         self.pace = pace
-        self.out: list[tuple[int, bytes]] = []
+        self.outbox: list[tuple[int, bytes]] = []
         self.saves: list[Save] = []
         self.wake_ms = float("inf")
         self.freshness = Freshness(in_force_ms)
-        self.held, self.newest = NO_REVISION, NO_REVISION  # applied, and the newest that is complete here
+        self.current, self.newest = NO_REVISION, NO_REVISION  # applied, and the newest that is complete here
         self.rules: Rules | None = Rules.of(NO_REVISION)
-        self.alone = Rules.fallback(isolated)
+        self.fallback_rules = Rules.fallback(isolated)
         self.fetch: Fetch | None = None
         self.pending: dict[str, PendingProposal] = {}  # by change id
         # Used by voters only:
         self.id, self.starts, self.blank, self.stop_reason = "", 0, True, ""
-        self.persistent_state: Kept | None = None
+        self.persistent_state: PersistentState | None = None
         self.raft: Raft | None = None
         self.documents = Documents()
         self.revision_at: list[tuple[int, int]] = [(0, 0)]  # (index of an entry, the revision as of it)
         self.bootstrap_sent_ms = -float("inf")  # when the first list was last sent to the others
         self.proposers: dict[str, int] = {}  # uncommitted change id -> run of the proposing member
-        view.vouch, view.vouched_by = self.vouch, self.vouched_by
+        view.freshness_report, view.on_freshness_report = self.freshness_report, self.on_freshness_report
         view.listeners.append(self.on_view_change)
 
     # Start, bootstrap and stop.
 
-    def votes_with(self, id_: str, starts: int, persistent_state: Kept) -> None:
+    def make_voter(self, id_: str, starts: int, persistent_state: PersistentState) -> None:
         """Makes this member a voter, with the id, start counter and state of its disk."""
         self.id, self.starts, self.persistent_state = id_, starts, persistent_state
         self.blank = not persistent_state.snapshot.voters
@@ -313,13 +323,13 @@
         if self.blank:
             self._bootstrap()
         if not self.blank:
-            self._begin(now_ms)
+            self._start_raft(now_ms)
 
-    def _begin(self, now_ms: float) -> None:
+    def _start_raft(self, now_ms: float) -> None:
         persistent_state = self.persistent_state
         self.documents = Documents.load(persistent_state.snapshot.data)
         self.revision_at = [(persistent_state.snapshot.index, self.documents.revision)]
-        self.raft = Raft(self.id, persistent_state, self.draw, self.tally, self._on_committed, self.pace)
+        self.raft = Raft(self.id, persistent_state, self.rng, self.metrics, self._on_committed, self.pace)
         self.raft.start(now_ms)
         if self.documents.revision > self.newest.revision:
             self.newest = RevisionContents.of(self.documents.revision, self.documents.bodies)
@@ -356,10 +366,10 @@
 
     def _accept_voters(self, voters: list[str]) -> None:
         snapshot = Snapshot(0, 0, voters, b"")
-        self.persistent_state = Kept(0, "", snapshot, [])
+        self.persistent_state = PersistentState(0, "", snapshot, [])
         self.blank = False
         self.saves.append(Save(0, 0, "", snapshot=snapshot))
-        self.tally.add("agreement.founded")
+        self.metrics.add("agreement.founded")
 
     def _bootstrap_others(self, now_ms: float) -> None:
         """Sends the first list to its voters whose disks are still empty."""
@@ -378,7 +388,7 @@
 
     def _stop(self, reason: str) -> None:
         self.stop_reason, self.raft = reason, None
-        self.tally.add("agreement.stopped")
+        self.metrics.add("agreement.stopped")
         error = StoppedError(f"voter {self.id} has stopped: {reason}")
         self.log_event("agreement.stopped", level="error", **error.fields())
 
@@ -397,7 +407,7 @@
     def on_view_change(self, change: Change) -> None:
         """Handles a change of the view: voters may have appeared, or another process with this voter's disk."""
         may_be_our_disk = (
-            self.raft is not None and change.now is not None and change.now.facts.get("voter") == self.id
+            self.raft is not None and change.after is not None and change.after.facts.get("voter") == self.id
         )
         if may_be_our_disk and self._is_disk_outdated():
             self._stop("another process runs with its disk, started later")
@@ -410,7 +420,7 @@
         try:
             message = _decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            self.tally.add("agreement.unknown")
+            self.metrics.add("agreement.unknown")
             return
         match message:
             case Bootstrap():
@@ -456,7 +466,7 @@
                 if is_valid and is_from_leader and self.raft is None and self.blank:
                     # A leader has us in its list; the log that it sends contains the voters.
                     self._accept_voters([])
-                    self._begin(now_ms)
+                    self._start_raft(now_ms)
                 if is_valid and self.raft is not None:
                     self.raft.received(now_ms, message)
                     self._after_raft_step(now_ms)
@@ -467,14 +477,14 @@
         return member is not None and member.facts.get("voter") == id_
 
     def _send(self, run: int, message: object) -> None:
-        self.out.append((run, _encoder.encode(message)))
+        self.outbox.append((run, _encoder.encode(message)))
 
     # Log of a voter.
 
     def _on_committed(self, entry: Entry) -> None:
-        if entry.kind == Kind.SNAPSHOT:
+        if entry.kind == EntryKind.SNAPSHOT:
             self.documents = Documents.load(entry.data)
-        elif entry.kind == Kind.CHANGE:
+        elif entry.kind == EntryKind.CHANGE:
             proposal = msgspec.msgpack.decode(entry.data, type=Proposal)
             self._on_result(proposal.id, self.documents.apply(proposal))
         self.revision_at.append((entry.index, self.documents.revision))
@@ -482,7 +492,7 @@
         if self.documents.revision > self.newest.revision:
             self.newest = RevisionContents.of(self.documents.revision, self.documents.bodies)
 
-    def _on_result(self, id_: str, outcome: Outcome) -> None:
+    def _on_result(self, id_: str, outcome: ChangeResult) -> None:
         run = self.proposers.pop(id_, 0)
         reply = ProposeReply(id_, outcome.revision, outcome.conflict)
         if run == self.view.run or (not run and id_ in self.pending):
@@ -507,7 +517,7 @@
             if revision is not None and age_ms < self.freshness.max_age_ms:
                 self.freshness.record_report(now_ms, revision, age_ms)
         live_voters = self._live_voters()
-        out, raft.out = raft.out, []
+        out, raft.outbox = raft.outbox, []
         for message in out:
             target = live_voters.get(message.target)
             if target is not None:
@@ -521,7 +531,7 @@
 
     # Freshness reports.
 
-    def vouch(self, now_ms: float) -> list[int]:
+    def freshness_report(self, now_ms: float) -> list[int]:
         """Returns the freshness report for an answer: [newest revision known, its age in ms, checksum].
 
         The checksum is 0 if this member does not have that revision; the report is empty if it would be too old.
@@ -534,7 +544,7 @@
         revision, age_ms = report
         return [revision, int(age_ms) + 1, self.newest.mark if self.newest.revision == revision else 0]
 
-    def vouched_by(self, run: int, sent_ms: float, report: list[int]) -> None:
+    def on_freshness_report(self, run: int, sent_ms: float, report: list[int]) -> None:
         """Handles the report in a member's answer to our ping of `sent_ms`."""
         if len(report) < 3:
             return
@@ -548,7 +558,7 @@
 
     def _on_divergence(self, run: int, revision: int) -> None:
         """Handles a replica of our revision with other contents; a voter decides which of the two is wrong."""
-        self.tally.add("agreement.differs")
+        self.metrics.add("agreement.differs")
         reporter = self.view.table.get(run)
         if self.raft is not None:
             if reporter is not None and reporter.facts.get("voter") == self.raft.leader:
@@ -557,7 +567,7 @@
         if self.fetch is None:
             voters = [member.run for member in self._live_voters().values()]
             self.fetch = Fetch(
-                run if run in voters else self.draw.choice(voters or [run]), -float("inf"), revision
+                run if run in voters else self.rng.choice(voters or [run]), -float("inf"), revision
             )
 
     # Fetching a revision.
@@ -583,14 +593,14 @@
             for name in own_hashes.keys() | voter_hashes.hashes.keys()
             if own_hashes.get(name) != voter_hashes.hashes.get(name)
         )
-        self.tally.add("agreement.quarantined")
+        self.metrics.add("agreement.quarantined")
         self.log_event(
             "agreement.quarantined",
             level="error",
             revision=self.newest.revision,
             documents=",".join(differing),
         )
-        self.held = self.newest = NO_REVISION
+        self.current = self.newest = NO_REVISION
         self.rules = None
         self.freshness.revision, self.freshness.as_of_ms = 0, -float("inf")
 
@@ -611,7 +621,7 @@
             received += chunk.data
             fetch.asked_ms = -float("inf")
             if len(received) >= chunk.size and hash_of(bytes(received)) != chunk.hash:
-                self.tally.add("agreement.spoilt")
+                self.metrics.add("agreement.spoilt")
                 del fetch.received[chunk.hash]
                 fetch.run = 0
 
@@ -646,7 +656,7 @@
             ]
             if not others:
                 return now_ms + RETRY_MS
-            fetch.run = self.draw.choice(others)
+            fetch.run = self.rng.choice(others)
         fetch.asked_ms = now_ms
         if fetch.revision_hashes is None:
             self._send(fetch.run, HashesRequest(fetch.min_revision))
@@ -658,28 +668,32 @@
 
     def _apply_newest(self, now_ms: float) -> None:
         """Applies the newest complete revision if it is known to be the newest, or the current one is not fresh."""
-        if self.newest is self.held:
+        if self.newest is self.current:
             return
         if self.freshness.newest == self.newest.revision or not self.freshness.is_fresh(now_ms):
-            self.held = self.newest
-            self.freshness.apply_revision(self.held.revision)
-            self.rules = Rules.of(self.held)
+            self.current = self.newest
+            self.freshness.apply_revision(self.current.revision)
+            self.rules = Rules.of(self.current)
             isolated = self.rules.documents.get("isolated") if self.rules is not None else None
             fallback = isolated if isinstance(isolated, Isolated) else self.isolated
-            self.alone = Rules.fallback(fallback, self.held.revision, self.held.mark)
+            self.fallback_rules = Rules.fallback(fallback, self.current.revision, self.current.mark)
             if self.rules is None:
-                self.tally.add("agreement.unread")
+                self.metrics.add("agreement.unread")
 
-    def in_force(self, now_ms: float) -> Rules:
+    def rules_in_effect(self, now_ms: float) -> Rules:
         """Returns the rules to apply at this moment: the agreed rules while they are fresh, or the fallback rules."""
         if self.rules is not None and self.freshness.is_fresh(now_ms):
             return self.rules
-        return self.alone
+        return self.fallback_rules
 
     # Operators' changes.
 
     def propose(
-        self, now_ms: float, propose: Propose, wait_ms: float, done: Callable[[Outcome | OperatorError], None]
+        self,
+        now_ms: float,
+        propose: Propose,
+        wait_ms: float,
+        done: Callable[[ChangeResult | OperatorError], None],
     ) -> None:
         """Proposes a change to the leader; `done` is called once with its result or an error.
 
@@ -731,14 +745,15 @@
         elif reply.revision >= 0:
             conflict = reply.conflict
             self._finish(
-                reply.id, ConflictError(conflict) if conflict else Outcome(reply.revision, reply.conflict)
+                reply.id,
+                ConflictError(conflict) if conflict else ChangeResult(reply.revision, reply.conflict),
             )
         elif reply.leader:
             pending.leader = reply.leader
             if now_ms >= pending.leader_asked_ms + RETRY_MS:
                 pending.asked_ms = -float("inf")
 
-    def _finish(self, id_: str, result: Outcome | OperatorError) -> None:
+    def _finish(self, id_: str, result: ChangeResult | OperatorError) -> None:
         self.pending.pop(id_).done(result)
 
     def _send_pending(self, now_ms: float) -> float:
@@ -761,7 +776,7 @@
                 leader = self.id if raft is not None and raft.role is Role.LEADER else ""
                 leader = leader or (raft.leader if raft is not None else "") or pending.leader
                 if leader not in live_voters or unanswered:
-                    leader = self.draw.choice(sorted(live_voters)) if live_voters else ""
+                    leader = self.rng.choice(sorted(live_voters)) if live_voters else ""
                 else:
                     pending.leader_asked_ms = now_ms
                 if leader == self.id and leader:
@@ -786,15 +801,15 @@
             next_ms = min(next_ms, now_ms + BOOTSTRAP_INTERVAL_MS)
         self.wake_ms = next_ms
 
-    def told(self, now_ms: float) -> dict:
+    def status(self, now_ms: float) -> dict:
         """Returns the status shown to operators."""
-        rules = self.in_force(now_ms)
+        rules = self.rules_in_effect(now_ms)
         newest = self.freshness.report(now_ms)
         raft = self.raft
         return {
-            "revision": self.held.revision,
+            "revision": self.current.revision,
             "in_force": "agreed" if rules.agreed else "isolated",
-            "mark": f"{self.held.mark:08x}",
+            "mark": f"{self.current.mark:08x}",
             "newest": None if newest is None else {"revision": newest[0], "age_ms": round(newest[1])},
             "fetching": self.fetch is not None,
             "voter": None
--- a/leadslip/fleet/agreement/raft.py
+++ b/leadslip/fleet/agreement/raft.py
@@ -1,7 +1,7 @@
 """Raft consensus on one log (Ongaro, 2014) with pre-vote, check-quorum, leadership transfer and snapshots.
 
 One `Raft` object per voter, driven by `received`, `due`, `saved` and the calls of operators. It leaves messages in
-`out` and data to be made durable in `saves`, and passes committed entries to `commit`. Times are milliseconds of the
+`outbox` and data to be made durable in `saves`, and passes committed entries to `commit`. Times are milliseconds of the
 voter's monotonic clock. Pure: no I/O, time and randomness are passed in.
 
 Nothing counts before it is durable: a message that depends on a save is deferred until `saved` reports that the save
@@ -21,14 +21,14 @@
 
 import msgspec
 
-from leadslip.checks import Tally
 from leadslip.errors import OperatorError
+from leadslip.metrics import Metrics
 
 MAX_BATCH_ENTRIES = 64  # in one message
 MAX_BATCH_BYTES = 256 * 1024  # of their data; a single entry is sent whatever its size
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     """Kinds of log entries."""
 
     NOTHING = 0  # a new leader's first: older entries may be committed only after one of its own term
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class Timing:
     """Raft timing in ms. An election takes about two of the longest time-outs unless two voters start at once."""
 
     heartbeat_ms: float = 100.0  # between two messages of a leader to each follower
@@ -146,11 +146,11 @@
     after: int = 0  # entries after this index are replaced by `entries`
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
-    whole: bool = False  # the snapshot replaces the entire log, as the log does not match it
+    replaces_log: bool = False  # the snapshot replaces the entire log, as the log does not match it
 
 
 @dataclass(slots=True)
-class Kept:
+class PersistentState:
     """The persistent state that a voter starts with."""
 
     term: int
@@ -175,14 +175,20 @@
     """The consensus state machine of one voter."""
 
     def __init__(
-        self, id_: str, kept: Kept, draw: Random, tally: Tally, commit: Callable[[Entry], None], pace: Pace
+        self,
+        id_: str,
+        kept: PersistentState,
+        rng: Random,
+        metrics: Metrics,
+        commit: Callable[[Entry], None],
+        pace: Timing,
     ) -> None:
-        self.id, self.draw, self.tally, self.commit, self.pace = id_, draw, tally, commit, pace
+        self.id, self.rng, self.metrics, self.commit, self.pace = id_, rng, metrics, commit, pace
         self.term, self.vote = kept.term, kept.vote
         self.snapshot, self.entries = kept.snapshot, list(kept.entries)
         self.role, self.leader = Role.FOLLOWER, ""
         self.committed = self.applied = kept.snapshot.index
-        self.out: list[AnyMessage] = []
+        self.outbox: list[AnyMessage] = []
         self.saves: list[Save] = []
         self.issued_save = self.durable_save = (
             0  # number of the last save issued, and of the last known to be on disk
@@ -236,11 +242,11 @@
     def voters(self) -> list[str]:
         """The current voters: the latest list in the log, committed or not."""
         for entry in reversed(self.entries):
-            if entry.kind == Kind.VOTERS:
+            if entry.kind == EntryKind.VOTERS:
                 return msgspec.msgpack.decode(entry.data, type=list[str])
         return self.snapshot.voters
 
-    def _majority(self, supporters: Sequence[str]) -> bool:
+    def _is_majority(self, supporters: Sequence[str]) -> bool:
         """Whether these are a majority of the current voters; others among them do not count."""
         voters = self.voters
         return 2 * sum(voter in voters for voter in supporters) > len(voters)
@@ -265,7 +271,7 @@
 
     def _reset_election_timer(self, now_ms: float) -> None:
         """Restarts the election timer with a random time-out."""
-        self.election_due_ms = now_ms + self.pace.election_timeout_ms * (1.0 + self.draw.random())
+        self.election_due_ms = now_ms + self.pace.election_timeout_ms * (1.0 + self.rng.random())
         self._update_wake_time()
 
     def _save(self, **fields: object) -> None:
@@ -287,7 +293,7 @@
             if message.target == self.id:
                 self.received(now_ms, message)
             elif message.term == self.term:
-                self.out.append(message)
+                self.outbox.append(message)
         if self.role is Role.LEADER:
             self._advance(now_ms)
 
@@ -296,7 +302,7 @@
         if durable and self.durable_save < self.issued_save:
             self.deferred.append((self.issued_save, message))
         else:
-            self.out.append(message)
+            self.outbox.append(message)
 
     def _become_follower(self, now_ms: float, term: int, leader: str = "") -> None:
         """Becomes a follower, in this term or a later one."""
@@ -304,7 +310,7 @@
             self.term, self.vote = term, ""
             self._save(after=self.last_index)
         if self.role is Role.LEADER:
-            self.tally.add("agreement.stood_down")
+            self.metrics.add("agreement.stood_down")
         if self.role is not Role.FOLLOWER or leader != self.leader:
             self._reset_election_timer(now_ms)
         self.role, self.leader = Role.FOLLOWER, leader
@@ -330,7 +336,7 @@
             self.role = Role.CANDIDATE
             self.term, self.vote = self.term + 1, self.id
             self._save(after=self.last_index)
-            self.tally.add("agreement.elections")
+            self.metrics.add("agreement.elections")
         requested_term = self.term + 1 if pre else self.term
         for voter in self.voters:
             if voter != self.id:
@@ -382,7 +388,7 @@
         if reply.term != (self.term + 1 if reply.pre else self.term) or not reply.granted:
             return
         self.votes_received.add(reply.source)
-        if not self._majority(self.votes_received):
+        if not self._is_majority(self.votes_received):
             return
         if reply.pre:
             self._start_election(now_ms, pre=False)
@@ -391,7 +397,7 @@
 
     def _become_leader(self, now_ms: float) -> None:
         self.role, self.leader = Role.LEADER, self.id
-        self.tally.add("agreement.leads")
+        self.metrics.add("agreement.leads")
         self.followers = {
             voter: Follower(self.last_index + 1, now_ms) for voter in self.voters if voter != self.id
         }
@@ -399,9 +405,15 @@
         self.confirmed_ms = -float("inf")
         self.transfer_target = ""
         # The very first leader writes the list of voters into the log, for voters that join later with an empty disk.
-        is_first_leader = not self.snapshot.index and all(entry.kind != Kind.VOTERS for entry in self.entries)
+        is_first_leader = not self.snapshot.index and all(
+            entry.kind != EntryKind.VOTERS for entry in self.entries
+        )
         self._append(
-            *((Kind.VOTERS, msgspec.msgpack.encode(self.voters)) if is_first_leader else (Kind.NOTHING, b""))
+            *(
+                (EntryKind.VOTERS, msgspec.msgpack.encode(self.voters))
+                if is_first_leader
+                else (EntryKind.NOTHING, b"")
+            )
         )
         self.term_start_index = self.last_index
         self._send_heartbeats(now_ms)
@@ -412,7 +424,7 @@
     def propose(self, now_ms: float, data: bytes) -> int:
         """Appends a change to the log and returns its index. Raises RaftError unless leader, or during a transfer."""
         self._require_leader()
-        index = self._append(Kind.CHANGE, data)
+        index = self._append(EntryKind.CHANGE, data)
         self._send_heartbeats(now_ms)
         self._advance(now_ms)
         return index
@@ -423,7 +435,7 @@
         if self.transfer_target:
             raise RaftError("a leadership transfer is in progress")
 
-    def _append(self, kind: Kind, data: bytes) -> int:
+    def _append(self, kind: EntryKind, data: bytes) -> int:
         entry = Entry(self.last_index + 1, self.term, int(kind), data)
         self.entries.append(entry)
         self._save(after=entry.index - 1, entries=(entry,))
@@ -437,8 +449,8 @@
             for voter, follower in self.followers.items()
             if now_ms - follower.last_received_ms < 2 * self.pace.election_timeout_ms
         ]
-        if not self._majority(reachable):
-            self.tally.add("agreement.no_majority")
+        if not self._is_majority(reachable):
+            self.metrics.add("agreement.no_majority")
             self._become_follower(now_ms, self.term)
             return
         if self.transfer_target and now_ms - self.transfer_started_ms > self.pace.transfer_timeout_ms:
@@ -492,7 +504,7 @@
         new_entries = [entry for entry in entries if self.term_at(entry.index) != entry.term]
         if new_entries:
             keep_index = new_entries[0].index - 1
-            self.tally.must(keep_index >= self.committed, "what is committed is not replaced")
+            self.metrics.check_invariant(keep_index >= self.committed, "what is committed is not replaced")
             del self.entries[keep_index - self.snapshot.index :]
             self.entries += entries[entries.index(new_entries[0]) :]
             self._save(after=keep_index, entries=tuple(self.entries[keep_index - self.snapshot.index :]))
@@ -528,9 +540,9 @@
             self.entries = self.entries[snapshot.index - self.snapshot.index :] if matches else []
             self.snapshot = snapshot
             self.committed = self.applied = snapshot.index
-            self._save(after=self.last_index, snapshot=snapshot, whole=not matches)
-            self.commit(Entry(snapshot.index, snapshot.term, int(Kind.SNAPSHOT), snapshot.data))
-            self.tally.add("agreement.installed")
+            self._save(after=self.last_index, snapshot=snapshot, replaces_log=not matches)
+            self.commit(Entry(snapshot.index, snapshot.term, int(EntryKind.SNAPSHOT), snapshot.data))
+            self.metrics.add("agreement.installed")
         index = max(snapshot.index, self.committed)
         self._send(AppendReply(self.id, message.source, self.term, True, index, message.round), durable=True)
 
@@ -567,7 +579,7 @@
             return
         voters = self.snapshot.voters
         for entry in self.entries[: index - self.snapshot.index]:
-            if entry.kind == Kind.VOTERS:
+            if entry.kind == EntryKind.VOTERS:
                 voters = msgspec.msgpack.decode(entry.data, type=list[str])
         snapshot = Snapshot(index, self.term_at(index), voters, data)
         self.entries = self.entries[index - self.snapshot.index :]
@@ -608,11 +620,13 @@
         self._require_leader()
         if len(set(voters) ^ set(self.voters)) != 1 or len(set(voters)) != len(voters):
             raise RaftError("voters must change one at a time: add or remove exactly one")
-        pending = any(entry.kind == Kind.VOTERS and entry.index > self.committed for entry in self.entries)
+        pending = any(
+            entry.kind == EntryKind.VOTERS and entry.index > self.committed for entry in self.entries
+        )
         if pending or self.committed < self.term_start_index:
             # Two overlapping changes could have majorities that don't overlap (Ongaro's correction of 2015).
             raise RaftError("a change of voters, or the first entry of this term, is not committed yet")
-        index = self._append(Kind.VOTERS, msgspec.msgpack.encode(voters))
+        index = self._append(EntryKind.VOTERS, msgspec.msgpack.encode(voters))
         for voter in voters:
             if voter != self.id and voter not in self.followers:
                 self.followers[voter] = Follower(self.last_index + 1, now_ms)
@@ -624,7 +638,7 @@
 
     def voters_settled(self) -> bool:
         """Whether no change of the voters is uncommitted."""
-        return all(entry.kind != Kind.VOTERS or entry.index <= self.committed for entry in self.entries)
+        return all(entry.kind != EntryKind.VOTERS or entry.index <= self.committed for entry in self.entries)
 
     def transfer(self, now_ms: float, target: str) -> None:
         """Transfers leadership to `target` once its log has caught up. Raises RaftError."""
--- a/leadslip/fleet/history.py
+++ b/leadslip/fleet/history.py
@@ -11,7 +11,7 @@
 from leadslip.fleet.view.view import View
 
 
-def to_file(path: str) -> Callable[[dict], None]:
+def file_writer(path: str) -> Callable[[dict], None]:
     """Returns a function that appends records to a file; a killed process leaves at most one truncated line."""
     file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
@@ -24,11 +24,11 @@
     return write_record
 
 
-def follow(view: View, write_record: Callable[[dict], None]) -> None:
+def record_view(view: View, write_record: Callable[[dict], None]) -> None:
     """Records each change of a view with the digest after it, and each new generation of its own run."""
 
     def changed(change: Change) -> None:
-        now, was = change.now, change.was
+        now, was = change.after, change.before
         member = now or was
         if was is not None and now is not None and was.live and now.run != was.run:
             write_record({"do": "held", "run": f"{was.run:016x}", "name": was.name, "state": "dead"})
@@ -43,5 +43,5 @@
         )
 
     view.listeners.append(changed)
-    view.reborn.append(lambda run: write_record({"do": "reborn", "run": f"{run:016x}"}))
+    view.generation_listeners.append(lambda run: write_record({"do": "reborn", "run": f"{run:016x}"}))
     write_record({"do": "started", "run": f"{view.run:016x}", "name": view.me.name})
--- a/leadslip/fleet/replicas/member.py
+++ b/leadslip/fleet/replicas/member.py
@@ -22,12 +22,12 @@
 
 import msgspec
 
-from leadslip.checks import Tally
-from leadslip.fleet.replicas.copy import BUCKETS, Record, Table, bucket_of
-from leadslip.fleet.replicas.place import holders_of
-from leadslip.fleet.view.allowance import Allowance
+from leadslip.fleet.replicas.placement import holders_of
+from leadslip.fleet.replicas.table import BUCKETS, Record, Table, bucket_of
 from leadslip.fleet.view.members import Change, State, process_of
+from leadslip.fleet.view.token_bucket import TokenBucket
 from leadslip.fleet.view.view import View
+from leadslip.metrics import Metrics
 
 FLUSH_INTERVAL_MS = 50.0
 RETRANSMIT_MS = 500.0  # without an acknowledgement, or an answer to a request for buckets
@@ -45,7 +45,7 @@
 MAX_LOCATE_MEMBERS = 64  # members asked for one call
 MAX_RECENT_CHANGES = 50_000  # changed keys remembered, so that recovery does not overwrite them
 MAX_REPLICAS = 512
-STANDS = "call"  # kind of the established calls: call id -> server
+ESTABLISHED = "call"  # kind of the established calls: call id -> server
 PREDECESSOR = "former"  # kind of the processes whose table the owner has adopted: process, in hex -> empty
 ENDED = "ended"  # kind of the calls that ended, before recovery was over, at an owner that did not know them (yet)
 LEARNED = "learned"  # kind of what the owner has learned: name -> its encoded value
@@ -192,29 +192,29 @@
         self,
         view: View,
         copies: int,
-        tally: Tally,
+        metrics: Metrics,
         log_event: Callable[..., None],
         on_recovered: Callable[[str, dict[str, bytes]], None],
     ) -> None:
-        self.view, self.copies, self.tally, self.log_event, self.on_recovered = (
+        self.view, self.copies, self.metrics, self.log_event, self.on_recovered = (
             view,
             copies,
-            tally,
+            metrics,
             log_event,
             on_recovered,
         )
-        self.out: list[tuple[int, bytes]] = []
+        self.outbox: list[tuple[int, bytes]] = []
         self.own = Table(fresh=True)
         self.log: deque[Record] = deque(maxlen=MAX_LOG_RECORDS)
         self.holders: dict[int, Holder] = {}
-        self.held: dict[int, Replica] = {}  # run of the owner -> its replica
+        self.held_replicas: dict[int, Replica] = {}  # run of the owner -> its replica
         self.recoveries: dict[int, Recovery] = {}  # earlier process of this name -> recovery of its table
         # Keys changed by this process, the oldest first.
         self.recent_changes: OrderedDict[tuple[str, str], None] = OrderedDict()
         self.locating: dict[str, tuple[float, Callable[[str], None]]] = {}
         self.send_tokens, self.locate_tokens = (
-            Allowance(SEND_BYTES_PER_MS, SEND_BURST_BYTES),
-            Allowance(LOCATES_PER_MS, LOCATE_BURST),
+            TokenBucket(SEND_BYTES_PER_MS, SEND_BURST_BYTES),
+            TokenBucket(LOCATES_PER_MS, LOCATE_BURST),
         )
         self.sent_bytes = 0
         # When other members became known; -inf once that is longer ago than the orphan retention.
@@ -222,7 +222,7 @@
         self.placement_current = False
         self.wake_ms = 0.0
         view.listeners.append(self.on_member_change)
-        view.reborn.append(self.on_new_generation)
+        view.generation_listeners.append(self.on_new_generation)
 
     # Owner
 
@@ -232,7 +232,7 @@
         if len(self.recent_changes) > MAX_RECENT_CHANGES:
             self.recent_changes.popitem(last=False)
         may_recover = self.fleet_known_ms is None or self.fleet_known_ms > -float("inf")
-        if kind == STANDS and state is None and may_recover and self.own.get(kind, key) is None:
+        if kind == ESTABLISHED and state is None and may_recover and self.own.get(kind, key) is None:
             # The call may belong to a table still to be recovered, by this process or by a successor: keep its end.
             self._put(ENDED, key, b"")
         self._put(kind, key, state)
@@ -264,12 +264,12 @@
         chosen = {member.run for member in holders_of(me.name, me.zone, members, self.copies)}
         for run in [run for run in self.holders if run not in chosen]:
             del self.holders[run]
-            if self.view.table.standing(run) < State.DEAD:
+            if self.view.table.status(run) < State.DEAD:
                 self._post(run, ReleaseReplica(self.view.run))
         for run in chosen:
             self.holders.setdefault(run, Holder())
         live = {process_of(member.run): member.run for member in members}
-        for replica in self.held.values():
+        for replica in self.held_replicas.values():
             run = live.get(process_of(replica.owner))
             replica.gone_ms = float("inf") if run is not None else min(replica.gone_ms, now_ms)
             if run is not None and run != replica.owner:
@@ -308,11 +308,11 @@
             elif holder.sent + 1 < first and table.applied > holder.sent and not holder.missing:
                 holder.missing = list(range(BUCKETS))  # the log no longer has the changes
                 holder.acknowledged = holder.sent = -1  # until it acknowledges the buckets
-            while holder.missing and self.send_tokens.now(now_ms) > 0.0:
+            while holder.missing and self.send_tokens.available(now_ms) > 0.0:
                 index = holder.missing.pop(0)
                 self._send(now_ms, run, holder, self._full_bucket(self.view.run, table, index))
             if holder.acknowledged >= 0 and not holder.missing:
-                while holder.sent < table.applied and self.send_tokens.now(now_ms) > 0.0:
+                while holder.sent < table.applied and self.send_tokens.available(now_ms) > 0.0:
                     batch = self._batch(holder.sent + 1 - first)
                     if not batch:
                         break
@@ -369,21 +369,23 @@
 
     def _replica(self, now_ms: float, run: int) -> Replica | None:
         """The replica of the owner that wrote, made if need be; None if the owner is fenced off or refused."""
-        replica = self.held.get(run)
+        replica = self.held_replicas.get(run)
         if replica is None:
-            held_run = next((owner for owner in self.held if process_of(owner) == process_of(run)), 0)
+            held_run = next(
+                (owner for owner in self.held_replicas if process_of(owner) == process_of(run)), 0
+            )
             if held_run > run:
-                self.tally.add("replicas.fenced")
+                self.metrics.add("replicas.fenced")
                 return None
             if held_run:  # a later generation of the process goes on with its table and numbers
-                replica = self.held[run] = self.held.pop(held_run)
+                replica = self.held_replicas[run] = self.held_replicas.pop(held_run)
                 replica.owner = run
         if replica is None:
             member = self.view.table.get(run)
-            if member is None or len(self.held) >= MAX_REPLICAS:
-                self.tally.add("replicas.refused")
+            if member is None or len(self.held_replicas) >= MAX_REPLICAS:
+                self.metrics.add("replicas.refused")
                 return None
-            replica = self.held[run] = Replica(run, member.name)
+            replica = self.held_replicas[run] = Replica(run, member.name)
         replica.received_ms = now_ms
         return replica
 
@@ -391,8 +393,8 @@
         replica = self._replica(now_ms, run)
         if replica is None:
             return
-        if replica.table.whole() and not replica.table.apply(message.records):
-            self.tally.add("replicas.gaps")
+        if replica.table.is_complete() and not replica.table.apply(message.records):
+            self.metrics.add("replicas.gaps")
         self._acknowledge(run, replica)
 
     def _acknowledge(self, run: int, replica: Replica) -> None:
@@ -415,12 +417,12 @@
         received = Table()
         received.merge(message.index, message.sequence, message.records)
         if received.buckets[message.index].digest != message.digest:
-            self.tally.add("replicas.spoilt")
+            self.metrics.add("replicas.spoilt")
             return
         table.merge(message.index, message.sequence, message.records)
         if not table.missing_buckets():
             table.start_applying()
-        if replica is not None and (table.whole() or message.index == BUCKETS - 1):
+        if replica is not None and (table.is_complete() or message.index == BUCKETS - 1):
             self._acknowledge(run, replica)
         if recovery is not None:
             self._adopt(recovery)
@@ -431,12 +433,12 @@
         if replica is None:
             return
         table = replica.table
-        if table.whole() and table.applied == message.sequence and len(message.digests) == BUCKETS:
+        if table.is_complete() and table.applied == message.sequence and len(message.digests) == BUCKETS:
             diverging = [
                 index for index, digest in enumerate(table.digests()) if digest != message.digests[index]
             ]
             if diverging:
-                self.tally.add("replicas.differs")
+                self.metrics.add("replicas.differs")
                 self.log_event(
                     "replicas.differs", level="error", owner=replica.owner_name, buckets=len(diverging)
                 )
@@ -452,7 +454,7 @@
         process = process_of(message.owner)
         if len(message.sequences) != BUCKETS or process == process_of(self.view.run):
             return
-        if self.view.table.standing(message.owner) < State.DEAD:
+        if self.view.table.status(message.owner) < State.DEAD:
             return  # the owner is alive, as during an upgrade, and keeps its table
         if self.own.get(PREDECESSOR, predecessor_key(process)) is not None and process not in self.recoveries:
             # A predecessor of this process had adopted that table, so the predecessor's table is the later one.
@@ -492,21 +494,21 @@
             return
         changed_here = set(self.recent_changes)
         for key in recovery.table.all(ENDED):
-            if (STANDS, key) not in changed_here:
-                self._put(STANDS, key, None)  # the table of an earlier process may have contained it
-            self.recent_changes[STANDS, key] = None
-        for kind in (PREDECESSOR, ENDED, LEARNED, STANDS):
+            if (ESTABLISHED, key) not in changed_here:
+                self._put(ESTABLISHED, key, None)  # the table of an earlier process may have contained it
+            self.recent_changes[ESTABLISHED, key] = None
+        for kind in (PREDECESSOR, ENDED, LEARNED, ESTABLISHED):
             recovered = {
                 key: state
                 for key, state in recovery.table.all(kind).items()
                 if (kind, key) not in self.recent_changes
             }
             gone = recovery.adopted.get(kind, set()) - recovered.keys()
-            if kind == STANDS:
+            if kind == ESTABLISHED:
                 for key in recovery.table.all(PREDECESSOR):
                     earlier = self.recoveries.pop(int(key, 16), None)
                     gone |= (
-                        earlier.adopted.get(STANDS, set()) - recovered.keys()
+                        earlier.adopted.get(ESTABLISHED, set()) - recovered.keys()
                         if earlier is not None
                         else set()
                     )
@@ -519,8 +521,8 @@
             self.on_recovered(kind, recovered)
         self._put(PREDECESSOR, predecessor_key(process_of(recovery.owner)), b"")
         recovery.adopted_at = self.own.applied
-        self.tally.add("replicas.returned")
-        self.log_event("replicas.returned", calls=len(recovery.adopted[STANDS]))
+        self.metrics.add("replicas.returned")
+        self.log_event("replicas.returned", calls=len(recovery.adopted[ESTABLISHED]))
 
     def behind(self, now_ms: float) -> bool:
         """Whether the table of an earlier process may still have to be recovered."""
@@ -531,13 +533,13 @@
 
     def server_of(self, now_ms: float, call: str) -> str:
         """The server at which a call is established, by the own table or a replica; empty where it is unknown."""
-        state = self.own.get(STANDS, call)
-        if state is None and (STANDS, call) not in self.recent_changes:  # else it ended here
+        state = self.own.get(ESTABLISHED, call)
+        if state is None and (ESTABLISHED, call) not in self.recent_changes:  # else it ended here
             # A replica counts if its owner is gone or has written lately: a live owner that has been silent for
             # longer may have other holders by now.
             states = (
-                replica.table.get(STANDS, call)
-                for replica in self.held.values()
+                replica.table.get(ESTABLISHED, call)
+                for replica in self.held_replicas.values()
                 if replica.gone_ms < float("inf") or now_ms < replica.received_ms + OWNER_SILENT_MS
             )
             state = next((found for found in states if found is not None), None)
@@ -545,7 +547,7 @@
 
     def call_released(self, call: str) -> None:
         """Record that a located call has been released from here, and notify the members that may hold a replica."""
-        self.put(STANDS, call, None)
+        self.put(ESTABLISHED, call, None)
         for member in self.view.members()[:MAX_LOCATE_MEMBERS]:
             if process_of(member.run) != process_of(self.view.run):
                 self._post(member.run, CallReleased(call))
@@ -556,7 +558,7 @@
         `done` is called once with the server, or with an empty text after `LOCATE_TIMEOUT_MS` at the latest.
         """
         server = self.server_of(now_ms, call)
-        if server or self.locate_tokens.now(now_ms) <= 0.0 or call in self.locating:
+        if server or self.locate_tokens.available(now_ms) <= 0.0 or call in self.locating:
             done(server)
             return
         self.locate_tokens.spend(1)
@@ -594,20 +596,20 @@
         for call, (until_ms, _) in list(self.locating.items()):
             if now_ms >= until_ms:
                 self._finish_locating(call, "")
-        for run, replica in list(self.held.items()):
+        for run, replica in list(self.held_replicas.items()):
             if replica.gone_ms < float("inf"):
                 self._offer(now_ms, replica)
             elif now_ms > replica.received_ms + STALE_MS:
-                del self.held[run]  # its owner is alive and writes to other holders
+                del self.held_replicas[run]  # its owner is alive and writes to other holders
             if now_ms > replica.gone_ms + ORPHAN_RETENTION_MS:
-                del self.held[run]
+                del self.held_replicas[run]
         self.wake_ms = now_ms + FLUSH_INTERVAL_MS
 
     def received(self, now_ms: float, run: int, body: bytes) -> None:
         try:
             message = _decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            self.tally.add("replicas.unknown")
+            self.metrics.add("replicas.unknown")
             return
         match message:
             case ChangeBatch():
@@ -621,10 +623,10 @@
             case Offer():
                 self._accept_offer(now_ms, run, message)
             case BucketRequest():
-                replica = self.held.get(message.owner)
+                replica = self.held_replicas.get(message.owner)
                 if replica is not None:
                     for index in message.indices:
-                        if 0 <= index < BUCKETS and self.send_tokens.now(now_ms) > 0.0:
+                        if 0 <= index < BUCKETS and self.send_tokens.available(now_ms) > 0.0:
                             self.send_tokens.spend(
                                 self._post(run, self._full_bucket(message.owner, replica.table, index))
                             )
@@ -632,27 +634,27 @@
                 member, process = self.view.table.get(run), process_of(message.owner)
                 for owner in [
                     held_run
-                    for held_run, held_replica in self.held.items()
+                    for held_run, held_replica in self.held_replicas.items()
                     if process_of(held_run) == process
                 ]:
-                    if member is not None and member.name == self.held[owner].owner_name:
-                        del self.held[owner]
+                    if member is not None and member.name == self.held_replicas[owner].owner_name:
+                        del self.held_replicas[owner]
             case LocateCall():
                 server = self.server_of(now_ms, message.call)
                 if server:
                     self._post(run, CallLocated(message.call, server))
             case CallReleased():
-                self.put(STANDS, message.call, None)
+                self.put(ESTABLISHED, message.call, None)
             case CallLocated():
                 self._finish_locating(message.call, message.server)
 
     def _post(self, run: int, message: object) -> int:
         """Queue a message for a member; returns its size in bytes."""
         body = _encoder.encode(message)
-        self.out.append((run, body))
+        self.outbox.append((run, body))
         return len(body)
 
-    def told(self, now_ms: float) -> dict:
+    def status(self, now_ms: float) -> dict:
         """The state of replication, for operators."""
         names = {member.run: member.name for member in self.view.members()}
         return {
@@ -678,7 +680,7 @@
                 }
                 | {"records": len(replica.table), "digest": f"{replica.table.digest():016x}"}
                 | {"gone": replica.gone_ms < float("inf")}
-                for replica in self.held.values()
+                for replica in self.held_replicas.values()
             ],
             "bytes": self.sent_bytes,
         }
--- a/leadslip/fleet/replicas/copy.py
+++ b/leadslip/fleet/replicas/table.py
@@ -100,7 +100,7 @@
         """To be called once no bucket is missing: changes are applied from the oldest bucket's number on."""
         self.applied = max(self.applied, min(bucket.sequence for bucket in self.buckets))
 
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every bucket has been received, so that changes can be applied."""
         return self.applied >= 0
 
--- a/leadslip/fleet/view/rumours.py
+++ b/leadslip/fleet/view/gossip_queue.py
@@ -10,9 +10,9 @@
 import math
 from collections.abc import Callable
 
-from leadslip.fleet.view.allowance import Allowance
 from leadslip.fleet.view.members import Member, State, process_of
-from leadslip.fleet.wire import Full, Short
+from leadslip.fleet.view.token_bucket import TokenBucket
+from leadslip.fleet.wire import MemberRecord, MemberUpdate
 
 RETRANSMIT_FACTOR = 3  # transmissions of an update, for each power of ten of members and one more
 RECORD_OFFSET = 5  # a complete record is sent less often: a member that misses it finds out by the digest
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self.by_process: dict[int, QueuedUpdate] = {}
-        self.bytes = Allowance(BYTES_PER_MS, BURST_BYTES)
+        self.bytes = TokenBucket(BYTES_PER_MS, BURST_BYTES)
 
     def __len__(self) -> int:
         return len(self.by_process)
@@ -83,14 +83,14 @@
         room: int,
         get: Callable[[int], Member | None],
         max_items: int = 24,
-    ) -> tuple[list[Short], list[Full]]:
+    ) -> tuple[list[MemberUpdate], list[MemberRecord]]:
         """Selects updates to send with a message, in at most `room` bytes."""
-        updates: list[Short] = []
-        records: list[Full] = []
+        updates: list[MemberUpdate] = []
+        records: list[MemberRecord] = []
         if not self.by_process:
             return updates, records
         limit = self._max_transmissions(members)
-        room = min(room, int(self.bytes.now(now_ms)))
+        room = min(room, int(self.bytes.available(now_ms)))
         if room < UPDATE_BYTES:
             return updates, records
         for queued in heapq.nsmallest(2 * max_items, self.by_process.values(), key=QueuedUpdate.priority):
@@ -105,10 +105,10 @@
             room -= queued.size
             self.bytes.spend(queued.size)
             if queued.complete:
-                records.append(member.full(now_ms))
+                records.append(member.record(now_ms))
             else:
                 state = State.ALIVE if member.live else member.state  # suspicions are not disseminated
-                updates.append(Short(member.run, int(state), member.incarnation))
+                updates.append(MemberUpdate(member.run, int(state), member.incarnation))
             queued.sent += 1
             if queued.priority() >= limit:
                 self.drop(queued.run)
