--- a/leadslip/fleet/view/members.py
+++ b/leadslip/fleet/view/members.py
@@ -19,11 +19,11 @@
 
 import msgspec
 
-from leadslip.checks import Tally
-from leadslip.fleet.wire import MIN_VERSION, VERSION, Full, Short
+from leadslip.fleet.wire import MIN_VERSION, VERSION, MemberRecord, MemberUpdate
+from leadslip.metrics import Metrics
 
-LIFE_BITS = 16
-GENERATION_MASK = (1 << LIFE_BITS) - 1
+GENERATION_BITS = 16
+GENERATION_MASK = (1 << GENERATION_BITS) - 1
 BUCKETS = 32  # number of parts by which two tables are compared
 MAX_FACTS, MAX_FACT_CHARS, MAX_NAME_CHARS = (
     8,
@@ -45,14 +45,14 @@
 UNKNOWN = 4  # status of a member that is not in the table
 
 
-def draw_run(draw: Random) -> int:
+def draw_run(rng: Random) -> int:
     """Draws the run of a process that starts; never 0."""
-    return (draw.getrandbits(47) | 1 << 46) << LIFE_BITS
+    return (rng.getrandbits(47) | 1 << 46) << GENERATION_BITS
 
 
 def process_of(run: int) -> int:
     """Returns the process number, which all generations of one process share."""
-    return run >> LIFE_BITS
+    return run >> GENERATION_BITS
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
     def precedence(self) -> tuple[int, int, int, int]:
         return precedence(self.run, self.state, self.incarnation)
 
-    def is_newer_than(self, record: Full | None) -> bool:
+    def is_newer_than(self, record: MemberRecord | None) -> bool:
         """Whether this has something that another member's record of the same process lacks."""
         if record is None:
             return True
@@ -87,10 +87,10 @@
             or self.edition > record.edition
         )
 
-    def full(self, now_ms: float) -> Full:
+    def record(self, now_ms: float) -> MemberRecord:
         """Returns the complete record for the wire."""
         age_ms = 0 if self.live else max(0, int(now_ms - self.since_ms))
-        return Full(
+        return MemberRecord(
             self.run,
             int(self.state),
             self.incarnation,
@@ -104,9 +104,9 @@
             self.edition,
         )
 
-    def update(self, suspected_by: int = 0) -> Short:
+    def update(self, suspected_by: int = 0) -> MemberUpdate:
         """Returns the update for the wire: run, state and incarnation."""
-        return Short(self.run, int(self.state), self.incarnation, suspected_by)
+        return MemberUpdate(self.run, int(self.state), self.incarnation, suspected_by)
 
     def fingerprint(self) -> int:
         """64-bit hash by which tables are compared: run, whether it lives, address and metadata."""
@@ -125,14 +125,14 @@
     """One change of the table, reported once: the entry before (None: added) and after it (None: removed)."""
 
     number: int
-    was: Member | None
-    now: Member | None
+    before: Member | None
+    after: Member | None
 
 
-def is_valid(record: Full) -> bool:
+def is_valid(record: MemberRecord) -> bool:
     """Whether a received record is within the limits; others are ignored."""
     return (
-        record.run >> (LIFE_BITS + 46) == 1
+        record.run >> (GENERATION_BITS + 46) == 1
         and 0 <= record.state <= State.LEFT
         and 0 <= record.incarnation < 1 << 32
         and 0 <= record.age_ms < 1 << 48
@@ -152,8 +152,8 @@
 class Table:
     """All known members, by process; at most `max_members` that live, and as many that are dead or have left."""
 
-    def __init__(self, max_members: int, tally: Tally) -> None:
-        self.max_members, self.tally = max_members, tally
+    def __init__(self, max_members: int, metrics: Metrics) -> None:
+        self.max_members, self.metrics = max_members, metrics
         self.by_process: dict[int, Member] = {}  # process -> its latest generation
         self.ended: dict[
             int, None
@@ -182,7 +182,7 @@
             key=lambda member: (member.name, member.run),
         )
 
-    def standing(self, run: int) -> int:
+    def status(self, run: int) -> int:
         """Returns the state of a run; one that a later generation has replaced is dead."""
         member = self.get(run)
         if member is None:
@@ -191,10 +191,10 @@
             return member.state
         return State.DEAD if member.run > run else UNKNOWN
 
-    def take(self, record: Full, now_ms: float) -> Member | None:
+    def merge(self, record: MemberRecord, now_ms: float) -> Member | None:
         """Merges a received record; returns the new entry if it changed, else None."""
         if not is_valid(record):
-            self.tally.add("fleet.unsound")
+            self.metrics.add("fleet.unsound")
             return None
         if record.state == State.SUSPECT:  # each member keeps its own suspicions
             record = msgspec.structs.replace(record, state=int(State.ALIVE))
@@ -217,7 +217,7 @@
         if current is None and ended and record.age_ms >= RETENTION_MS:
             return None
         if (current is None or not current.live) and not ended and len(self) >= self.max_members:
-            self.tally.add("fleet.over_most_members")
+            self.metrics.add("fleet.over_most_members")
             return None
         state = State(record.state)
         same_state = current is not None and current.run == record.run and current.state is state
@@ -239,7 +239,7 @@
         self._put(current, member)
         return member
 
-    def hear(self, update: Short, now_ms: float) -> Member | None:
+    def apply_update(self, update: MemberUpdate, now_ms: float) -> Member | None:
         """Merges an update about a known process; an update about an unknown one has no address and is ignored."""
         current = self.get(update.run)
         if current is None or not 0 <= update.state <= State.LEFT or not 0 <= update.incarnation < 1 << 32:
@@ -247,7 +247,7 @@
         if precedence(update.run, update.state, update.incarnation) <= current.precedence():
             return None
         if not current.live and update.state < State.DEAD and len(self) >= self.max_members:
-            self.tally.add("fleet.over_most_members")
+            self.metrics.add("fleet.over_most_members")
             return None
         state = State(update.state)
         since_ms = current.since_ms if current.state is state and current.run == update.run else now_ms
@@ -311,7 +311,7 @@
         self.on_change(Change(self.change_count, was, now))
 
 
-def ranked(key: bytes, members: Iterable[Member]) -> list[Member]:
+def rendezvous_order(key: bytes, members: Iterable[Member]) -> list[Member]:
     """Sorts members by rendezvous hash of a key: the first stays first while it lives, whoever joins or leaves."""
 
     def weight(member: Member) -> tuple[bytes, int]:
--- a/leadslip/fleet/view/suspicion.py
+++ b/leadslip/fleet/view/suspicion.py
@@ -65,7 +65,7 @@
         self.suspected_by.add(suspected_by)
         return True
 
-    def due_ms(self) -> float:
+    def expires_ms(self) -> float:
         """Returns when the time-out expires."""
         confirmations = len(self.suspected_by) - 1
         fraction = (
--- a/leadslip/fleet/view/allowance.py
+++ b/leadslip/fleet/view/token_bucket.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 
-class Allowance:
+class TokenBucket:
     """Token bucket that gains `rate` tokens per millisecond, up to `capacity`."""
 
     __slots__ = ("rate", "capacity", "tokens", "refilled_ms")
@@ -16,7 +16,7 @@
         self.rate, self.capacity = rate, capacity
         self.tokens, self.refilled_ms = capacity, 0.0
 
-    def now(self, now_ms: float) -> float:
+    def available(self, now_ms: float) -> float:
         """Refills the bucket and returns the tokens left; negative if more were spent than available."""
         self.tokens = min(self.capacity, self.tokens + (now_ms - self.refilled_ms) * self.rate)
         self.refilled_ms = now_ms
--- a/leadslip/fleet/view/view.py
+++ b/leadslip/fleet/view/view.py
@@ -1,6 +1,6 @@
 """Membership protocol of the fleet: SWIM failure detection with Lifeguard's local health, and anti-entropy syncs.
 
-One object per process, driven by `received`, `due` and the methods of a sync; it leaves what to send in `out` and the
+One object per process, driven by `received`, `due` and the methods of a sync; it leaves messages in `outbox` and the
 time of its next timer in `wake_ms`. Times are milliseconds of the process's monotonic clock. Pure: time and randomness
 are passed in; net/peers.py, the fault-injection runs and the simulation all run this code.
 
@@ -19,9 +19,8 @@
 from random import Random
 from typing import ClassVar
 
-from leadslip.checks import Tally
 from leadslip.fleet import wire
-from leadslip.fleet.view.allowance import Allowance
+from leadslip.fleet.view.gossip_queue import UPDATE_BYTES, GossipQueue
 from leadslip.fleet.view.members import (
     BUCKETS,
     GENERATION_MASK,
@@ -33,10 +32,11 @@
     draw_run,
     process_of,
 )
-from leadslip.fleet.view.rumours import UPDATE_BYTES, GossipQueue
 from leadslip.fleet.view.suspicion import DEFERRAL_MS, Health, Suspicion
+from leadslip.fleet.view.token_bucket import TokenBucket
+from leadslip.metrics import Metrics
 
-GOSSIP_ROOM_BYTES = wire.MOST_DATAGRAM - wire.SEAL_SIZE - 155  # bytes of a datagram left for updates
+GOSSIP_ROOM_BYTES = wire.MAX_DATAGRAM_BYTES - wire.SEAL_BYTES - 155  # bytes of a datagram left for updates
 SUSPECT_PING_INTERVAL_MS = 250.0  # between two pings of a suspected member
 SUSPECT_PINGS_PER_MS, SUSPECT_PINGS_PER_MS_PARTITIONED = (
     0.012,
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class ProtocolTiming:
     """Intervals and time-outs of the protocol, in milliseconds."""
 
     probe_interval_ms: float = 90.0
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Me:
+class OwnMember:
     """What a process publishes about itself."""
 
     name: str
@@ -91,11 +91,11 @@
     """Instruction: send a message to an address."""
 
     address: str
-    message: wire.Any
+    message: wire.AnyMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Compare:
+class StartSync:
     """Instruction: connect to an address and sync tables there."""
 
     address: str
@@ -129,26 +129,32 @@
 class View:
     """One process's view of the fleet."""
 
-    speaks: ClassVar[int] = wire.VERSION
+    max_version: ClassVar[int] = wire.VERSION
 
     def __init__(
-        self, me: Me, seeds: tuple[str, ...], draw: Random, tally: Tally, pace: Pace, most_members: int
+        self,
+        me: OwnMember,
+        seeds: tuple[str, ...],
+        rng: Random,
+        metrics: Metrics,
+        pace: ProtocolTiming,
+        most_members: int,
     ) -> None:
         self.seeds = tuple(seed for seed in seeds if seed != me.address)
-        self.draw, self.tally, self.pace = draw, tally, pace
-        self.out: list[Datagram | Compare] = []
+        self.rng, self.metrics, self.pace = rng, metrics, pace
+        self.outbox: list[Datagram | StartSync] = []
         self.listeners: list[Callable[[Change], None]] = []
-        self.reborn: list[
+        self.generation_listeners: list[
             Callable[[int], None]
         ] = []  # called with our new run after the previous one was declared dead
         # Freshness reports are piggybacked on answers: ours as of now; received ones are as of when the ping was sent.
-        self.vouch: Callable[[float], list[int]] = lambda now_ms: []
-        self.vouched_by: Callable[[int, float, list[int]], None] = lambda run, sent_ms, report: None
-        self.table = Table(most_members, tally)
+        self.freshness_report: Callable[[float], list[int]] = lambda now_ms: []
+        self.on_freshness_report: Callable[[int, float, list[int]], None] = lambda run, sent_ms, report: None
+        self.table = Table(most_members, metrics)
         self.table.on_change = self._on_table_change
-        self.gossip_queue, self.health, self.heard = GossipQueue(), Health(), wire.ReplayFilter()
-        self.counts = wire.message_counter()
-        self.run = draw_run(draw)
+        self.gossip_queue, self.health, self.replay_filter = GossipQueue(), Health(), wire.ReplayFilter()
+        self.message_counter = wire.message_counter()
+        self.run = draw_run(rng)
         self.me = me
         self.incarnation = 0
         self.edition = 0  # of our metadata
@@ -167,7 +173,7 @@
         ] = {}  # process -> probes in a row that it answered through relays only
         self.probe_order: list[int] = []
         self.live_others: list[Member] | None = None  # cached live members but ourselves; None: invalidated
-        self.seq = draw.getrandbits(24)
+        self.seq = rng.getrandbits(24)
         self.timers: list[tuple[float, int, Callable, int]] = []
         self.timer_number = 0
         self.wake_ms = float("inf")
@@ -175,8 +181,8 @@
         self.last_diverged_ms = -float("inf")  # when one last differed
         self.last_sync_ms = -float("inf")
         self.relay_tokens, self.sync_tokens = (
-            Allowance(RELAY_REQUESTS_PER_MS, RELAY_REQUEST_BURST),
-            Allowance(SYNC_BYTES_PER_MS, SYNC_BURST_BYTES),
+            TokenBucket(RELAY_REQUESTS_PER_MS, RELAY_REQUEST_BURST),
+            TokenBucket(SYNC_BYTES_PER_MS, SYNC_BURST_BYTES),
         )
         self.pending_changes: list[Change] = []
         self.notifying = False
@@ -201,7 +207,7 @@
         return (
             wire.MIN_VERSION
             if member is None
-            else max(wire.MIN_VERSION, min(member.max_version, self.speaks))
+            else max(wire.MIN_VERSION, min(member.max_version, self.max_version))
         )
 
     def is_relayed_only(self, run: int) -> bool:
@@ -211,12 +217,12 @@
     # Start, timers and leaving.
 
     def start(self, now_ms: float) -> None:
-        self._tell_self(now_ms)
+        self._publish_self(now_ms)
         pace = self.pace
-        self._schedule(now_ms + self.draw.random() * pace.probe_interval_ms, self._probe_next)
-        self._schedule(now_ms + self.draw.random() * pace.gossip_interval_ms, self._gossip_round)
-        self._schedule(now_ms, self._reach)
-        self._schedule(now_ms + (0.5 + self.draw.random()) * pace.sync_interval_ms, self._sync_with_random)
+        self._schedule(now_ms + self.rng.random() * pace.probe_interval_ms, self._probe_next)
+        self._schedule(now_ms + self.rng.random() * pace.gossip_interval_ms, self._gossip_round)
+        self._schedule(now_ms, self._contact_absent)
+        self._schedule(now_ms + (0.5 + self.rng.random()) * pace.sync_interval_ms, self._sync_with_random)
         self._schedule(now_ms + pace.eviction_interval_ms, self._evict_ended)
         self._update_wake_ms()
 
@@ -224,10 +230,10 @@
         """Publishes changed metadata of ourselves."""
         if facts == self.me.facts or self.leaving:
             return
-        self.me = Me(self.me.name, self.me.address, self.me.zone, facts)
+        self.me = OwnMember(self.me.name, self.me.address, self.me.zone, facts)
         self.edition += 1
         self.incarnation += 1  # wire version 1 has no edition; its members compare incarnations
-        self._tell_self(now_ms)
+        self._publish_self(now_ms)
         self._update_wake_ms()
 
     def leave(self, now_ms: float) -> None:
@@ -235,7 +241,7 @@
         if self.leaving:
             return
         self.leaving = True
-        member = self.table.hear(wire.Short(self.run, State.LEFT, self.incarnation), now_ms)
+        member = self.table.apply_update(wire.MemberUpdate(self.run, State.LEFT, self.incarnation), now_ms)
         self.gossip_queue.add(member, complete=False)
         for _ in range(3):
             self._send_gossip(now_ms)
@@ -253,7 +259,7 @@
 
     def _on_pause(self, late_ms: float) -> None:
         """This process was paused: answers missed in that time are no evidence against other members."""
-        self.tally.add("fleet.stalls")
+        self.metrics.add("fleet.stalls")
         self.health.worse(2)
         self.probes.clear()
         self.relayed_pings.clear()
@@ -269,12 +275,12 @@
 
     # Received messages.
 
-    def received(self, now_ms: float, message: wire.Any) -> None:
+    def received(self, now_ms: float, message: wire.AnyMessage) -> None:
         """Handles a message that arrived as a datagram, after it was verified and decoded."""
         if process_of(message.run) == process_of(self.run):
             return  # our own message, returned to us
-        if not self.heard.fresh(message.run, message.count):
-            self.tally.add("fleet.replayed")
+        if not self.replay_filter.accept(message.run, message.count):
+            self.metrics.add("fleet.replayed")
             return
         if process_of(message.run) in self.suspicions:
             self._clear_suspicion(now_ms, message.run)
@@ -282,7 +288,7 @@
             if isinstance(message, wire.Ping):  # meant for a process that had our address before us
                 self._send(message.address, self._ack(now_ms, message.run, message.seq, same_view=True))
             else:
-                self.tally.add("fleet.for_another")
+                self.metrics.add("fleet.for_another")
             return
         match message:
             case wire.Ping():
@@ -294,14 +300,14 @@
             case wire.Nack():
                 self._on_nack(message)
             case wire.Gossip():
-                self._news(now_ms, message)
+                self._apply_gossip(now_ms, message)
             case _:
-                self.tally.add("fleet.misplaced")
+                self.metrics.add("fleet.misplaced")
         self._update_wake_ms()
 
     def _on_ping(self, now_ms: float, ping: wire.Ping) -> None:
         if ping.to:  # else it may have been recorded before our start: it is answered, but not merged
-            self._news(now_ms, ping)
+            self._apply_gossip(now_ms, ping)
             self._check_divergence(now_ms, ping)
         same_view = ping.digest == self.table.live_digest
         if same_view and ping.to:
@@ -314,26 +320,26 @@
         if not same_view:
             updates, records = self._select_updates(now_ms, to, updates)
         return wire.Ack(
-            next(self.counts),
+            next(self.message_counter),
             self.run,
             to,
             seq,
-            self.table.standing(to),
+            self.table.status(to),
             len(self.table),
             self.table.live_digest,
             updates,
             records,
-            freshness=self.vouch(now_ms),
+            freshness=self.freshness_report(now_ms),
         )
 
     def _on_ack(self, now_ms: float, ack: wire.Ack) -> None:
-        self._news(now_ms, ack)  # even if the answer is late: it may refute our suspicion
+        self._apply_gossip(now_ms, ack)  # even if the answer is late: it may refute our suspicion
         relayed_ping = self.relayed_pings.pop(ack.seq, None)
         if relayed_ping is not None:
             if not ack.relayed_from and process_of(ack.run) == process_of(relayed_ping.target):
                 # The status in the answer is about us, not about the requester.
                 relayed_ack = wire.Ack(
-                    next(self.counts),
+                    next(self.message_counter),
                     self.run,
                     relayed_ping.requester,
                     relayed_ping.seq,
@@ -362,7 +368,7 @@
             self.last_relays[process] = process_of(ack.run)
             self.relayed_counts[process] = self.relayed_counts.get(process, 0) + 1
             if self.relayed_counts[process] == RELAYED_PROBES:
-                self.tally.add("fleet.ways_cut")
+                self.metrics.add("fleet.ways_cut")
         else:
             self.relayed_counts.pop(process, None)
             self.last_relays.pop(process, None)
@@ -372,7 +378,7 @@
         self._on_own_status(now_ms, ack, probe.sent_ms)
         self._check_divergence(now_ms, ack)
         if ack.freshness:
-            self.vouched_by(ack.run, probe.sent_ms, ack.freshness)
+            self.on_freshness_report(ack.run, probe.sent_ms, ack.freshness)
 
     def _on_own_status(self, now_ms: float, ack: wire.Ack, sent_ms: float) -> None:
         """Handles the status that a member reports of us, if it is about our current run."""
@@ -381,12 +387,12 @@
         if ack.status in (State.ALIVE, State.SUSPECT):
             self.confirmed_alive_ms = max(self.confirmed_alive_ms, sent_ms)
         elif ack.status in (State.DEAD, State.LEFT):
-            self._reborn(now_ms, self.run)
+            self._start_generation(now_ms, self.run)
 
     def _on_contact(self, now_ms: float, ack: wire.Ack, address: str) -> None:
         """A member held dead, or a seed, answers: syncs with it, unless both hold each other alive already."""
         self._on_own_status(now_ms, ack, -float("inf"))
-        if ack.status != State.ALIVE or self.table.standing(ack.run) != State.ALIVE or not self.joined:
+        if ack.status != State.ALIVE or self.table.status(ack.run) != State.ALIVE or not self.joined:
             self._start_sync(now_ms, address)
 
     def _check_divergence(self, now_ms: float, message: wire.Ping | wire.Ack) -> None:
@@ -407,7 +413,7 @@
 
     def _on_ping_request(self, now_ms: float, request: wire.PingRequest) -> None:
         if len(self.relayed_pings) >= 256:
-            self.tally.add("fleet.errands_refused")
+            self.metrics.add("fleet.errands_refused")
             return
         seq = self._next_seq()
         self.relayed_pings[seq] = RelayedPing(request.run, request.address, request.seq, request.target)
@@ -422,7 +428,9 @@
             relay = last_relay.run if last_relay is not None and last_relay.live else 0
             self._send(
                 relayed_ping.address,
-                wire.Nack(next(self.counts), self.run, relayed_ping.requester, relayed_ping.seq, relay),
+                wire.Nack(
+                    next(self.message_counter), self.run, relayed_ping.requester, relayed_ping.seq, relay
+                ),
             )
 
     def _on_nack(self, nack: wire.Nack) -> None:
@@ -446,7 +454,13 @@
             if process != self.last_relays.get(process_of(probe.run)):
                 self.relay_tokens.spend(1)  # a relay known to work is as cheap as a probe, also under faults
             request = wire.PingRequest(
-                next(self.counts), self.run, relay.run, seq, self.me.address, probe.run, probe.address
+                next(self.message_counter),
+                self.run,
+                relay.run,
+                seq,
+                self.me.address,
+                probe.run,
+                probe.address,
             )
             self._send(relay.address, request)
 
@@ -455,13 +469,13 @@
 
     # Received updates.
 
-    def _news(self, now_ms: float, message: wire.Ping | wire.Ack | wire.Gossip) -> None:
+    def _apply_gossip(self, now_ms: float, message: wire.Ping | wire.Ack | wire.Gossip) -> None:
         # Prevents a member that receives nothing, and so takes all others for dead, from having them declared dead
         # here: suspicions and deaths are merged only from a sender that is held alive.
-        trusted = self.table.standing(message.run) == State.ALIVE
-        for record in message.full:
+        trusted = self.table.status(message.run) == State.ALIVE
+        for record in message.records:
             if not self._handle_own_update(now_ms, record.run, record.state, record.incarnation):
-                member = self.table.take(record, now_ms)
+                member = self.table.merge(record, now_ms)
                 if member is not None:
                     self.gossip_queue.add(member, complete=member.live)
         for update in message.updates:
@@ -472,7 +486,7 @@
             if not trusted and update.state in (State.SUSPECT, State.DEAD):
                 continue
             suspecting, before = self._suspecting_runs(update.run), self.table.get(update.run)
-            member = self.table.hear(update, now_ms)
+            member = self.table.apply_update(update, now_ms)
             if member is None:
                 if update.state == State.SUSPECT:
                     self._confirm_suspicion(now_ms, update)
@@ -492,18 +506,18 @@
         if self.leaving:
             return True
         if run > self.run or (run == self.run and state >= State.DEAD):
-            self._reborn(now_ms, run)
+            self._start_generation(now_ms, run)
         elif run == self.run and state == State.SUSPECT and incarnation >= self.incarnation:
             self.incarnation = incarnation + 1
             self.health.worse()
             self.refuted_ms = now_ms
-            self.tally.add("fleet.refuted")
-            self._tell_self(now_ms)
+            self.metrics.add("fleet.refuted")
+            self._publish_self(now_ms)
             self.gossip_queue.drop(self.run)  # only the members that suspect us need the refutation
             self._send_update(self.table.get(self.run), {suspected_by})
         return True
 
-    def _handle_own_metadata(self, now_ms: float, record: wire.Full) -> None:
+    def _handle_own_metadata(self, now_ms: float, record: wire.MemberRecord) -> None:
         """Corrects our metadata at a member of wire version 1, which compares incarnations only."""
         if (
             not record.edition
@@ -512,12 +526,12 @@
             and record.facts != self.me.facts
         ):
             self.incarnation += 1
-            self._tell_self(now_ms)
+            self._publish_self(now_ms)
             self.gossip_queue.add(self.table.get(self.run), complete=True)
 
-    def _tell_self(self, now_ms: float) -> None:
+    def _publish_self(self, now_ms: float) -> None:
         me = self.me
-        record = wire.Full(
+        record = wire.MemberRecord(
             self.run,
             int(State.ALIVE),
             self.incarnation,
@@ -526,37 +540,37 @@
             me.address,
             me.zone,
             wire.MIN_VERSION,
-            self.speaks,
+            self.max_version,
             me.facts,
             self.edition,
         )
         before = self.table.get(self.run)
-        member = self.table.take(record, now_ms)
+        member = self.table.merge(record, now_ms)
         if member is not None:
             same_metadata = before is not None and before.facts == member.facts
             self.gossip_queue.add(member, complete=not same_metadata)
 
-    def _reborn(self, now_ms: float, run: int) -> None:
+    def _start_generation(self, now_ms: float, run: int) -> None:
         """Our run was declared dead: continues as the next generation, which owns nothing granted before (V3)."""
         if self.leaving:
             return
-        self.tally.add("fleet.reborn")
+        self.metrics.add("fleet.reborn")
         run = max(run, self.run)
         if run & GENERATION_MASK == GENERATION_MASK:
             # No generation is left: continues under another process number.
-            self.table.hear(wire.Short(run, State.DEAD, 0), now_ms)
-            self.run = draw_run(self.draw)
+            self.table.apply_update(wire.MemberUpdate(run, State.DEAD, 0), now_ms)
+            self.run = draw_run(self.rng)
         else:
             self.run = run + 1
         self.incarnation = 0
         self.confirmed_alive_ms = -float("inf")
-        self._tell_self(now_ms)
-        for listener in self.reborn:
+        self._publish_self(now_ms)
+        for listener in self.generation_listeners:
             listener(self.run)
 
     def _on_table_change(self, change: Change) -> None:
         """Updates derived state after a change of the table and notifies all listeners in the same order."""
-        was, now = change.was, change.now
+        was, now = change.before, change.after
         process = process_of((now or was).run)
         if now is None:
             self.last_relays.pop(process, None)
@@ -564,7 +578,7 @@
             self.relayed_counts.pop(process, None)
         self.live_others = None
         if now is not None and now.live and (was is None or not was.live) and process != process_of(self.run):
-            self.probe_order.insert(self.draw.randrange(len(self.probe_order) + 1), process)
+            self.probe_order.insert(self.rng.randrange(len(self.probe_order) + 1), process)
         suspicion = self.suspicions.get(process)
         if suspicion is not None and not suspicion.is_about(now):
             del self.suspicions[process]
@@ -591,9 +605,9 @@
         if current.state is State.SUSPECT:
             self._confirm_suspicion(now_ms, current.update(suspected_by))
             return
-        member = self.table.hear(wire.Short(run, State.SUSPECT, current.incarnation), now_ms)
+        member = self.table.apply_update(wire.MemberUpdate(run, State.SUSPECT, current.incarnation), now_ms)
         if member is not None:
-            self.tally.add("fleet.suspected")
+            self.metrics.add("fleet.suspected")
             self._start_suspicion(now_ms, member, suspected_by)
             # A few members are asked to probe it themselves; the suspicion is not disseminated to the whole fleet.
             # While a partition is assumed they could add nothing, and would be asked again and again.
@@ -601,7 +615,7 @@
                 candidates = [other for other in self._live_others() if other.state is State.ALIVE]
                 self._send_update(
                     member,
-                    {other.run for other in self.draw.sample(candidates, min(CONFIRMERS, len(candidates)))},
+                    {other.run for other in self.rng.sample(candidates, min(CONFIRMERS, len(candidates)))},
                     suspected_by,
                 )
 
@@ -609,7 +623,7 @@
         process = process_of(member.run)
         suspicion = Suspicion(member.run, member.incarnation, now_ms, len(self.table), suspected_by)
         self.suspicions[process] = suspicion
-        self._schedule(suspicion.due_ms(), self._verdict, process)
+        self._schedule(suspicion.expires_ms(), self._on_suspicion_timeout, process)
         self._schedule(now_ms + SUSPECT_PING_INTERVAL_MS, self._reping_suspect, process)
 
     def _reping_suspect(self, now_ms: float, process: int) -> None:
@@ -652,7 +666,7 @@
             for process, suspicion in not_pinged_lately[:SUSPECTS_PINGED_ON_RECOVERY]:
                 self._ping_suspect(now_ms, process, suspicion)
 
-    def _confirm_suspicion(self, now_ms: float, update: wire.Short) -> None:
+    def _confirm_suspicion(self, now_ms: float, update: wire.MemberUpdate) -> None:
         """Adds a confirmation to an existing suspicion."""
         process = process_of(update.run)
         suspicion = self.suspicions.get(process)
@@ -660,7 +674,7 @@
             return
         suspecting = set(suspicion.suspected_by)
         if suspicion.confirm(update.suspected_by):
-            self._schedule(suspicion.due_ms(), self._verdict, process)
+            self._schedule(suspicion.expires_ms(), self._on_suspicion_timeout, process)
             if update.suspected_by == self.run:
                 self._send_update(self.table.get(update.run), suspecting, self.run)
 
@@ -681,22 +695,26 @@
             receiver = self.table.get(run) if run else None
             if receiver is not None and receiver.live and process_of(run) != process_of(self.run):
                 updates = [member.update(suspected_by)]
-                self._send(receiver.address, wire.Gossip(next(self.counts), self.run, receiver.run, updates))
+                self._send(
+                    receiver.address, wire.Gossip(next(self.message_counter), self.run, receiver.run, updates)
+                )
 
-    def _verdict(self, now_ms: float, process: int) -> None:
+    def _on_suspicion_timeout(self, now_ms: float, process: int) -> None:
         suspicion = self.suspicions.get(process)
         if suspicion is None:
             return
-        if now_ms < suspicion.due_ms():
-            self._schedule(suspicion.due_ms(), self._verdict, process)
+        if now_ms < suspicion.expires_ms():
+            self._schedule(suspicion.expires_ms(), self._on_suspicion_timeout, process)
             return
-        late_ms = now_ms - suspicion.due_ms()
+        late_ms = now_ms - suspicion.expires_ms()
         if suspicion.final_probes < FINAL_PROBES:
-            if self.relay_tokens.now(now_ms) < RELAYS and late_ms < FINAL_PROBE_MAX_DELAY_MS:
-                self._schedule(now_ms + 2 * self.pace.ack_timeout_ms, self._verdict, process)
+            if self.relay_tokens.available(now_ms) < RELAYS and late_ms < FINAL_PROBE_MAX_DELAY_MS:
+                self._schedule(now_ms + 2 * self.pace.ack_timeout_ms, self._on_suspicion_timeout, process)
                 return
             if self.run not in suspicion.suspected_by and late_ms < DEFERRAL_MS:
-                self._schedule(now_ms + DEFERRAL_MS * (1.0 + self.draw.random()), self._verdict, process)
+                self._schedule(
+                    now_ms + DEFERRAL_MS * (1.0 + self.rng.random()), self._on_suspicion_timeout, process
+                )
                 return
             # A final probe carries the suspicion: a member that lives and can be reached refutes it now.
             suspicion.final_probes += 1
@@ -704,30 +722,30 @@
             self._start_probe(now_ms, self.table.by_process[process], max_relays, final=True)
             self._schedule(
                 now_ms + self.health.scaled(FINAL_PROBE_FACTOR * self.pace.ack_timeout_ms),
-                self._verdict,
+                self._on_suspicion_timeout,
                 process,
             )
             return
         if self.confirmed_age_ms(now_ms) > CONFIRMED_ALIVE_MS and late_ms < UNCONFIRMED_LIMIT_MS:
-            self.tally.add("fleet.unsure")
-            self._schedule(now_ms + 2 * self.pace.ack_timeout_ms, self._verdict, process)
+            self.metrics.add("fleet.unsure")
+            self._schedule(now_ms + 2 * self.pace.ack_timeout_ms, self._on_suspicion_timeout, process)
             return
         del self.suspicions[process]
-        self._end(now_ms, suspicion.run, "fleet.declared_dead")
+        self._declare_dead(now_ms, suspicion.run, "fleet.declared_dead")
 
     def _declare_replaced(self, now_ms: float, run: int) -> None:
         """Another process answers at a member's address: that member has ended."""
-        self._end(now_ms, run, "fleet.found_gone")
+        self._declare_dead(now_ms, run, "fleet.found_gone")
 
-    def _end(self, now_ms: float, run: int, counter: str) -> None:
+    def _declare_dead(self, now_ms: float, run: int, counter: str) -> None:
         current = self.table.get(run)
         if current is None or current.run != run or not current.live:
             return
-        member = self.table.hear(wire.Short(run, State.DEAD, current.incarnation), now_ms)
-        self.tally.add(counter)
+        member = self.table.apply_update(wire.MemberUpdate(run, State.DEAD, current.incarnation), now_ms)
+        self.metrics.add(counter)
         self.gossip_queue.add(member, complete=False)
         # It is notified as well: if it lives, it learns of the declaration at once.
-        self._send(member.address, wire.Gossip(next(self.counts), self.run, run, [member.update()]))
+        self._send(member.address, wire.Gossip(next(self.message_counter), self.run, run, [member.update()]))
 
     # Timers.
 
@@ -767,7 +785,7 @@
                 if member is not None and member.live:
                     return member
             self.probe_order = [process_of(member.run) for member in self._live_others()]
-            self.draw.shuffle(self.probe_order)
+            self.rng.shuffle(self.probe_order)
         return None
 
     def _send_ping(self, now_ms: float, seq: int, run: int, address: str) -> None:
@@ -775,7 +793,7 @@
             self._select_updates(now_ms, run, self._priority_updates(now_ms, run)) if run else ([], [])
         )
         ping = wire.Ping(
-            next(self.counts),
+            next(self.message_counter),
             self.run,
             run,
             seq,
@@ -798,7 +816,7 @@
             for member in self._live_others()
             if process_of(member.run) != process and member.state is State.ALIVE
         ]
-        tokens = self.relay_tokens.now(now_ms)
+        tokens = self.relay_tokens.available(now_ms)
         max_relays = probe.max_relays
         if not probe.final and (
             tokens < RELAY_REQUEST_BURST / 2 or len(self.suspicions) > PARTITION_SUSPICIONS
@@ -808,7 +826,7 @@
         # Where a path is blocked for long, only the relay that worked is asked; if it fails, others are asked next.
         use_last_relay = last_relay is not None and last_relay.live
         relays = (
-            [last_relay] if use_last_relay else self.draw.sample(candidates, min(max_relays, len(candidates)))
+            [last_relay] if use_last_relay else self.rng.sample(candidates, min(max_relays, len(candidates)))
         )
         for relay in relays:
             self._send_ping_request(relay, seq, probe)
@@ -833,19 +851,21 @@
 
     def _send_gossip(self, now_ms: float) -> None:
         others = self._live_others()
-        for member in self.draw.sample(others, min(GOSSIP_FANOUT, len(others))):
+        for member in self.rng.sample(others, min(GOSSIP_FANOUT, len(others))):
             updates, records = self.gossip_queue.select(
                 now_ms, len(self.table), GOSSIP_ROOM_BYTES + 60, self.table.get
             )
             if updates or records:
                 self._send(
                     member.address,
-                    wire.Gossip(next(self.counts), self.run, member.run, updates, records),
+                    wire.Gossip(next(self.message_counter), self.run, member.run, updates, records),
                 )
 
-    def _reach(self, now_ms: float, _: int) -> None:
+    def _contact_absent(self, now_ms: float, _: int) -> None:
         """Pings a dead member, or a seed at whose address no live member is, at a constant rate once joined."""
-        self._schedule(now_ms + self.pace.reconnect_interval_ms * (1.0 if self.joined else 0.3), self._reach)
+        self._schedule(
+            now_ms + self.pace.reconnect_interval_ms * (1.0 if self.joined else 0.3), self._contact_absent
+        )
         if self.leaving:
             return
         live_addresses = {member.address for member in self._live_others()}
@@ -858,7 +878,7 @@
         choices = [addresses for addresses in (dead, seeds) if addresses]
         if not choices:
             return
-        targets = [self.draw.choice(self.draw.choice(choices))] if self.joined else seeds
+        targets = [self.rng.choice(self.rng.choice(choices))] if self.joined else seeds
         for address in targets:
             if address != self.me.address and address not in live_addresses:
                 seq = self._next_seq()
@@ -866,19 +886,19 @@
                 self._send_ping(now_ms, seq, 0, address)
                 self._schedule(now_ms + 4 * self.pace.reconnect_interval_ms, self._expire_probe, seq)
 
-    def _priority_updates(self, now_ms: float, to: int) -> list[wire.Short]:
+    def _priority_updates(self, now_ms: float, to: int) -> list[wire.MemberUpdate]:
         """Returns the receiver's own state unless it is alive, and our refutation while it is recent."""
         updates = []
         receiver = self.table.get(to)
         if receiver is not None and receiver.state is not State.ALIVE:
             updates.append(receiver.update())
         if now_ms - self.refuted_ms < REFUTATION_REPEAT_MS:
-            updates.append(wire.Short(self.run, int(State.ALIVE), self.incarnation))
+            updates.append(wire.MemberUpdate(self.run, int(State.ALIVE), self.incarnation))
         return updates
 
     def _select_updates(
-        self, now_ms: float, to: int, priority: list[wire.Short]
-    ) -> tuple[list[wire.Short], list[wire.Full]]:
+        self, now_ms: float, to: int, priority: list[wire.MemberUpdate]
+    ) -> tuple[list[wire.MemberUpdate], list[wire.MemberRecord]]:
         """Returns what to send with a message: the priority updates, then queued ones in the remaining bytes."""
         room = GOSSIP_ROOM_BYTES - UPDATE_BYTES * len(priority)
         updates, records = self.gossip_queue.select(now_ms, len(self.table), room, self.table.get)
@@ -895,37 +915,39 @@
 
     def _sync_with_random(self, now_ms: float, _: int) -> None:
         self._schedule(
-            now_ms + (0.5 + self.draw.random()) * self.pace.sync_interval_ms, self._sync_with_random
+            now_ms + (0.5 + self.rng.random()) * self.pace.sync_interval_ms, self._sync_with_random
         )
         others = self._live_others()
         if others:
-            self._start_sync(now_ms, self.draw.choice(others).address)
+            self._start_sync(now_ms, self.rng.choice(others).address)
 
     def _start_sync(self, now_ms: float, address: str) -> None:
         if now_ms - self.last_sync_ms < self.pace.min_sync_gap_ms or self.leaving:
             return
-        if self.sync_tokens.now(now_ms) > 0.0 or not self.joined:
+        if self.sync_tokens.available(now_ms) > 0.0 or not self.joined:
             self.last_sync_ms = now_ms
-            self.tally.add("fleet.comparisons")
-            self.out.append(Compare(address))
+            self.metrics.add("fleet.comparisons")
+            self.outbox.append(StartSync(address))
 
-    def spent(self, size: int) -> None:
+    def charge_sync(self, size: int) -> None:
         """Takes the bytes that a sync initiated here has moved from the token bucket of syncs."""
         self.sync_tokens.spend(size)
 
     def hello(self, token: int) -> wire.Hello:
         """Returns the first message of a connection, sent by the accepting side."""
-        return wire.Hello(next(self.counts), self.run, 0, token)
+        return wire.Hello(next(self.message_counter), self.run, 0, token)
 
-    def ask(self, now_ms: float, hello: wire.Hello, token: int) -> wire.SyncAsk:
+    def begin_sync(self, now_ms: float, hello: wire.Hello, token: int) -> wire.SyncRequest:
         """Initiator: returns our bucket digests and our own record."""
-        record = self.table.get(self.run).full(now_ms)
+        record = self.table.get(self.run).record(now_ms)
         buckets = self.table.buckets
         if self.version_for(hello.run) >= 2:
             buckets = [digest & wire.DIGEST_MASK for digest in buckets]
-        return wire.SyncAsk(next(self.counts), self.run, hello.run, hello.token, token, list(buckets), record)
+        return wire.SyncRequest(
+            next(self.message_counter), self.run, hello.run, hello.token, token, list(buckets), record
+        )
 
-    def answer(self, now_ms: float, request: wire.SyncAsk) -> wire.SyncTable:
+    def answer_sync(self, now_ms: float, request: wire.SyncRequest) -> wire.SyncTable:
         """Accepting side: returns the members of the buckets that differ."""
         if len(request.buckets) != BUCKETS:
             raise wire.WireError("buckets")
@@ -935,39 +957,39 @@
             for i, digest in enumerate(request.buckets)
             if (digest ^ self.table.buckets[i]) & wire.DIGEST_MASK
         ]
-        members = [member.full(now_ms) for member in self.table.in_buckets(differ)]
+        members = [member.record(now_ms) for member in self.table.in_buckets(differ)]
         return wire.SyncTable(
-            next(self.counts), self.run, request.run, request.reply_token, 0, members, differ
+            next(self.message_counter), self.run, request.run, request.reply_token, 0, members, differ
         )
 
-    def compared(self, now_ms: float, answer: wire.SyncTable, token: int) -> wire.SyncTable:
+    def complete_sync(self, now_ms: float, answer: wire.SyncTable, token: int) -> wire.SyncTable:
         """Initiator: merges the answer; returns the members for which the accepting side has no or older records."""
         theirs = {process_of(record.run): record for record in answer.members}
         self._merge(now_ms, answer.members)
         self.joined = True
         self.diverged_since_ms = now_ms
         newer = [
-            member.full(now_ms)
+            member.record(now_ms)
             for member in self.table.in_buckets(answer.differ)
             if member.is_newer_than(theirs.get(process_of(member.run)))
         ]
         self._update_wake_ms()
-        return wire.SyncTable(next(self.counts), self.run, answer.run, token, 0, newer)
+        return wire.SyncTable(next(self.message_counter), self.run, answer.run, token, 0, newer)
 
-    def given(self, now_ms: float, message: wire.SyncTable) -> None:
+    def accept_sync(self, now_ms: float, message: wire.SyncTable) -> None:
         """Accepting side: merges the newer records of the initiator."""
         self._merge(now_ms, message.members)
         self.joined = True
         self._update_wake_ms()
 
-    def _merge(self, now_ms: float, records: list[wire.Full]) -> None:
+    def _merge(self, now_ms: float, records: list[wire.MemberRecord]) -> None:
         changed = []
         for record in records:
             if self._handle_own_update(now_ms, record.run, record.state, record.incarnation):
                 self._handle_own_metadata(now_ms, record)
                 continue
             before = self.table.get(record.run)
-            member = self.table.take(record, now_ms)
+            member = self.table.merge(record, now_ms)
             if member is None:
                 continue
             changed.append((member, before is None or before.edition != member.edition))
@@ -983,5 +1005,5 @@
         self.seq = (self.seq + 1) & 0xFFFFFFFF
         return self.seq
 
-    def _send(self, address: str, message: wire.Any) -> None:
-        self.out.append(Datagram(address, message))
+    def _send(self, address: str, message: wire.AnyMessage) -> None:
+        self.outbox.append(Datagram(address, message))
--- a/leadslip/fleet/wire.py
+++ b/leadslip/fleet/wire.py
@@ -8,11 +8,11 @@
 New fields may be appended to an array and new message types may be added: a receiver ignores fields and drops types
 that it does not know. `key` is a key id, one byte of the key's own hash, so that a key can be replaced while the fleet
 runs: messages signed with any configured key are accepted, and the first key signs. Datagrams are limited to
-`MOST_DATAGRAM` bytes, frames over TCP to `MOST_FRAME`.
+`MAX_DATAGRAM_BYTES` bytes, frames over TCP to `MAX_FRAME_BYTES`.
 
 Versions: the version byte selects the rules for everything after it. Two members use the newest version that both
 support; a member that is not known yet is addressed in the oldest. Version 2 added the edition of a member's metadata,
-compressed frames and shortened the digests in them. Version 3 added `Carried` and the freshness field of an answer.
+compressed frames and shortened the digests in them. Version 3 added `PartMessage` and the freshness field of an answer.
 
 Replay protection: a message names the run it is addressed to and carries a sequence number that its sender uses once.
 A message recorded before the receiver started is addressed to another run; one that was received before is recognised
@@ -35,10 +35,10 @@
 VERSION = 3  # newest supported version; the oldest is MIN_VERSION
 MIN_VERSION = 1
 MAC_SIZE = 16
-SEAL_SIZE = 2 + MAC_SIZE
-MOST_DATAGRAM = 1200
+SEAL_BYTES = 2 + MAC_SIZE
+MAX_DATAGRAM_BYTES = 1200
 DIGEST_MASK = (1 << 32) - 1  # from version 2 on, bucket digests are sent as their low 32 bits
-MOST_FRAME = 1 << 22
+MAX_FRAME_BYTES = 1 << 22
 REPLAY_WINDOW = 1024  # sequence numbers behind a sender's newest that are still accepted, once each
 MAX_SENDERS = 8192  # senders whose sequence numbers are remembered
 
@@ -54,7 +54,7 @@
     """A received message is rejected; the text is the reason, used as the suffix of a counter name."""
 
 
-class Short(msgspec.Struct, array_like=True, frozen=True):
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
     """Update about a member that the receiver may know; `suspected_by` is the run that suspects it (0: none)."""
 
     run: int
@@ -63,7 +63,7 @@
     suspected_by: int = 0
 
 
-class Full(msgspec.Struct, array_like=True, frozen=True):
+class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
     """Complete record of a member; `age_ms` is how long it has been dead or left (0 while it is neither).
 
     `edition` counts the changes of the member's metadata; a member of wire version 1 sends none.
@@ -100,8 +100,8 @@
     address: str
     live_count: int
     digest: int
-    updates: list[Short] = []
-    full: list[Full] = []
+    updates: list[MemberUpdate] = []
+    records: list[MemberRecord] = []
 
 
 class Ack(Message, tag=2, frozen=True):
@@ -111,8 +111,8 @@
     status: int
     live_count: int
     digest: int
-    updates: list[Short] = []
-    full: list[Full] = []
+    updates: list[MemberUpdate] = []
+    records: list[MemberRecord] = []
     relayed_from: int = 0  # run whose answer this relays; 0: the sender's own answer
     freshness: list[int] = []  # newest revision known, its age in ms, a checksum of its contents; empty: none
 
@@ -136,8 +136,8 @@
 class Gossip(Message, tag=5, frozen=True):
     """Updates only; needs no answer."""
 
-    updates: list[Short] = []
-    full: list[Full] = []
+    updates: list[MemberUpdate] = []
+    records: list[MemberRecord] = []
 
 
 class Hello(Message, tag=6, frozen=True):
@@ -146,13 +146,13 @@
     token: int
 
 
-class SyncAsk(Message, tag=7, frozen=True):
+class SyncRequest(Message, tag=7, frozen=True):
     """Starts a sync: the initiator's bucket digests (64 bits to a version 1 member, else 32) and own record."""
 
     token: int
     reply_token: int
     buckets: list[int]
-    sender: Full
+    sender: MemberRecord
 
 
 class SyncTable(Message, tag=8, frozen=True):
@@ -160,11 +160,11 @@
 
     token: int
     reply_token: int
-    members: list[Full]
+    members: list[MemberRecord]
     differ: list[int] = []
 
 
-class Carried(Message, tag=9, frozen=True):
+class PartMessage(Message, tag=9, frozen=True):
     """A message of another part, sent over the fleet transport in `body`; `token` is 0 in a datagram."""
 
     token: int
@@ -172,18 +172,18 @@
     body: bytes
 
 
-Any = Ping | Ack | PingRequest | Nack | Gossip | Hello | SyncAsk | SyncTable | Carried
+AnyMessage = Ping | Ack | PingRequest | Nack | Gossip | Hello | SyncRequest | SyncTable | PartMessage
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Any)
+_decoder = msgspec.msgpack.Decoder(AnyMessage)
 
 
-def encode(message: Any) -> bytes:
+def encode(message: AnyMessage) -> bytes:
     """Encodes a message as a body."""
     return _encoder.encode(message)
 
 
-def decode(body: bytes | memoryview) -> Any:
+def decode(body: bytes | memoryview) -> AnyMessage:
     """Decodes a body; raises WireError("unknown") for a message type or layout that this version does not know."""
     try:
         return _decoder.decode(body)
@@ -197,8 +197,8 @@
     Raises KeysError if there is no key, if one is shorter than 16 bytes, or if two have the same key id.
     """
 
-    def __init__(self, keys: Sequence[bytes], speaks: int = VERSION) -> None:
-        self.speaks = speaks
+    def __init__(self, keys: Sequence[bytes], max_version: int = VERSION) -> None:
+        self.max_version = max_version
         if not keys or any(len(key) < 16 for key in keys):
             raise KeysError("the fleet needs at least one key, and each key must have at least 16 bytes")
         self.keys_by_id: dict[int, bytes] = {}
@@ -210,7 +210,7 @@
         self.key_id = next(iter(self.keys_by_id))
         self.headers = [bytes((version, self.key_id)) for version in range(VERSION + 1)]
 
-    def close(self, body: bytes, version: int = MIN_VERSION) -> bytes:
+    def sign(self, body: bytes, version: int = MIN_VERSION) -> bytes:
         """Returns the sealed message with this body, for a receiver of this version."""
         header = self.headers[version]
         return (
@@ -219,38 +219,38 @@
             + body
         )
 
-    def open(self, data: bytes) -> bytes:
+    def verify(self, data: bytes) -> bytes:
         """Verifies a sealed message and returns its body.
 
         Raises WireError: short, version, key or mac. The body is not parsed before the MAC has been verified.
         """
-        if len(data) <= SEAL_SIZE:
+        if len(data) <= SEAL_BYTES:
             raise WireError("short")
-        if not MIN_VERSION <= data[0] <= self.speaks:
+        if not MIN_VERSION <= data[0] <= self.max_version:
             raise WireError("version")
         key = self.keys_by_id.get(data[1])
         if key is None:
             raise WireError("key")
-        body = data[SEAL_SIZE:]
+        body = data[SEAL_BYTES:]
         expected_mac = blake2b(data[:2] + body, digest_size=MAC_SIZE, key=key).digest()
-        if not hmac.compare_digest(expected_mac, data[2:SEAL_SIZE]):
+        if not hmac.compare_digest(expected_mac, data[2:SEAL_BYTES]):
             raise WireError("mac")
         return body
 
 
-def frame(message: Any, version: int) -> bytes:
+def encode_frame(message: AnyMessage, version: int) -> bytes:
     """Encodes a message for TCP; compressed from version 2 on, as the records of one fleet are very similar."""
     body = encode(message)
     return zlib.compress(body, 1) if version >= 2 else body
 
 
-def unframe(body: bytes, version: int) -> Any:
+def decode_frame(body: bytes, version: int) -> AnyMessage:
     """Decodes the body of a frame of this version; raises WireError: unknown, long."""
     if version < 2:
         return decode(body)
     decompressor = zlib.decompressobj()
     try:
-        decompressed = decompressor.decompress(body, MOST_FRAME)
+        decompressed = decompressor.decompress(body, MAX_FRAME_BYTES)
     except zlib.error as error:
         raise WireError("unknown") from error
     if not decompressor.eof or decompressor.unused_data:
@@ -270,7 +270,7 @@
             OrderedDict()
         )  # run -> [newest sequence number, bitmap of those behind it that were received]
 
-    def fresh(self, run: int, count: int) -> bool:
+    def accept(self, run: int, count: int) -> bool:
         """Whether this sequence number of a sender is new; records it as received."""
         entry = self.senders.get(run)
         if entry is None:
--- a/leadslip/interface.py
+++ b/leadslip/interface.py
@@ -27,11 +27,11 @@
     ONCE = "once"  # only if no earlier attempt can have been processed
 
 
-class NewsKind(Enum):
+class UpdateKind(Enum):
     """How a server list update relates to the current list."""
 
     CHANGES = "changes"  # a delta
-    WHOLE = "whole"  # a snapshot
+    SNAPSHOT = "whole"  # a snapshot
     CACHED = "cached"  # a snapshot that may be out of date
     FAILED = "failed"  # the list could not be obtained
 
@@ -140,10 +140,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListNews:
+class ServerListUpdate:
     """The server list has changed, or could not be obtained."""
 
-    kind: NewsKind
+    kind: UpdateKind
     entries: tuple[ListEntry, ...] = ()
 
 
@@ -171,13 +171,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallStands:
+class CallEstablished:
     """The call is established; AttemptEnded follows when it ends."""
 
     call: str
     server: str
     attempt: int
-    taken_ms: float
+    elapsed_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -188,7 +188,7 @@
     server: str
     attempt: int
     outcome: Outcome
-    taken_ms: float
+    elapsed_ms: float
     call_over: bool = False
     cause: Cause = Cause.NONE
     wait_ms: float = 0.0
@@ -196,12 +196,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerLooked:
+class LoadReported:
     """A load report: the answer to a probe, or an unsolicited report of free lines."""
 
     server: str
     outcome: Outcome
-    taken_ms: float
+    elapsed_ms: float
     load: Load | None = None
 
 
@@ -221,17 +221,24 @@
 
 
 Event = (
-    ListNews | CallOffered | CallerLeft | CallStands | AttemptEnded | ServerLooked | TimerDue | PeerMessage
+    ServerListUpdate
+    | CallOffered
+    | CallerLeft
+    | CallEstablished
+    | AttemptEnded
+    | LoadReported
+    | TimerDue
+    | PeerMessage
 )
 
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
-    """Send a set-up; the attempt times out at cut_at_ms."""
+    """Send a set-up; the attempt times out at timeout_at_ms."""
 
     call: str
     server: str
-    cut_at_ms: float
+    timeout_at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/leadslip/lab/agreed.py
+++ b/leadslip/lab/agreed.py
@@ -1,8 +1,8 @@
 """Simulates agreement on settings: a virtual fleet with some voters, whose disks outlive their processes.
 
 `Agreed` starts and kills members, submits operators' changes at any of them, and checks every `CHECK_INTERVAL_MS`
-which rules each member applies. `wrong` lists the violations of A1 and A2 seen, `lost` those of A3 (the invariants
-are defined in leadslip/drill/check.py).
+which rules each member applies. `violations` lists the violations of A1 and A2 seen, `lost_changes` those of A3 (the
+invariants are defined in leadslip/drill/check.py).
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from random import Random
 
 from leadslip.errors import OperatorError
-from leadslip.fleet.agreement.documents import Isolated, Outcome, Proposal
+from leadslip.fleet.agreement.documents import ChangeResult, Isolated, Proposal
 from leadslip.fleet.agreement.member import Agreement, Propose
 from leadslip.fleet.agreement.raft import Save
 from leadslip.lab.fleet import Fleet, Host
@@ -33,17 +33,17 @@
         kind: type[Agreement] = Agreement,
     ) -> None:
         self.fleet, self.in_force_ms, self.kind = Fleet(seed), in_force_ms, kind
-        self.draw = Random(seed + 1)
+        self.rng = Random(seed + 1)
         self.names = [f"p{i:02d}" for i in range(members)]
         self.voters = tuple(f"p{i:02d}" for i in range(voters))
         self.disks: dict[str, tuple[str, int, Disk]] = {}  # name -> voter id, starts, disk
         self.disks_created = 0
-        self.told: list[tuple[float, str, dict]] = []  # log events of the members: time, event, fields
+        self.logged: list[tuple[float, str, dict]] = []  # log events of the members: time, event, fields
         self.contents: dict[int, tuple[int, str]] = {}  # revision -> its checksum, first member to apply it
         self.last_applied: dict[str, int] = {}  # "name process" -> last revision applied
         self.first_applied_ms: dict[int, float] = {}  # revision -> when it was first applied
         self.longest_overlap_ms = 0.0  # longest time an older revision was applied after a newer one
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.acknowledged: dict[str, int] = {}
         self.refused: list[OperatorError] = []
         self.fallback_checks = self.checks = 0  # checks that found the fallback rules in effect; all checks
@@ -51,7 +51,7 @@
         for name in self.names:
             self.start(name)
             self.fleet.run(20.0)
-        self.fleet.clock.at(self.fleet.clock.now_ms, self.check_rules)
+        self.fleet.clock.call_at(self.fleet.clock.now_ms, self.check_rules)
 
     def start(self, name: str, blank: bool = False) -> Host:
         """Start a member; a voter gets its previous disk, or a blank one."""
@@ -62,9 +62,9 @@
             self.voters,
             self.in_force_ms,
             Isolated(),
-            Random(self.draw.getrandbits(64)),
-            self.fleet.tally,
-            lambda event, **fields: self.told.append((self.fleet.clock.now_ms, event, fields)),
+            Random(self.rng.getrandbits(64)),
+            self.fleet.metrics,
+            lambda event, **fields: self.logged.append((self.fleet.clock.now_ms, event, fields)),
         )
         host.disk_ms = 0.0
         if name in self.voters:
@@ -73,7 +73,7 @@
                 self.disks[name] = f"v{self.disks_created}-{name}", 0, Disk([])
             id_, starts, disk = self.disks[name]
             self.disks[name] = id_, starts + 1, disk
-            agreement.votes_with(id_, starts + 1, disk.stored)
+            agreement.make_voter(id_, starts + 1, disk.stored)
         host.parts_by_name["agreement"] = agreement
         agreement.due(host.now_ms)
         host.view.change_facts(host.now_ms, agreement.facts())
@@ -86,8 +86,8 @@
         saves, agreement.saves = agreement.saves, []
         for save in saves:
             now_ms = self.fleet.clock.now_ms
-            host.disk_ms = max(host.disk_ms, now_ms) + self.draw.uniform(*DISK_DELAY_RANGE_MS)
-            self.fleet.clock.at(host.disk_ms, self.complete_save, host, self.disks[host.name][2], save)
+            host.disk_ms = max(host.disk_ms, now_ms) + self.rng.uniform(*DISK_DELAY_RANGE_MS)
+            self.fleet.clock.call_at(host.disk_ms, self.complete_save, host, self.disks[host.name][2], save)
         if saves:
             host.view.change_facts(host.now_ms, agreement.facts())
 
@@ -96,7 +96,7 @@
         if not host.up:
             return
         if host.stalled:
-            self.fleet.clock.at(self.fleet.clock.now_ms + 20.0, self.complete_save, host, disk, save)
+            self.fleet.clock.call_at(self.fleet.clock.now_ms + 20.0, self.complete_save, host, disk, save)
             return
         disk.write(save)
         host.agreement.saved(host.now_ms, save.number)
@@ -108,18 +108,18 @@
         for name, host in self.fleet.hosts.items():
             if host.stalled:
                 continue
-            rules = host.agreement.in_force(host.now_ms)
+            rules = host.agreement.rules_in_effect(host.now_ms)
             self.checks += 1
             if not rules.agreed:
                 self.fallback_checks += 1
                 continue
             checksum, first_name = self.contents.setdefault(rules.revision, (rules.mark, name))
             if checksum != rules.mark:
-                self.wrong.append(
+                self.violations.append(
                     f"A1: {name} applies other contents of revision {rules.revision} than {first_name}"
                 )
             if rules.revision < self.last_applied.get(f"{name} {host.view.run >> 16}", 0):
-                self.wrong.append(f"A1: {name} goes back to revision {rules.revision}")
+                self.violations.append(f"A1: {name} goes back to revision {rules.revision}")
             self.last_applied[f"{name} {host.view.run >> 16}"] = rules.revision
             self.first_applied_ms.setdefault(rules.revision, now_ms)
             newer_first_ms = [
@@ -129,19 +129,19 @@
                 overlap_ms = now_ms - min(newer_first_ms)
                 self.longest_overlap_ms = max(self.longest_overlap_ms, overlap_ms)
                 if overlap_ms > self.in_force_ms:
-                    self.wrong.append(
+                    self.violations.append(
                         f"A2: {name} applies revision {rules.revision} {overlap_ms:.0f} ms after a newer one"
                     )
-        self.fleet.clock.at(now_ms + CHECK_INTERVAL_MS, self.check_rules)
+        self.fleet.clock.call_at(now_ms + CHECK_INTERVAL_MS, self.check_rules)
 
     def change(self, name: str, document: str, content: dict, id_: str, expect: int = -1) -> None:
         """Submit an operator's change at a member; a negative `expect` means the revision that the member holds."""
         host = self.fleet.hosts[name]
         agreement = host.agreement
-        expected_revision = agreement.held.revision if expect < 0 else expect
+        expected_revision = agreement.current.revision if expect < 0 else expect
         proposal = Proposal(id_, expected_revision, {document: json.dumps(content).encode()})
 
-        def on_result(result: Outcome | OperatorError) -> None:
+        def on_result(result: ChangeResult | OperatorError) -> None:
             if isinstance(result, OperatorError):
                 self.refused.append(result)
             else:
@@ -150,7 +150,7 @@
         agreement.propose(host.now_ms, Propose(id_, proposal), 4000.0, on_result)
         host.flush()
 
-    def led(self) -> str:
+    def leader_name(self) -> str:
         """The name of the leader of the latest term; empty without a leader."""
         leaders = [
             name
@@ -159,17 +159,19 @@
         ]
         return max(leaders, key=lambda name: self.fleet.hosts[name].agreement.raft.term, default="")
 
-    def same(self) -> bool:
+    def converged(self) -> bool:
         """Whether there is a leader and all members apply the newest agreed revision."""
-        rules_of_hosts = [(host.agreement.in_force(host.now_ms), host) for host in self.fleet.hosts.values()]
+        rules_of_hosts = [
+            (host.agreement.rules_in_effect(host.now_ms), host) for host in self.fleet.hosts.values()
+        ]
         newest = max((rules.revision for rules, _ in rules_of_hosts), default=0)
         latest = max([*self.acknowledged.values(), newest])
-        return bool(self.led()) and all(
+        return bool(self.leader_name()) and all(
             rules.agreed and rules.revision == latest for rules, _ in rules_of_hosts
         )
 
-    def lost(self) -> list[str]:
+    def lost_changes(self) -> list[str]:
         """Ids of the acknowledged changes that are missing from the leader's history; all of them without a leader."""
-        name = self.led()
+        name = self.leader_name()
         known_ids = self.fleet.hosts[name].agreement.documents.ids if name else {}
         return [id_ for id_ in self.acknowledged if id_ not in known_ids]
--- a/leadslip/lab/fleet.py
+++ b/leadslip/lab/fleet.py
@@ -1,7 +1,7 @@
 """Simulates a fleet: each member runs the production View on a host of the virtual network.
 
-`Fleet` starts, kills, stalls and restarts members and records the removals that each view reports. `known`,
-`known_gone` and `agreed` compare the members' tables.
+`Fleet` starts, kills, stalls and restarts members and records the removals that each view reports. `alive_everywhere`,
+`gone_everywhere` and `converged` compare the members' tables.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from random import Random
 from typing import Protocol
 
-from leadslip.checks import Tally
 from leadslip.fleet import wire
 from leadslip.fleet.view.members import Change, State, process_of
-from leadslip.fleet.view.view import Compare, Me, Pace, View
+from leadslip.fleet.view.view import OwnMember, ProtocolTiming, StartSync, View
 from leadslip.lab.network import Clock, Network
+from leadslip.metrics import Metrics
 
 CONDITION_STEP_MS = 20.0  # between two evaluations of a condition in `until`
 TIMER_TOLERANCE_MS = 1e-6  # rounding between a host's clock and the simulation's
@@ -24,7 +24,7 @@
 class FleetPart(Protocol):
     """A part that exchanges messages over the fleet, as net/peers.py transports them."""
 
-    out: list[tuple[int, bytes]]
+    outbox: list[tuple[int, bytes]]
     wake_ms: float
 
     def received(self, now_ms: float, run: int, body: bytes) -> None: ...
@@ -46,12 +46,12 @@
     ) -> None:
         self.fleet, self.name, self.address = fleet, name, address
         self.rate = 1.0 + drift_ppm / 1e6  # speed of its monotonic clock
-        self.seal = wire.Seal([KEY], view_class.speaks)
+        self.seal = wire.Seal([KEY], view_class.max_version)
         self.view = view_class(
-            Me(name, address, f"zone{fleet.zone_of(name)}"),
+            OwnMember(name, address, f"zone{fleet.zone_of(name)}"),
             seeds,
-            Random(fleet.draw.getrandbits(64)),
-            fleet.tally,
+            Random(fleet.rng.getrandbits(64)),
+            fleet.metrics,
             fleet.pace,
             fleet.most_members,
         )
@@ -80,22 +80,22 @@
             self.inbox.append(data)
             return
         try:
-            message = wire.decode(self.seal.open(data))
+            message = wire.decode(self.seal.verify(data))
         except wire.WireError as error:
-            self.fleet.tally.add(f"fleet.refused.{error}")
+            self.fleet.metrics.add(f"fleet.refused.{error}")
             return
-        if isinstance(message, wire.Carried):
+        if isinstance(message, wire.PartMessage):
             self.receive_part_message(message)
         else:
             self.view.received(self.now_ms, message)
         self.flush()
 
-    def receive_part_message(self, message: wire.Carried) -> None:
+    def receive_part_message(self, message: wire.PartMessage) -> None:
         """Deliver a message of a part, as net/peers.py does, if both runs are current and the sender is live."""
         member = self.view.table.get(message.run)
         if message.to != self.view.run or member is None or not member.live or member.run != message.run:
             return
-        if message.part in self.parts_by_name and self.view.heard.fresh(message.run, message.count):
+        if message.part in self.parts_by_name and self.view.replay_filter.accept(message.run, message.count):
             self.parts_by_name[message.part].received(self.now_ms, message.run, message.body)
 
     def send_part_message(self, part: str, run: int, body: bytes) -> None:
@@ -103,10 +103,10 @@
         member = self.view.table.get(run)
         if member is None or not member.live or self.view.version_for(run) < 3:
             return
-        message = wire.Carried(next(self.view.counts), self.view.run, run, 0, part, body)
-        data = self.seal.close(wire.encode(message), 3)
+        message = wire.PartMessage(next(self.view.message_counter), self.view.run, run, 0, part, body)
+        data = self.seal.sign(wire.encode(message), 3)
         network = self.fleet.network
-        if len(data) <= wire.MOST_DATAGRAM:
+        if len(data) <= wire.MAX_DATAGRAM_BYTES:
             network.send(self.address, member.address, data)
             return
 
@@ -133,22 +133,22 @@
 
     def flush(self) -> None:
         """Send the outgoing messages of the view and the parts, and schedule the next timer."""
-        outgoing, self.view.out = self.view.out, []
+        outgoing, self.view.outbox = self.view.outbox, []
         for item in outgoing:
-            if isinstance(item, Compare):
+            if isinstance(item, StartSync):
                 self.fleet.sync_tables(self, item.address)
             else:
-                data = self.seal.close(wire.encode(item.message), self.view.version_for(item.message.to))
+                data = self.seal.sign(wire.encode(item.message), self.view.version_for(item.message.to))
                 self.fleet.network.send(self.address, item.address, data)
         for name, part in self.parts_by_name.items():
-            messages, part.out = part.out, []
+            messages, part.outbox = part.outbox, []
             for run, body in messages:
                 self.send_part_message(name, run, body)
             self.run_part_hook(name)
         wake_ms = min([self.view.wake_ms, *(part.wake_ms for part in self.parts_by_name.values())])
         if wake_ms < self.next_wake_ms:
             self.next_wake_ms = wake_ms
-            self.fleet.clock.at(self.next_wake_ms / self.rate, self.on_timer)
+            self.fleet.clock.call_at(self.next_wake_ms / self.rate, self.on_timer)
 
     def run_part_hook(self, name: str) -> None:
         """Run the hook registered for a part after it may have done work."""
@@ -161,13 +161,13 @@
         if self.up and not self.stalled:
             self.stalled = True
             if for_ms < float("inf"):
-                self.fleet.clock.at(self.fleet.clock.now_ms + for_ms, self.resume)
+                self.fleet.clock.call_at(self.fleet.clock.now_ms + for_ms, self.resume)
 
     def cycle_stalls(self) -> None:
         """Simulate a busy process: alternate stalls of `busy_ms` with running for as long, until `busy_ms` is 0."""
         if self.up and self.busy_ms:
             self.stall(self.busy_ms)
-            self.fleet.clock.at(self.fleet.clock.now_ms + 2 * self.busy_ms, self.cycle_stalls)
+            self.fleet.clock.call_at(self.fleet.clock.now_ms + 2 * self.busy_ms, self.cycle_stalls)
 
     def resume(self) -> None:
         """End a stall as a process does: overdue timers run first, then the datagrams queued in its sockets."""
@@ -187,15 +187,22 @@
 class Fleet:
     """A simulated fleet; its course depends on the seed alone."""
 
-    def __init__(self, seed: int, pace: Pace = Pace(), zones: int = 4, most_members: int = 4096) -> None:  # noqa: B008
-        self.draw, self.tally, self.pace, self.zones = Random(seed), Tally(), pace, zones
+    def __init__(
+        self,
+        seed: int,
+        pace: ProtocolTiming = ProtocolTiming(),  # noqa: B008
+        zones: int = 4,
+        most_members: int = 4096,
+    ) -> None:
+        self.rng, self.metrics, self.pace, self.zones = Random(seed), Metrics(), pace, zones
         self.most_members = most_members
         self.clock = Clock()
-        self.network = Network(self.clock, Random(self.draw.getrandbits(64)))
+        self.network = Network(self.clock, Random(self.rng.getrandbits(64)))
         self.hosts: dict[str, Host] = {}
         # Part name -> hook run after the part may have done work.
         self.part_hooks: dict[str, Callable[[Host], None]] = {}
-        self.ends: list[tuple[float, str, int, State]] = []  # time, observer, removed run, its final state
+        # time, observer, removed run, its final state
+        self.removals: list[tuple[float, str, int, State]] = []
 
     def zone_of(self, name: str) -> int:
         """The index of a member's zone, derived from its name."""
@@ -227,7 +234,7 @@
         for i in range(members):
             self.add(f"p{i:04d}")
             self.run(10.0)
-        self.until(self.agreed, 60_000.0)
+        self.until(self.converged, 60_000.0)
 
     def kill(self, name: str) -> Host:
         """Kill a process without notice to the others."""
@@ -256,16 +263,16 @@
                 not member.up or member.stalled or member.out_of_descriptors for member in (host, other)
             ):
                 return 0
-            ask = host.view.ask(host.now_ms, other.view.hello(1), 2)
-            answer = other.view.answer(other.now_ms, ask)
-            newer_records = host.view.compared(host.now_ms, answer, 1)
-            other.view.given(other.now_ms, newer_records)
+            ask = host.view.begin_sync(host.now_ms, other.view.hello(1), 2)
+            answer = other.view.answer_sync(other.now_ms, ask)
+            newer_records = host.view.complete_sync(host.now_ms, answer, 1)
+            other.view.accept_sync(other.now_ms, newer_records)
             version = host.view.version_for(other.view.run)
             size = sum(
-                len(wire.frame(message, version)) + wire.SEAL_SIZE + 4
+                len(wire.encode_frame(message, version)) + wire.SEAL_BYTES + 4
                 for message in (ask, answer, newer_records)
             )
-            host.view.spent(size)
+            host.view.charge_sync(size)
             host.flush()
             other.flush()
             return size
@@ -275,11 +282,13 @@
     def partition(self, *parts: Iterable[str]) -> None:
         """Block all paths between these groups of members."""
         part_of = {f"{name}:7946": i for i, part in enumerate(parts) for name in part}
-        self.network.links.cut = lambda source, target: part_of.get(source, -1) != part_of.get(target, -1)
+        self.network.conditions.blocked = lambda source, target: (
+            part_of.get(source, -1) != part_of.get(target, -1)
+        )
 
     def heal(self) -> None:
         """End a partition."""
-        self.network.links.cut = None
+        self.network.conditions.blocked = None
 
     def run(self, for_ms: float) -> None:
         """Advance the simulation."""
@@ -296,16 +305,16 @@
 
     def record_change(self, host: Host, change: Change) -> None:
         """Record the run that a change removes from a member's view, if it removes one."""
-        previous, current = change.was, change.now
+        previous, current = change.before, change.after
         if (
             previous is not None
             and previous.live
             and (current is None or not current.live or current.run != previous.run)
         ):
             state = State.DEAD if current is None or current.live else current.state
-            self.ends.append((self.clock.now_ms, host.name, previous.run, state))
+            self.removals.append((self.clock.now_ms, host.name, previous.run, state))
 
-    def agreed(self) -> bool:
+    def converged(self) -> bool:
         """Whether all members hold the same view, and it lists exactly the running processes."""
         running = {process_of(host.view.run) for host in self.hosts.values()}
         digests = {host.view.digest() for host in self.hosts.values()}
@@ -314,18 +323,18 @@
         members = {process_of(member.run) for member in next(iter(self.hosts.values())).view.members()}
         return members == running
 
-    def known_gone(self, run: int) -> bool:
+    def gone_everywhere(self, run: int) -> bool:
         """Whether every running member holds this run as dead or left."""
-        return all(host.view.table.standing(run) >= State.DEAD for host in self.hosts.values())
+        return all(host.view.table.status(run) >= State.DEAD for host in self.hosts.values())
 
-    def known(self, run: int) -> bool:
+    def alive_everywhere(self, run: int) -> bool:
         """Whether every running member holds this run as alive or suspect."""
-        return all(host.view.table.standing(run) < State.DEAD for host in self.hosts.values())
+        return all(host.view.table.status(run) < State.DEAD for host in self.hosts.values())
 
-    def wrongly(self) -> list[tuple[float, str, int, State]]:
+    def false_removals(self) -> list[tuple[float, str, int, State]]:
         """Recorded removals of runs whose process is still running."""
         running = {process_of(host.view.run) for host in self.hosts.values()}
-        return [removal for removal in self.ends if process_of(removal[2]) in running]
+        return [removal for removal in self.removals if process_of(removal[2]) in running]
 
     def traffic(self) -> tuple[float, float, float]:
         """Datagrams, bytes in datagrams, and bytes over connections sent so far, as the mean per member."""
--- a/leadslip/lab/model.py
+++ b/leadslip/lab/model.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass
 from random import Random
 
-from leadslip.checks import Tally
-from leadslip.fleet.view.members import LIFE_BITS, Member, State, process_of
-from leadslip.fleet.view.view import Me, Pace, View
+from leadslip.fleet.view.members import GENERATION_BITS, Member, State, process_of
+from leadslip.fleet.view.view import OwnMember, ProtocolTiming, View
+from leadslip.metrics import Metrics
 
 PARTITIONS = ((0, 0, 0), (0, 1, 1), (1, 0, 1), (1, 1, 0))  # the side of each of the three members
 FIRST_PROCESS = 1 << 46  # the first process number; a restart takes a higher one
@@ -38,7 +38,7 @@
     started: int  # number of processes started so far
 
 
-class BrokenError(Exception):
+class ViolationError(Exception):
     """An invariant does not hold; the text names it and the transitions that led to the violation."""
 
 
@@ -50,12 +50,14 @@
     ) -> None:
         self.kind, self.restarts = kind, restarts
         self.max_incarnation, self.max_generation = max_incarnation, max_generation
-        self.tally = Tally()
+        self.metrics = Metrics()
         self.convergence_results: dict[World, str] = {}
 
     def build_view(self, index: int, run: int, incarnation: int, entries: TableContents) -> View:
         """A view with the given run, incarnation and table."""
-        view = self.kind(Me(f"n{index}", f"n{index}:1"), (), Random(1), self.tally, Pace(), 100)
+        view = self.kind(
+            OwnMember(f"n{index}", f"n{index}:1"), (), Random(1), self.metrics, ProtocolTiming(), 100
+        )
         view.run, view.incarnation, view.joined = run, incarnation, True
         for entry_run, state, entry_incarnation in entries:
             entry_index = self.member_index(entry_run)
@@ -81,7 +83,7 @@
 
     def initial_world(self) -> World:
         """The initial state: three members, each of which holds all as alive."""
-        runs = [FIRST_PROCESS + i << LIFE_BITS for i in range(3)]
+        runs = [FIRST_PROCESS + i << GENERATION_BITS for i in range(3)]
         entries = tuple((run, 0, 0) for run in runs)
         return World(tuple((run, 0, entries) for run in runs), 0, 3)
 
@@ -98,7 +100,7 @@
                     view._suspect(0.0, other)
                     yield f"{i} suspects {other:x}", self.with_view(world, i, view)
                 else:
-                    view._end(0.0, other, "fleet.declared_dead")
+                    view._declare_dead(0.0, other, "fleet.declared_dead")
                     yield f"{i} declares {other:x} dead", self.with_view(world, i, view)
         sides = PARTITIONS[world.partition]
         for i in range(3):
@@ -111,7 +113,7 @@
             for i in range(3):
                 # A process number determines its member: take the next one that maps to member i.
                 number = next(n for n in range(world.started, world.started + 3) if n % 3 == i)
-                run = FIRST_PROCESS + number << LIFE_BITS
+                run = FIRST_PROCESS + number << GENERATION_BITS
                 restarted = (run, 0, ((run, 0, 0),))
                 views = tuple(
                     restarted if k == i else member_view for k, member_view in enumerate(world.views)
@@ -132,7 +134,7 @@
         """The state after one member has sent another its whole table, as an anti-entropy session does."""
         sender = self.build_view(source, *world.views[source])
         receiver = self.build_view(target, *world.views[target])
-        receiver._merge(0.0, [member.full(0.0) for member in sender.table])
+        receiver._merge(0.0, [member.record(0.0) for member in sender.table])
         return self.with_view(world, target, receiver)
 
     def check(self, world: World, previous: World) -> str:
@@ -202,7 +204,7 @@
                         while reached in trace:
                             reached, earlier = trace[reached]
                             transitions.append(earlier)
-                        raise BrokenError(f"{violation}: {'; '.join(reversed(transitions))}")
+                        raise ViolationError(f"{violation}: {'; '.join(reversed(transitions))}")
                     seen.add(next_world)
                     trace[next_world] = world, transition
                     following.append(next_world)
--- a/leadslip/lab/network.py
+++ b/leadslip/lab/network.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from leadslip.drill.ways import LinkFaults
+from leadslip.drill.link_faults import LinkFaults
 
 
 class Clock:
@@ -23,7 +23,7 @@
         self.heap: list[tuple[float, int, Callable, tuple]] = []
         self.sequence = 0
 
-    def at(self, due_ms: float, callback: Callable, *args: object) -> None:
+    def call_at(self, due_ms: float, callback: Callable, *args: object) -> None:
         """Schedule a callback; a time in the past means now."""
         self.sequence += 1
         heapq.heappush(self.heap, (max(due_ms, self.now_ms), self.sequence, callback, args))
@@ -41,10 +41,10 @@
 class NetworkConditions:
     """Conditions that apply to all paths between hosts, and extra delays of single paths."""
 
-    late_ms: tuple[float, float] = (0.3, 3.0)  # range of the one-way delay
-    lost: float = 0.0  # share of datagrams lost
-    twice: float = 0.0  # share of datagrams duplicated
-    cut: Callable[[str, str], bool] | None = None  # (source, target) -> whether the path is blocked
+    delay_range_ms: tuple[float, float] = (0.3, 3.0)  # range of the one-way delay
+    loss_rate: float = 0.0  # share of datagrams lost
+    duplicate_rate: float = 0.0  # share of datagrams duplicated
+    blocked: Callable[[str, str], bool] | None = None  # (source, target) -> whether the path is blocked
     # (source, target) -> extra one-way delay in ms
     slow: dict[tuple[str, str], float] = field(default_factory=dict)
 
@@ -52,9 +52,9 @@
 class Network:
     """Carries datagrams between hosts, and counts them by sender."""
 
-    def __init__(self, clock: Clock, draw: Random) -> None:
-        self.clock, self.draw, self.links = clock, draw, NetworkConditions()
-        self.link_faults = LinkFaults(draw.getrandbits(32))  # the path faults of a scenario
+    def __init__(self, clock: Clock, rng: Random) -> None:
+        self.clock, self.rng, self.conditions = clock, rng, NetworkConditions()
+        self.link_faults = LinkFaults(rng.getrandbits(32))  # the path faults of a scenario
         self.hosts: dict[str, Callable[[bytes], None]] = {}
         self.datagrams: dict[str, int] = {}
         self.bytes: dict[str, int] = {}
@@ -65,27 +65,37 @@
         blocked, muted, _ = (
             self.link_faults.stream((source, target)) if self.link_faults.active else (False, False, 0.0)
         )
-        return not (blocked or muted or (self.links.cut is not None and self.links.cut(source, target)))
+        return not (
+            blocked
+            or muted
+            or (self.conditions.blocked is not None and self.conditions.blocked(source, target))
+        )
 
     def delay(self, source: str, target: str) -> float:
         """Draw the one-way delay of a path in ms."""
-        return self.draw.uniform(*self.links.late_ms) + self.links.slow.get((source, target), 0.0)
+        return self.rng.uniform(*self.conditions.delay_range_ms) + self.conditions.slow.get(
+            (source, target), 0.0
+        )
 
     def send(self, source: str, target: str, data: bytes) -> None:
         """Send one datagram, subject to the faults in effect."""
         self.datagrams[source] = self.datagrams.get(source, 0) + 1
         self.bytes[source] = self.bytes.get(source, 0) + len(data)
-        links, draw = self.links, self.draw
-        if (links.cut is not None and links.cut(source, target)) or draw.random() < links.lost:
+        conditions, rng = self.conditions, self.rng
+        if (
+            conditions.blocked is not None and conditions.blocked(source, target)
+        ) or rng.random() < conditions.loss_rate:
             return
         if self.link_faults.active:
             for late_s, copy in self.link_faults.datagram((source, target), data):
                 due_ms = self.clock.now_ms + self.delay(source, target) + late_s * 1000.0
-                self.clock.at(due_ms, self._deliver, target, copy)
+                self.clock.call_at(due_ms, self._deliver, target, copy)
             return
-        self.clock.at(self.clock.now_ms + self.delay(source, target), self._deliver, target, data)
-        if links.twice and draw.random() < links.twice:
-            self.clock.at(self.clock.now_ms + 3 * self.delay(source, target), self._deliver, target, data)
+        self.clock.call_at(self.clock.now_ms + self.delay(source, target), self._deliver, target, data)
+        if conditions.duplicate_rate and rng.random() < conditions.duplicate_rate:
+            self.clock.call_at(
+                self.clock.now_ms + 3 * self.delay(source, target), self._deliver, target, data
+            )
 
     def _deliver(self, target: str, data: bytes) -> None:
         receive = self.hosts.get(target)
@@ -97,7 +107,7 @@
         if not (self.passes(source, target) and self.passes(target, source)):
             return
         duration_ms = 2 * (self.delay(source, target) + self.delay(target, source))
-        self.clock.at(self.clock.now_ms + duration_ms, self._exchange, source, target, exchange)
+        self.clock.call_at(self.clock.now_ms + duration_ms, self._exchange, source, target, exchange)
 
     def _exchange(self, source: str, target: str, exchange: Callable[[], int]) -> None:
         if self.passes(source, target) and self.passes(target, source):
--- a/leadslip/lab/replicated.py
+++ b/leadslip/lab/replicated.py
@@ -8,7 +8,7 @@
 
 from random import Random
 
-from leadslip.fleet.replicas.member import STANDS, Replicas
+from leadslip.fleet.replicas.member import ESTABLISHED, Replicas
 from leadslip.fleet.view.members import process_of
 from leadslip.lab.fleet import Fleet, Host
 
@@ -20,31 +20,31 @@
 
     def __init__(self, seed: int, members: int, copies: int = 2, kind: type[Replicas] = Replicas) -> None:
         self.fleet, self.copies, self.kind = Fleet(seed, zones=3), copies, kind
-        self.draw = Random(seed + 7)
+        self.rng = Random(seed + 7)
         self.names = [f"p{i:02d}" for i in range(members)]
         # Member -> call -> server: the established calls.
-        self.standing: dict[str, dict[str, str]] = {name: {} for name in self.names}
+        self.established: dict[str, dict[str, str]] = {name: {} for name in self.names}
         # Call -> the process that recorded its start (or its end) and the sequence number there.
         self.call_starts: dict[str, tuple[int, int]] = {}
         self.call_ends: dict[str, tuple[int, int]] = {}
         self.killed_processes: dict[str, int] = {}  # killed member -> its process number
         # Killed member -> process that held its replica -> last change applied there.
         self.applied_by_holder: dict[str, dict[int, int]] = {}
-        self.told: list[tuple[str, dict]] = []  # log events of the members: event, fields
+        self.logged: list[tuple[str, dict]] = []  # log events of the members: event, fields
         self.calls, self.rate = 0, 0.3  # calls begun so far; chance of a new call in each step
         for name in self.names:
             self.start(name)
             self.fleet.run(15.0)
-        self.fleet.clock.at(self.fleet.clock.now_ms + CALL_STEP_MS, self.step_calls)
+        self.fleet.clock.call_at(self.fleet.clock.now_ms + CALL_STEP_MS, self.step_calls)
 
     def kill(self, name: str) -> None:
         """Kill a process, and record who held its complete replica and up to which change."""
         run = self.fleet.hosts[name].view.run
         self.killed_processes[name] = process_of(run)
         self.applied_by_holder[name] = {
-            process_of(host.view.run): host.replicas.held[run].table.applied
+            process_of(host.view.run): host.replicas.held_replicas[run].table.applied
             for host in self.fleet.hosts.values()
-            if run in host.replicas.held and host.replicas.held[run].table.whole()
+            if run in host.replicas.held_replicas and host.replicas.held_replicas[run].table.is_complete()
         }
         self.fleet.kill(name)
 
@@ -56,13 +56,13 @@
                 (number for run, number in self.applied_by_holder.pop(name).items() if run in live),
                 default=-1,
             )
-            process, calls = self.killed_processes[name], self.standing[name]
+            process, calls = self.killed_processes[name], self.established[name]
             lost = {
                 call
                 for call in calls
                 if self.call_starts[call][0] == process and self.call_starts[call][1] > latest
             }
-            self.standing[name] = {
+            self.established[name] = {
                 call: server for call, server in calls.items() if call not in lost and latest >= 0
             }
             # An end that no surviving holder knew is lost: its call counts as established until it is released again.
@@ -76,8 +76,8 @@
         host.replicas = host.parts_by_name["replicas"] = self.kind(
             host.view,
             self.copies,
-            self.fleet.tally,
-            lambda event, **fields: self.told.append((event, fields)),
+            self.fleet.metrics,
+            lambda event, **fields: self.logged.append((event, fields)),
             lambda kind, result: host.back.update({kind: result}),
         )
         host.flush()
@@ -88,43 +88,47 @@
         for name, host in self.fleet.hosts.items():
             if host.stalled:
                 continue
-            calls = self.standing[name]
-            if self.draw.random() < self.rate:
-                self.begin(name)
-            if calls and self.draw.random() < self.rate / 2:
-                self.end_call(name, self.draw.choice(list(calls)))
-        self.fleet.clock.at(self.fleet.clock.now_ms + CALL_STEP_MS, self.step_calls)
-
-    def begin(self, name: str) -> str:
+            calls = self.established[name]
+            if self.rng.random() < self.rate:
+                self.begin_call(name)
+            if calls and self.rng.random() < self.rate / 2:
+                self.end_call(name, self.rng.choice(list(calls)))
+        self.fleet.clock.call_at(self.fleet.clock.now_ms + CALL_STEP_MS, self.step_calls)
+
+    def begin_call(self, name: str) -> str:
         """Begin a call at a member; returns its id."""
         self.calls += 1
-        call, server = f"{self.calls:016x}", f"s{self.draw.randrange(4)}"
-        self.standing[name][call] = server
+        call, server = f"{self.calls:016x}", f"s{self.rng.randrange(4)}"
+        self.established[name][call] = server
         self.call_starts[call] = self.put(name, call, server.encode())
         return call
 
     def put(self, name: str, call: str, state: bytes | None) -> tuple[int, int]:
         """Record a call's state, or its end, at a member; returns the process and the sequence number of the change."""
         host = self.fleet.hosts[name]
-        host.replicas.put(STANDS, call, state)
+        host.replicas.put(ESTABLISHED, call, state)
         return process_of(host.view.run), host.replicas.own.applied
 
     def end_call(self, name: str, call: str) -> None:
         """End a call at a member."""
-        del self.standing[name][call]
+        del self.established[name][call]
         self.call_ends[call] = self.put(name, call, None)
 
-    def knows(self, name: str) -> bool:
+    def has_all_calls(self, name: str) -> bool:
         """R2, R4: whether a member's table has all calls that it is expected to have."""
-        return self.standing[name].keys() <= self.fleet.hosts[name].replicas.own.all(STANDS).keys()
+        return self.established[name].keys() <= self.fleet.hosts[name].replicas.own.all(ESTABLISHED).keys()
 
     def replicas_of(self, name: str) -> list[tuple[str, int, int]]:
         """Holders of a running member's replica: name, last change applied, digest."""
         run = self.fleet.hosts[name].view.run
         return [
-            (other, host.replicas.held[run].table.applied, host.replicas.held[run].table.digest())
+            (
+                other,
+                host.replicas.held_replicas[run].table.applied,
+                host.replicas.held_replicas[run].table.digest(),
+            )
             for other, host in self.fleet.hosts.items()
-            if run in host.replicas.held
+            if run in host.replicas.held_replicas
         ]
 
     def replicas_equal(self) -> bool:
@@ -143,20 +147,20 @@
                 return False
         return True
 
-    def quiet(self, most_ms: float = 10_000.0) -> float:
+    def settle_replicas(self, most_ms: float = 10_000.0) -> float:
         """Pause the call generator and run until all replicas are equal; returns the time it took in ms, or inf."""
         rate, self.rate = self.rate, 0.0
         took_ms = self.fleet.until(self.replicas_equal, most_ms)
         self.rate = rate
         return took_ms
 
-    def risen(self) -> list[str]:
+    def resurrected_calls(self) -> list[str]:
         """R1: ended calls that a replica of a live member still has; meaningful once replicas are equal."""
         return [
             f"{name} holds {call}"
             for name, host in self.fleet.hosts.items()
-            for replica in host.replicas.held.values()
-            if replica.gone_ms == float("inf") and replica.table.whole()
-            for call in replica.table.all(STANDS)
+            for replica in host.replicas.held_replicas.values()
+            if replica.gone_ms == float("inf") and replica.table.is_complete()
+            for call in replica.table.all(ESTABLISHED)
             if call in self.call_ends
         ]
--- a/leadslip/lab/play.py
+++ b/leadslip/lab/simulation.py
@@ -7,17 +7,17 @@
 import json
 
 from leadslip.drill import check
-from leadslip.drill.broken import Former
+from leadslip.drill.faulty import PreviousVersion
 from leadslip.drill.scenario import (
-    Act,
     Scenario,
+    ScheduledAction,
     draw_drifts,
     draw_schedule,
     names,
     previous_version_names,
     scaled,
 )
-from leadslip.fleet.history import follow
+from leadslip.fleet.history import record_view
 from leadslip.fleet.view.members import process_of
 from leadslip.fleet.view.view import View
 from leadslip.lab.fleet import Fleet, Host
@@ -26,10 +26,12 @@
 SAMPLE_MS = 500.0
 
 
-class Play:
+class Simulation:
     """One simulated run of a scenario, scaled to a number of members."""
 
-    def __init__(self, scenario: Scenario, members: int, seed: int, acts: list[Act] | None = None) -> None:
+    def __init__(
+        self, scenario: Scenario, members: int, seed: int, acts: list[ScheduledAction] | None = None
+    ) -> None:
         scenario = scaled(scenario, members)
         self.scenario, self.members, self.seed = scenario, members, seed
         self.names = names(members)
@@ -66,8 +68,10 @@
         self.record_fault("started", (f"{name}-{start_number}",))
         seeds = tuple(f"{seed_name}:{PORT}" for seed_name in self.names[:3])
         address = f"{name}:{PORT}" if not beside else f"{name}:{PORT + start_number}"
-        kind = Former if name in self.previous_version_names else View
-        fleet.add(name, seeds, address, lambda view: follow(view, append_record), kind, self.drifts_ppm[name])
+        kind = PreviousVersion if name in self.previous_version_names else View
+        fleet.add(
+            name, seeds, address, lambda view: record_view(view, append_record), kind, self.drifts_ppm[name]
+        )
 
     def sample_traffic(self, bytes_before: float) -> None:
         """Record the traffic since the last sample, when `bytes_before` were sent, and schedule the next one."""
@@ -76,7 +80,7 @@
         self.traffic.append(
             (clock.now_ms - SAMPLE_MS, max(0.0, bytes_now - bytes_before) * 1000.0 / SAMPLE_MS)
         )
-        clock.at(clock.now_ms + SAMPLE_MS, self.sample_traffic, bytes_now)
+        clock.call_at(clock.now_ms + SAMPLE_MS, self.sample_traffic, bytes_now)
 
     def run(self) -> dict:
         """Run the schedule; returns the checker's verdict, figures, traffic and a digest of the run."""
@@ -84,15 +88,15 @@
         for name in self.names:
             self.start(name)
             fleet.run(5.0)
-        joined_ms = fleet.until(fleet.agreed, 60_000.0)
+        joined_ms = fleet.until(fleet.converged, 60_000.0)
         self.record_fault("agreed")
         began_ms, before = fleet.clock.now_ms, fleet.traffic()
-        fleet.clock.at(began_ms + SAMPLE_MS, self.sample_traffic, sum(before[1:]))
+        fleet.clock.call_at(began_ms + SAMPLE_MS, self.sample_traffic, sum(before[1:]))
         for act in self.acts:
             fleet.run(max(0.0, began_ms + act.at_s * 1000.0 - fleet.clock.now_ms))
             self.execute(act)
         self.record_fault("faults over")
-        settled_ms = fleet.until(fleet.agreed, self.scenario.settle_s * 1000.0)
+        settled_ms = fleet.until(fleet.converged, self.scenario.settle_s * 1000.0)
         self.record_fault("settled" if settled_ms < float("inf") else "not settled")
         duration_s = (fleet.clock.now_ms - began_ms) / 1000.0
         breaches, figures = check.judge(self.histories, self.faults, [], self.scenario.settle_s)
@@ -110,12 +114,12 @@
             "datagrams_per_s": traffic[0],
             "bytes_per_s": traffic[1],
             "streamed_bytes_per_s": traffic[2],
-            "counts": dict(sorted(fleet.tally.counts.items())),
+            "counts": dict(sorted(fleet.metrics.counts.items())),
             "digest": hashlib.blake2b(recorded_run, digest_size=8).hexdigest(),
             "breaches": [dataclasses.asdict(breach) for breach in breaches],
         }
 
-    def execute(self, act: Act) -> None:
+    def execute(self, act: ScheduledAction) -> None:
         """Carry out one action of the schedule."""
         fleet = self.fleet
         if act.ways:
@@ -156,4 +160,4 @@
 
 def wrong_removals(fleet: Fleet) -> int:
     """The number of running processes that some member has removed."""
-    return len({process_of(removal[2]) for removal in fleet.wrongly()})
+    return len({process_of(removal[2]) for removal in fleet.false_removals()})
--- a/leadslip/lab/voters.py
+++ b/leadslip/lab/voters.py
@@ -12,8 +12,18 @@
 
 import msgspec
 
-from leadslip.checks import Tally
-from leadslip.fleet.agreement.raft import Entry, Kept, Kind, Pace, Raft, RaftError, Role, Save, Snapshot
+from leadslip.fleet.agreement.raft import (
+    Entry,
+    EntryKind,
+    PersistentState,
+    Raft,
+    RaftError,
+    Role,
+    Save,
+    Snapshot,
+    Timing,
+)
+from leadslip.metrics import Metrics
 
 DISK_DELAY_RANGE_MS = (0.5, 8.0)  # range of the time that a save takes
 MESSAGE_DELAY_RANGE_MS = (0.3, 4.0)  # range of the one-way delay of a message
@@ -23,17 +33,19 @@
     """The persistent state of a voter; saves are atomic and in order, or lost."""
 
     def __init__(self, voters: list[str]) -> None:
-        self.stored = Kept(0, "", Snapshot(0, 0, voters, b""), [])
+        self.stored = PersistentState(0, "", Snapshot(0, 0, voters, b""), [])
 
     def write(self, save: Save) -> None:
         previous = self.stored
         snapshot, entries = previous.snapshot, previous.entries
         if save.snapshot is not None:
-            entries = [] if save.whole else [entry for entry in entries if entry.index > save.snapshot.index]
+            entries = (
+                [] if save.replaces_log else [entry for entry in entries if entry.index > save.snapshot.index]
+            )
             snapshot = save.snapshot
         if save.entries:
             entries = [entry for entry in entries if entry.index <= save.after] + list(save.entries)
-        self.stored = Kept(save.term, save.vote, snapshot, entries)
+        self.stored = PersistentState(save.term, save.vote, snapshot, entries)
 
 
 class Voter:
@@ -44,13 +56,13 @@
         self.up, self.stopped = True, False
         self.queued: list = []  # callbacks queued while it is paused
         stored = disk.stored
-        loaded = Kept(stored.term, stored.vote, stored.snapshot, list(stored.entries))
+        loaded = PersistentState(stored.term, stored.vote, stored.snapshot, list(stored.entries))
         self.state = self.decode_state(stored.snapshot.data)
         self.raft = simulation.kind(
             id_,
             loaded,
-            Random(simulation.draw.getrandbits(64)),
-            simulation.tally,
+            Random(simulation.rng.getrandbits(64)),
+            simulation.metrics,
             self.commit,
             simulation.pace,
         )
@@ -63,11 +75,11 @@
 
     def commit(self, entry: Entry) -> None:
         """Apply a committed entry, and report it unless it is a snapshot."""
-        if entry.kind == Kind.SNAPSHOT:
+        if entry.kind == EntryKind.SNAPSHOT:
             self.state = self.decode_state(entry.data)
-        elif entry.kind == Kind.CHANGE:
+        elif entry.kind == EntryKind.CHANGE:
             self.state.append(entry.data)
-        if entry.kind != Kind.SNAPSHOT:
+        if entry.kind != EntryKind.SNAPSHOT:
             self.simulation.committed(self.id, entry)
 
     def compact(self) -> None:
@@ -87,12 +99,12 @@
         for save in saves:
             simulation.disk_busy_until_ms[self.id] = max(
                 simulation.disk_busy_until_ms.get(self.id, 0.0), simulation.now_ms
-            ) + simulation.draw.uniform(*DISK_DELAY_RANGE_MS)
-            simulation.at(simulation.disk_busy_until_ms[self.id], self.complete_save, save)
-        outgoing, self.raft.out = self.raft.out, []
+            ) + simulation.rng.uniform(*DISK_DELAY_RANGE_MS)
+            simulation.call_at(simulation.disk_busy_until_ms[self.id], self.complete_save, save)
+        outgoing, self.raft.outbox = self.raft.outbox, []
         for message in outgoing:
             simulation.send(message)
-        simulation.at(self.raft.wake_ms, self.on_timer)
+        simulation.call_at(self.raft.wake_ms, self.on_timer)
 
     def complete_save(self, save: Save) -> None:
         """Write a save to the disk and confirm it to Raft, unless the process was killed."""
@@ -109,23 +121,23 @@
 class Voters:
     """A simulated group of Raft voters; its course depends on the seed alone."""
 
-    def __init__(self, seed: int, count: int = 3, pace: Pace = Pace(), kind: type[Raft] = Raft) -> None:  # noqa: B008
-        self.draw, self.tally, self.pace, self.kind = Random(seed), Tally(), pace, kind
+    def __init__(self, seed: int, count: int = 3, pace: Timing = Timing(), kind: type[Raft] = Raft) -> None:  # noqa: B008
+        self.rng, self.metrics, self.pace, self.kind = Random(seed), Metrics(), pace, kind
         self.now_ms, self.sequence = 0.0, 0
         self.heap: list[tuple[float, int, Callable, tuple]] = []
-        self.lost, self.cut = 0.0, set()  # share of messages lost; blocked paths (source, target)
+        self.loss_rate, self.blocked = 0.0, set()  # share of messages lost; blocked paths (source, target)
         self.disk_busy_until_ms: dict[str, float] = {}
         self.ids = [f"v{i}" for i in range(count)]
         self.disks = {id_: Disk(self.ids) for id_ in self.ids}
         self.voters: dict[str, Voter] = {}
         self.log: dict[int, Entry] = {}  # index -> the entry that was committed first there
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.acknowledged: dict[bytes, int] = {}
         self.proposed: dict[int, list[tuple[str, int, bytes]]] = {}
         for id_ in self.ids:
             self.start(id_)
 
-    def at(self, due_ms: float, callback: Callable, *args: object) -> None:
+    def call_at(self, due_ms: float, callback: Callable, *args: object) -> None:
         """Schedule a callback; an infinite time means never."""
         if due_ms < float("inf"):
             self.sequence += 1
@@ -153,7 +165,7 @@
         """Pause a voter."""
         self.voters[id_].stopped = True
 
-    def go_on(self, id_: str) -> None:
+    def resume(self, id_: str) -> None:
         """Resume a paused voter: its timer runs first, then what was queued."""
         voter = self.voters[id_]
         voter.stopped = False
@@ -162,21 +174,21 @@
         for callback in queued:
             voter.act(callback)
 
-    def part(self, *parts: Iterable[str]) -> None:
+    def partition(self, *parts: Iterable[str]) -> None:
         """Block all paths between these groups of voters."""
         part_of = {id_: i for i, part in enumerate(parts) for id_ in part}
-        self.cut = {(a, b) for a in part_of for b in part_of if part_of[a] != part_of[b]}
+        self.blocked = {(a, b) for a in part_of for b in part_of if part_of[a] != part_of[b]}
 
     def send(self, message: object) -> None:
         """Send a message that may be lost, delayed for long or duplicated."""
-        if (message.source, message.target) in self.cut or self.draw.random() < self.lost:
+        if (message.source, message.target) in self.blocked or self.rng.random() < self.loss_rate:
             return
-        due_ms = self.now_ms + self.draw.uniform(*MESSAGE_DELAY_RANGE_MS)
-        if self.draw.random() < 0.02:
-            due_ms += self.draw.uniform(0.0, 400.0)
-        if self.draw.random() < 0.01:
-            self.at(due_ms + self.draw.uniform(0.0, 200.0), self.deliver, message)
-        self.at(due_ms, self.deliver, message)
+        due_ms = self.now_ms + self.rng.uniform(*MESSAGE_DELAY_RANGE_MS)
+        if self.rng.random() < 0.02:
+            due_ms += self.rng.uniform(0.0, 400.0)
+        if self.rng.random() < 0.01:
+            self.call_at(due_ms + self.rng.uniform(0.0, 200.0), self.deliver, message)
+        self.call_at(due_ms, self.deliver, message)
 
     def deliver(self, message: object) -> None:
         """Hand a message to its target, if it runs."""
@@ -193,7 +205,7 @@
         ]
         return max(leaders, key=lambda voter: voter.raft.term, default=None)
 
-    def put(self, data: bytes) -> bool:
+    def propose(self, data: bytes) -> bool:
         """Propose a change at the leader; acknowledged once that leader commits it at the proposed index and term."""
         voter = self.leader()
         if voter is None:
@@ -213,17 +225,17 @@
         """Record an entry that a voter committed; all voters must commit the same entry at an index."""
         first = self.log.setdefault(entry.index, entry)
         if first != entry:
-            self.wrong.append(f"{id_} commits {entry} at an index where {first} was committed")
+            self.violations.append(f"{id_} commits {entry} at an index where {first} was committed")
         for leader_id, term, data in self.proposed.get(entry.index, ()):
             if (leader_id, term, data) == (id_, entry.term, entry.data):
                 self.acknowledged[data] = entry.index
 
-    def missing(self) -> list[bytes]:
+    def lost_changes(self) -> list[bytes]:
         """Acknowledged changes that are missing from the committed state of a running voter."""
         running = [voter for voter in self.voters.values() if voter.up and not voter.stopped]
         return [data for data in self.acknowledged if any(data not in voter.state for voter in running)]
 
-    def agreed(self) -> bool:
+    def converged(self) -> bool:
         """Whether there is a leader and all running voters have the same committed state."""
         running = [voter for voter in self.voters.values() if voter.up and not voter.stopped]
         return self.leader() is not None and len({tuple(voter.state) for voter in running}) == 1
--- a/leadslip/logs.py
+++ b/leadslip/logs.py
@@ -23,7 +23,7 @@
     def __call__(self, event: str, **fields: object) -> None: ...
 
 
-def silent(event: str, **fields: object) -> None:
+def discard(event: str, **fields: object) -> None:
     """A log that discards every event."""
 
 
@@ -35,7 +35,7 @@
     return json.dumps(text) if not text or not text.isprintable() or set(text) & set(' "=') else text
 
 
-class Plain:
+class PlainLog:
     """Writes lines of time, event and key=value fields."""
 
     def __init__(self, level: str = "info", stream: TextIO | None = None) -> None:
@@ -49,7 +49,7 @@
                 print(f"{time.time():.3f} {event}{fields_text}", file=self.stream or sys.stdout, flush=True)
 
 
-class Structured:
+class StructuredLog:
     """Writes lines by structlog: for a terminal, or JSON for a log collector."""
 
     def __init__(
@@ -81,5 +81,5 @@
 def open_log(format_: str = "plain", level: str = "info", name: str = "") -> Log:
     """The log of the configured format and level; `name` is a field of each structured event."""
     if format_ == "plain":
-        return Plain(level)
-    return Structured(format_, level, bound={"proxy": name} if name else None)
+        return PlainLog(level)
+    return StructuredLog(format_, level, bound={"proxy": name} if name else None)
--- a/leadslip/checks.py
+++ b/leadslip/metrics.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 
-class Tally:
+class Metrics:
     """Named counters of one process, read by the log and by the OTLP export."""
 
     def __init__(self) -> None:
@@ -15,7 +15,7 @@
         """Increments a counter of events that may occur in normal operation."""
         self.counts[name] += by
 
-    def must(self, holds: bool, name: str) -> bool:
+    def check_invariant(self, holds: bool, name: str) -> bool:
         """Asserts an invariant, or counts its violation; returns whether it holds, so that callers can recover."""
         if __debug__:
             assert holds, name
--- a/leadslip/net/board.py
+++ b/leadslip/net/board.py
@@ -10,9 +10,9 @@
 from twisted.web.client import Agent
 from twisted.web.http_headers import Headers
 
-from leadslip.checks import Tally
-from leadslip.config import Address, MalformedError, Notice, notice_of
+from leadslip.config import Address, MalformedError, Notice, parse_notice
 from leadslip.deadlines import Deadline, Deadlines
+from leadslip.metrics import Metrics
 
 SILENCE_TIMEOUT_MS = 2500.0  # the board sends a comment every second: two missing mean a dead connection
 POLL_DELAY_MS = 200.0  # limits the rate of polls at a board that ends each one at once
@@ -31,7 +31,7 @@
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE_BYTES
 
-    def __init__(self, board: Board, poll: int) -> None:
+    def __init__(self, board: BoardClient, poll: int) -> None:
         self.board, self.poll = board, poll
         self.id, self.data = "", b""
 
@@ -53,22 +53,27 @@
         self.board.stream_ended(self.poll)
 
 
-class Board:
+class BoardClient:
     """Keeps one poll open, and passes on each notice once and in order."""
 
     def __init__(
         self,
         reactor: object,
         deadlines: Deadlines,
-        tally: Tally,
+        metrics: Metrics,
         address: Address,
-        last: int,
+        last_event_id: int,
         on_notice: Callable[[Notice], None],
         connect_timeout_s: float,
     ) -> None:
         self.url = url_of(address)
         self.agent = Agent(reactor, connectTimeout=connect_timeout_s)
-        self.deadlines, self.tally, self.last, self.on_notice = deadlines, tally, last, on_notice
+        self.deadlines, self.metrics, self.last_event_id, self.on_notice = (
+            deadlines,
+            metrics,
+            last_event_id,
+            on_notice,
+        )
         self.response: defer.Deferred | None = None
         self.stream: EventStream | None = None
         self.last_received_ms = 0.0
@@ -79,15 +84,17 @@
         """Requests all events after the last one received; cancels a poll still in progress."""
         self.stop()
         poll = self.current_poll
-        headers = Headers({"Last-Event-ID": [str(self.last)], "Accept": ["text/event-stream"]})
+        headers = Headers({"Last-Event-ID": [str(self.last_event_id)], "Accept": ["text/event-stream"]})
         self.line_received(poll)
-        self.timer = self.deadlines.at(self.last_received_ms + SILENCE_TIMEOUT_MS, self._check_silence, poll)
+        self.timer = self.deadlines.call_at(
+            self.last_received_ms + SILENCE_TIMEOUT_MS, self._check_silence, poll
+        )
         self.response = self.agent.request(b"GET", self.url, headers)
         self.response.addCallbacks(
             self._response_received, self._request_failed, callbackArgs=(poll,), errbackArgs=(poll,)
         )
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Polls at another address from now on; event numbers continue."""
         # At once: prevents a gap between the old board's last event and the end of its connection.
         self.url = url_of(address)
@@ -119,14 +126,14 @@
     def event_received(self, id_: str, data: bytes) -> bool:
         """Passes on a new event once; returns False, which ends the poll, if it is malformed."""
         try:
-            notice = notice_of(json.loads(data), "notice")
+            notice = parse_notice(json.loads(data), "notice")
         except (ValueError, MalformedError):
-            self.tally.add("board.malformed")
+            self.metrics.add("board.malformed")
             return False
         number = int(id_) if id_.isascii() and id_.isdigit() else notice.rev
-        if number > self.last:
-            self.last = number
-            self.tally.add("board.notices")
+        if number > self.last_event_id:
+            self.last_event_id = number
+            self.metrics.add("board.notices")
             self.on_notice(notice)
         return True
 
@@ -136,25 +143,25 @@
 
     def _response_received(self, response: object, poll: int) -> None:
         if response.code != 200:
-            self.tally.add("board.errors")
+            self.metrics.add("board.errors")
         if poll == self.current_poll:
             self.stream = EventStream(self, poll)
             response.deliverBody(self.stream)
 
     def _request_failed(self, reason: object, poll: int) -> None:
         if poll == self.current_poll:
-            self.tally.add("board.unreachable")
+            self.metrics.add("board.unreachable")
             self._schedule_poll()
 
     def _schedule_poll(self) -> None:
         self.stop()
-        self.timer = self.deadlines.at(self.deadlines.clock.now_ms() + POLL_DELAY_MS, self.poll)
+        self.timer = self.deadlines.call_at(self.deadlines.clock.now_ms() + POLL_DELAY_MS, self.poll)
 
     def _check_silence(self, poll: int) -> None:
         """Polls anew after a silence: a board whose machine has vanished does not end the connection."""
         due_ms = self.last_received_ms + SILENCE_TIMEOUT_MS
         if self.deadlines.clock.now_ms() < due_ms:
-            self.timer = self.deadlines.at(due_ms, self._check_silence, poll)
+            self.timer = self.deadlines.call_at(due_ms, self._check_silence, poll)
             return
-        self.tally.add("board.silent")
+        self.metrics.add("board.silent")
         self.poll()
--- a/leadslip/net/clients.py
+++ b/leadslip/net/clients.py
@@ -8,9 +8,9 @@
 
 from twisted.internet import protocol
 
-from leadslip.checks import Tally
 from leadslip.core import Engine, Request, State
-from leadslip.net.links import AcceptedLink, AcceptedLinks, MessageError, TextMessageReceiver
+from leadslip.metrics import Metrics
+from leadslip.net.connections import InboundConnection, InboundConnections, MessageError, TextMessageReceiver
 from leadslip.readiness import Readiness
 
 HEADER = re.compile(rb"([!-9;-~]+)[ \t]*:[ \t]*([^\r\n]*)\r\n")
@@ -44,31 +44,35 @@
         self.sent_ms, self.send_count = 0.0, 0
 
 
-class CallerConnection(AcceptedLink, TextMessageReceiver):
+class CallerConnection(InboundConnection, TextMessageReceiver):
     """One connection from callers; it owns the set-ups that arrived on it, but no established call."""
 
     peer_kind = "clients"
 
-    def __init__(self, front: Clients) -> None:
-        self.front, self.tally, self.now_ms = front, front.tally, front.engine.clock.now_ms
-        self.accepted = front.accepted
+    def __init__(self, downstream: Clients) -> None:
+        self.downstream, self.metrics, self.now_ms = (
+            downstream,
+            downstream.metrics,
+            downstream.engine.clock.now_ms,
+        )
+        self.inbound = downstream.inbound
         self.set_ups: dict[str, Request] = {}  # awaiting an answer on this connection
         self.new_requests: dict[str, Request] = {}  # of the current read, not offered yet
         self.still_used = False  # set-ups have arrived long after SIGTERM
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self.front.connection_opened(self)
+        self.downstream.connection_opened(self)
 
-    def busy(self) -> bool:
+    def awaits_answer(self) -> bool:
         return bool(self.set_ups)
 
-    def left(self) -> None:
-        self.front.connection_closed(self)
+    def on_closed(self) -> None:
+        self.downstream.connection_closed(self)
 
     def malformed(self, failure: MessageError) -> None:
         super().malformed(failure)
-        self.accepted.remove(self)
+        self.inbound.remove(self)
 
     def body_length(self, head: memoryview) -> int:
         """Returns the Content-Length, which must occur once: a guess could take a body for the next message."""
@@ -85,12 +89,12 @@
         # followed by a malformed message.
         new_requests, self.new_requests = self.new_requests, {}
         for request in new_requests.values():
-            self.front.engine.offer(request, room=not self.overflow)
+            self.downstream.engine.offer(request, has_capacity=not self.overflow)
         if self.overflow and self.last_received_ms:
-            self.accepted.close(self)
+            self.inbound.close(self)
 
     def messageReceived(self, head: memoryview, body: memoryview) -> None:
-        self.heard()
+        self.message_received()
         start = START_LINE.match(head)
         if start is None:
             raise MessageError("malformed start line")
@@ -115,16 +119,16 @@
     def response_received(self, headers: dict[bytes, bytes]) -> None:
         """Handles a response to a release sent by this proxy."""
         if headers.get(b"cseq", b"").endswith(b"BYE"):
-            self.front.release_acknowledged(parse_call_id(headers))
-            self.front.mark_as_caller(self)
+            self.downstream.release_acknowledged(parse_call_id(headers))
+            self.downstream.mark_as_caller(self)
 
     def invite(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
-        front, now_ms = self.front, self.now_ms()
+        downstream, now_ms = self.downstream, self.now_ms()
         expires_ms = parse_unsigned(
             headers.get(b"expires-ms"), "Expires-Ms must be an integer of 1 to 12 digits"
         )
         if expires_ms > MAX_WAIT_DEADLINES * max(
-            call_class.deadline_ms for call_class in front.engine.settings.classes
+            call_class.deadline_ms for call_class in downstream.engine.settings.classes
         ):
             raise MessageError(
                 f"Expires-Ms {expires_ms:.0f} exceeds {MAX_WAIT_DEADLINES:.0f} times the longest deadline"
@@ -134,7 +138,7 @@
             parse_call_id(headers),
             headers.get(b"priority-class", b"").decode("utf-8", "replace"),
             now_ms + expires_ms,
-            front,
+            downstream,
             bytes(body),  # a copy: retries need it after the buffer has been reused
         )
         request.number = number.decode("ascii", "replace")
@@ -158,8 +162,8 @@
             # Two set-ups with one id can't both be answered, and an answer could not be assigned to either.
             raise MessageError(f"Call-ID {request.id} is already in use on this connection")
         self.set_ups[request.id] = self.new_requests[request.id] = request
-        front.mark_as_caller(self)
-        ending_ms = front.readiness.ending_ms
+        downstream.mark_as_caller(self)
+        ending_ms = downstream.readiness.shutdown_since_ms
         if ending_ms and now_ms > ending_ms + STILL_USED_AFTER_MS:
             self.still_used = True
 
@@ -170,34 +174,34 @@
         if request is not None and self.new_requests.pop(request.id, None) is not None:
             del self.set_ups[request.id]
         elif request is not None:
-            self.front.withdraw(request)
+            self.downstream.withdraw(request)
 
     def bye(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
-        request = self.front.engine.standing.get(parse_call_id(headers))
+        request = self.downstream.engine.established.get(parse_call_id(headers))
         # The caller's release may cross the proxy's own, which is retained until it is acknowledged.
-        known = request is not None or parse_call_id(headers) in self.front.pending_releases
-        if not known and self.front.seek is not None:
+        known = request is not None or parse_call_id(headers) in self.downstream.pending_releases
+        if not known and self.downstream.release_elsewhere is not None:
             echoed = echo_headers(headers)  # the headers are not retained until the result arrives
 
             def on_result(found: bool) -> None:
-                if self in self.front.links:
+                if self in self.downstream.connections:
                     status = b"200 OK" if found else UNKNOWN_CALL
-                    self.say(b"SIP/2.0 ", status, b"\r\n", echoed, b"Content-Length: 0\r\n\r\n")
+                    self.send(b"SIP/2.0 ", status, b"\r\n", echoed, b"Content-Length: 0\r\n\r\n")
 
-            self.front.seek(parse_call_id(headers), on_result)
+            self.downstream.release_elsewhere(parse_call_id(headers), on_result)
             return
         self.reply(b"200 OK" if known else UNKNOWN_CALL, headers)
         if request is not None:
-            self.front.engine.hang_up(request)
+            self.downstream.engine.hang_up(request)
 
     def options(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
-        self.reply(b"200 OK" if self.front.readiness.ready() else b"503 Service Unavailable", headers)
+        self.reply(b"200 OK" if self.downstream.readiness.ready() else b"503 Service Unavailable", headers)
 
     def ack(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
         """Ignored: over TCP an answer arrives complete, or the connection ends."""
 
     def reply(self, status: bytes, headers: dict[bytes, bytes]) -> None:
-        self.say(b"SIP/2.0 ", status, b"\r\n", echo_headers(headers), b"Content-Length: 0\r\n\r\n")
+        self.send(b"SIP/2.0 ", status, b"\r\n", echo_headers(headers), b"Content-Length: 0\r\n\r\n")
 
 
 UNKNOWN_CALL = b"481 Call/Transaction Does Not Exist"
@@ -248,11 +252,11 @@
     noisy = False
 
     def __init__(
-        self, engine: Engine, tally: Tally, most_links: int, readiness: Readiness, overflow: int = 0
+        self, engine: Engine, metrics: Metrics, max_connections: int, readiness: Readiness, overflow: int = 0
     ) -> None:
-        self.engine, self.tally, self.readiness = engine, tally, readiness
-        self.accepted = AcceptedLinks(tally, "clients", most_links, engine.deadlines, overflow)
-        self.links = self.accepted.held
+        self.engine, self.metrics, self.readiness = engine, metrics, readiness
+        self.inbound = InboundConnections(metrics, "clients", max_connections, engine.deadlines, overflow)
+        self.connections = self.inbound.open
         self.unsent_releases: dict[str, None] = {}  # wait for a connection
         self.draining = False  # connections are closed as they become free
         self.pending_releases: OrderedDict[str, PendingRelease] = OrderedDict()
@@ -261,10 +265,10 @@
         )  # most recently used last
         self.resending = False
         # Releases a call held by another proxy, and reports whether one was found. None: there is no other proxy.
-        self.seek: Callable[[str, Callable[[bool], None]], None] | None = None
+        self.release_elsewhere: Callable[[str, Callable[[bool], None]], None] | None = None
 
     def buildProtocol(self, addr: object) -> CallerConnection | None:
-        return CallerConnection(self) if self.accepted.room() else None
+        return CallerConnection(self) if self.inbound.has_capacity() else None
 
     def connection_opened(self, connection: CallerConnection) -> None:
         self._expire_releases()
@@ -273,7 +277,7 @@
 
     def mark_as_caller(self, connection: CallerConnection) -> None:
         """Records that callers use a connection: it has brought a set-up, or acknowledged a release."""
-        if connection in self.links:
+        if connection in self.connections:
             self.caller_connections[connection] = None
             self.caller_connections.move_to_end(connection)
 
@@ -283,7 +287,7 @@
         Prevents writing a release to a peer that only polls for readiness, or that stays after one request: these
         send more often than callers, and do not handle releases.
         """
-        for connections in (self.caller_connections, self.links):
+        for connections in (self.caller_connections, self.connections):
             found = next(
                 (connection for connection in reversed(connections) if connection is not exclude), None
             )
@@ -304,7 +308,7 @@
             if pending.connection is connection:
                 self._send_release(id_, self._fallback_connection())
 
-    def send_away(self) -> None:
+    def drain_connections(self) -> None:
         """Moves clients elsewhere: closes every connection that is free, now and until the drain ends.
 
         Prevents clients from keeping a connection to a drained proxy. A connection is free once it has no open
@@ -321,34 +325,34 @@
         if not self.readiness.draining():
             self.draining = False
             return
-        in_use = {request.context[0] for request in self.engine.standing.values()}
+        in_use = {request.context[0] for request in self.engine.established.values()}
         now_ms = self.engine.clock.now_ms()
-        for connection in list(self.links):
+        for connection in list(self.connections):
             if connection.transport.disconnecting or (connection in in_use and not connection.still_used):
                 continue
-            connection.catch_up()
-            if connection not in self.links or connection.set_ups or connection.partial_ms:
+            connection.read_pending()
+            if connection not in self.connections or connection.set_ups or connection.partial_since_ms:
                 continue  # a set-up has arrived, complete or in part: it is answered first
             if not connection.last_received_ms and now_ms - connection.opened_ms < DRAIN_CHECK_INTERVAL_MS:
                 continue  # its first message may be in flight
-            self.tally.add("clients.sent_away")
+            self.metrics.add("clients.sent_away")
             connection.transport.loseConnection()
-        self.engine.deadlines.at(now_ms + DRAIN_CHECK_INTERVAL_MS, self._close_free_connections)
+        self.engine.deadlines.call_at(now_ms + DRAIN_CHECK_INTERVAL_MS, self._close_free_connections)
 
-    def finish(self) -> bool:
+    def close_connections(self) -> bool:
         """Closes every connection once its write buffer is sent; returns whether all have closed.
 
         Called last, when all requests are answered: data still unread is processed first, and set-ups in it are
         refused. A set-up that crosses the close is sent again by its caller, as no other is open there.
         """
-        for connection in list(self.links):
-            connection.catch_up()
-            if connection in self.links:
-                self.accepted.close(connection)
-        return not self.accepted.closing
+        for connection in list(self.connections):
+            connection.read_pending()
+            if connection in self.connections:
+                self.inbound.close(connection)
+        return not self.inbound.closing
 
-    def catch_up(self, request: Request) -> None:
-        request.context[0].catch_up()
+    def read_pending(self, request: Request) -> None:
+        request.context[0].read_pending()
 
     def withdraw(self, request: Request) -> None:
         request.context[0].set_ups.pop(request.id, None)
@@ -356,7 +360,7 @@
 
     # Called by the engine.
 
-    def stands(self, request: Request, payload: object) -> None:
+    def established(self, request: Request, payload: object) -> None:
         size = b"Content-Length: %d\r\n\r\n" % len(payload)
         self._answer(request, b"SIP/2.0 200 OK\r\n", size, payload)
 
@@ -367,10 +371,10 @@
     def failed(self, request: Request) -> None:
         self._answer(request, b"SIP/2.0 500 Server Internal Error\r\n", b"Content-Length: 0\r\n\r\n")
 
-    def over(self, request: Request, cut: bool) -> None:
+    def call_ended(self, request: Request, cut: bool) -> None:
         """Releases an ended call on its own connection, or on any other that is open."""
         connection = request.context[0]
-        self.release(request.id, cut, connection if connection in self.links else None)
+        self.release(request.id, cut, connection if connection in self.connections else None)
 
     def release(self, id_: str, cut: bool, connection: CallerConnection | None = None) -> None:
         """Sends the release of an ended call to its caller, and again until it is acknowledged."""
@@ -385,7 +389,7 @@
         self._send_release(id_, connection or self._fallback_connection())
         if not self.resending:
             self.resending = True
-            self.engine.deadlines.at(now_ms + RESEND_CHECK_INTERVAL_MS, self._resend_releases)
+            self.engine.deadlines.call_at(now_ms + RESEND_CHECK_INTERVAL_MS, self._resend_releases)
 
     def _resend_releases(self, _: object = None) -> None:
         """Sends releases on another connection when the last one has not acknowledged them in time."""
@@ -400,9 +404,9 @@
             ):
                 other = self._fallback_connection(exclude=pending.connection)
                 if other is not None:
-                    self.tally.add("clients.releases_retold")
+                    self.metrics.add("clients.releases_retold")
                     self._send_release(id_, other)
-        self.engine.deadlines.at(now_ms + RESEND_CHECK_INTERVAL_MS, self._resend_releases)
+        self.engine.deadlines.call_at(now_ms + RESEND_CHECK_INTERVAL_MS, self._resend_releases)
 
     def release_acknowledged(self, id_: str) -> None:
         self.pending_releases.pop(id_, None)
@@ -410,7 +414,7 @@
 
     def _send_release(self, id_: str, connection: CallerConnection | None) -> None:
         pending = self.pending_releases[id_]
-        sent = connection is not None and connection.say(pending.message)
+        sent = connection is not None and connection.send(pending.message)
         pending.connection = connection if sent else None
         if sent:
             pending.sent_ms = self.engine.clock.now_ms()
@@ -429,7 +433,7 @@
         connection, echoed = request.context
         if connection.set_ups.get(request.id) is request:
             del connection.set_ups[request.id]
-        if connection in self.links:
-            connection.say(status_line, echoed, *rest)
-        elif request.state is State.STANDING:
-            self.tally.add("clients.answer_lost")
+        if connection in self.connections:
+            connection.send(status_line, echoed, *rest)
+        elif request.state is State.ESTABLISHED:
+            self.metrics.add("clients.answer_lost")
--- a/leadslip/net/links.py
+++ b/leadslip/net/connections.py
@@ -17,8 +17,8 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from leadslip.checks import Tally
 from leadslip.core import Deadlines
+from leadslip.metrics import Metrics
 
 MAX_MESSAGE_BYTES = 16 * 1024  # the protocol's limit
 FIRST_MESSAGE_TIMEOUT_MS = 2000.0  # for a peer to send its first message, and to finish any message
@@ -72,19 +72,19 @@
 
 
 @implementer(interfaces.IPushProducer)
-class Link:
+class Connection:
     """Base of all connections: closes only itself on a malformed message, and detects a peer that stops reading."""
 
-    tally: Tally
+    metrics: Metrics
     peer_kind = "peer"
     now_ms: Callable[[], float]
     stalled_since_ms = 0.0  # since when the peer has not read what was written to it; 0: not stalled
-    partial_ms = 0.0  # since when a message has been unfinished, however much of it arrives; 0: none
+    partial_since_ms = 0.0  # since when a message has been unfinished, however much of it arrives; 0: none
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.tally.add(f"{self.peer_kind}.connections")
+        self.metrics.add(f"{self.peer_kind}.connections")
 
     def pauseProducing(self) -> None:
         self.stalled_since_ms = self.now_ms()
@@ -98,15 +98,15 @@
     def retain_tail(self, tail: bytes, starts_message: bool) -> bytes:
         """Records since when a message is unfinished; `starts_message`: its first bytes came in this read."""
         if not tail:
-            self.partial_ms = 0.0
-        elif starts_message or not self.partial_ms:
-            self.partial_ms = self.now_ms()
+            self.partial_since_ms = 0.0
+        elif starts_message or not self.partial_since_ms:
+            self.partial_since_ms = self.now_ms()
         return tail
 
-    def say(self, *parts: bytes | memoryview) -> bool:
+    def send(self, *parts: bytes | memoryview) -> bool:
         """Writes one message; drops a peer that has stopped reading, so that write buffers stay bounded."""
         if self.stalled_since_ms and self.now_ms() - self.stalled_since_ms > WRITE_STALL_TIMEOUT_MS:
-            self.tally.add(f"{self.peer_kind}.stalled")
+            self.metrics.add(f"{self.peer_kind}.stalled")
             self.transport.abortConnection()
             return False
         self.transport.write(b"".join(parts))
@@ -122,7 +122,7 @@
         return bool(self.stalled_since_ms or self.transport.dataBuffer)
 
     def malformed(self, failure: MessageError) -> None:
-        self.tally.add(f"{self.peer_kind}.malformed")
+        self.metrics.add(f"{self.peer_kind}.malformed")
         self.transport.abortConnection()
 
     def read_available(self, max_bytes: int = READ_BYTES) -> bytes | None:
@@ -135,10 +135,10 @@
             return b""
 
 
-class AcceptedLink(Link):
-    """An inbound connection from a caller or DNS client; AcceptedLinks manages its lifetime."""
+class InboundConnection(Connection):
+    """An inbound connection from a caller or DNS client; InboundConnections manages its lifetime."""
 
-    accepted: AcceptedLinks
+    inbound: InboundConnections
     opened_ms = 0.0
     last_received_ms = 0.0  # when the last complete message arrived; 0: none yet
     processing_read = False  # dataReceived is running
@@ -146,12 +146,12 @@
 
     def connectionMade(self) -> None:
         self.opened_ms = self.now_ms()
-        self.overflow = len(self.accepted.held) >= self.accepted.most
-        self.accepted.held[self] = self.accepted.no_message_yet[self] = None
+        self.overflow = len(self.inbound.open) >= self.inbound.max_connections
+        self.inbound.open[self] = self.inbound.no_message_yet[self] = None
         super().connectionMade()
 
     def connectionLost(self, reason: object = None) -> None:
-        self.accepted.connection_closed(self)
+        self.inbound.connection_closed(self)
 
     def dataReceived(self, data: bytes) -> None:
         """Processes a read and, if it contained requests, what has already followed it; then offers the requests.
@@ -165,13 +165,13 @@
         try:
             super().dataReceived(data)
             for _ in range(MAX_EXTRA_READS):
-                if left <= 0 or not self.has_new_requests() or self not in self.accepted.held:
+                if left <= 0 or not self.has_new_requests() or self not in self.inbound.open:
                     break
                 more = self.read_available(left)
                 if more is None:
                     break
                 if not more:
-                    self.accepted.close(self)
+                    self.inbound.close(self)
                     return
                 left -= len(more)
                 super().dataReceived(more)
@@ -186,109 +186,109 @@
     def read_finished(self) -> None:
         """Called when all available data has been processed."""
 
-    def catch_up(self) -> None:
+    def read_pending(self) -> None:
         """Processes data that waits in the socket: the peer may have sent a message, or closed."""
-        if self.processing_read or self not in self.accepted.held or self.transport.disconnecting:
+        if self.processing_read or self not in self.inbound.open or self.transport.disconnecting:
             return
         data = self.read_available()
         if data:
             self.dataReceived(data)
         elif data is not None:
-            self.accepted.close(self)
+            self.inbound.close(self)
 
-    def heard(self) -> None:
+    def message_received(self) -> None:
         """Records that a complete message has arrived."""
         self.last_received_ms = self.now_ms()
-        if self in self.accepted.held:
-            self.accepted.held.move_to_end(self)
-        self.accepted.no_message_yet.pop(self, None)
+        if self in self.inbound.open:
+            self.inbound.open.move_to_end(self)
+        self.inbound.no_message_yet.pop(self, None)
 
-    def busy(self) -> bool:
+    def awaits_answer(self) -> bool:
         """Returns whether an answer is pending on this connection."""
         raise NotImplementedError
 
-    def left(self) -> None:
+    def on_closed(self) -> None:
         """Called when the connection has closed or is being closed: its pending answers are dropped."""
         raise NotImplementedError
 
 
-class AcceptedLinks:
+class InboundConnections:
     """The inbound connections of one listener: limits their number, their silence and partial messages.
 
     Prevents peers that send nothing, stay after one request or never finish a message from using up descriptors
     and memory; at the limit these are closed first, so that active peers are let in. When an answer is pending
-    on every connection, up to `spare` more are accepted over the limit, to be refused and closed.
+    on every connection, up to `overflow` more are accepted over the limit, to be refused and closed.
     """
 
     def __init__(
-        self, tally: Tally, peer_kind: str, max_connections: int, deadlines: Deadlines, overflow: int = 0
+        self, metrics: Metrics, peer_kind: str, max_connections: int, deadlines: Deadlines, overflow: int = 0
     ) -> None:
-        self.tally, self.peer_kind, self.most, self.deadlines, self.spare = (
-            tally,
+        self.metrics, self.peer_kind, self.max_connections, self.deadlines, self.overflow = (
+            metrics,
             peer_kind,
             max_connections,
             deadlines,
             overflow,
         )
-        self.held: OrderedDict[AcceptedLink, None] = OrderedDict()  # least recently received from first
-        self.no_message_yet: OrderedDict[AcceptedLink, None] = OrderedDict()  # oldest first
-        self.closing: dict[AcceptedLink, float] = {}  # with unsent data -> when closing began
+        self.open: OrderedDict[InboundConnection, None] = OrderedDict()  # least recently received from first
+        self.no_message_yet: OrderedDict[InboundConnection, None] = OrderedDict()  # oldest first
+        self.closing: dict[InboundConnection, float] = {}  # with unsent data -> when closing began
         self.check_connections()
 
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Returns whether one more may be accepted; may close the least needed connection to make room."""
-        if len(self.held) < self.most:
+        if len(self.open) < self.max_connections:
             return True
         candidate = self._eviction_candidate()
-        self.tally.add(f"{self.peer_kind}.over_limit")
+        self.metrics.add(f"{self.peer_kind}.over_limit")
         if candidate is not None and not candidate.last_received_ms:
             # Frees its descriptor at once. Prevents running out of them when hundreds connect in one turn.
             candidate.transport.connectionLost(Failure(error.ConnectionAborted()))
         elif candidate is not None:
             self.close(candidate)
-        return len(self.held) + len(self.closing) < self.most + self.spare
+        return len(self.open) + len(self.closing) < self.max_connections + self.overflow
 
-    def _eviction_candidate(self) -> AcceptedLink | None:
+    def _eviction_candidate(self) -> InboundConnection | None:
         """Returns one without any message, else the least recent idle one, else one with a partial message."""
         unfinished = None
-        for connections in (self.no_message_yet, self.held):
+        for connections in (self.no_message_yet, self.open):
             for connection in list(connections):
-                if connection.busy():
+                if connection.awaits_answer():
                     continue
-                if connection.partial_ms:
+                if connection.partial_since_ms:
                     unfinished = unfinished or connection
                 elif self._is_still_idle(connection):
                     return connection
         return unfinished
 
-    def _is_still_idle(self, connection: AcceptedLink) -> bool:
+    def _is_still_idle(self, connection: InboundConnection) -> bool:
         """Returns whether a connection is still idle after the data in its socket has been processed.
 
         Prevents closing a connection with an unread message in its socket, whose sender is due an answer.
         """
         last_received_ms = connection.last_received_ms
-        connection.catch_up()
+        connection.read_pending()
         return (
-            connection in self.held
-            and not connection.busy()
+            connection in self.open
+            and not connection.awaits_answer()
             and connection.last_received_ms == last_received_ms
         )
 
-    def close(self, connection: AcceptedLink) -> None:
+    def close(self, connection: InboundConnection) -> None:
         """Closes a connection once its write buffer is sent; it counts as closed from now on."""
         connection.transport.loseConnection()
-        if connection in self.held:
+        if connection in self.open:
             self.closing[connection] = self.deadlines.clock.now_ms()
         self.remove(connection)
 
-    def remove(self, connection: AcceptedLink) -> None:
+    def remove(self, connection: InboundConnection) -> None:
         """Removes a closed connection, and notifies it once."""
         self.no_message_yet.pop(connection, None)
-        if connection in self.held:
-            del self.held[connection]
-            connection.left()
+        if connection in self.open:
+            del self.open[connection]
+            connection.on_closed()
 
-    def connection_closed(self, connection: AcceptedLink) -> None:
+    def connection_closed(self, connection: InboundConnection) -> None:
         """Called when the socket has closed."""
         self.closing.pop(connection, None)
         self.remove(connection)
@@ -299,27 +299,30 @@
         for connection, since_ms in list(self.closing.items()):
             if now_ms - since_ms > WRITE_STALL_TIMEOUT_MS:
                 connection.transport.abortConnection()  # the peer does not read its answer
-        for connection in list(self.held):
+        for connection in list(self.open):
             if not connection.last_received_ms and now_ms - connection.opened_ms > (
                 OVERFLOW_TIMEOUT_MS if connection.overflow else FIRST_MESSAGE_TIMEOUT_MS
             ):
-                self.tally.add(f"{self.peer_kind}.silent")
-            elif connection.partial_ms and now_ms - connection.partial_ms > FIRST_MESSAGE_TIMEOUT_MS:
-                self.tally.add(f"{self.peer_kind}.unfinished")
+                self.metrics.add(f"{self.peer_kind}.silent")
+            elif (
+                connection.partial_since_ms
+                and now_ms - connection.partial_since_ms > FIRST_MESSAGE_TIMEOUT_MS
+            ):
+                self.metrics.add(f"{self.peer_kind}.unfinished")
             elif (
                 connection.last_received_ms
                 and now_ms - connection.last_received_ms > IDLE_TIMEOUT_MS
-                and not connection.busy()
+                and not connection.awaits_answer()
             ):
-                self.tally.add(f"{self.peer_kind}.idle")
+                self.metrics.add(f"{self.peer_kind}.idle")
             else:
                 continue
             if self._is_still_idle(connection):
                 self.close(connection)
-        self.deadlines.at(now_ms + CHECK_INTERVAL_MS, self.check_connections)
+        self.deadlines.call_at(now_ms + CHECK_INTERVAL_MS, self.check_connections)
 
 
-class TextMessageReceiver(Link, LineReceiver):
+class TextMessageReceiver(Connection, LineReceiver):
     """Text messages: a header block that ends with an empty line, and a body of the length it declares."""
 
     delimiter = b"\r\n\r\n"
@@ -360,7 +363,7 @@
         raise NotImplementedError
 
 
-class SliceReceiver(Link, Int16StringReceiver):
+class LengthPrefixedReceiver(Connection, Int16StringReceiver):
     """Binary messages with a length prefix of two bytes."""
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
--- a/leadslip/net/enum.py
+++ b/leadslip/net/enum.py
@@ -14,12 +14,17 @@
 from twisted.internet import error, protocol
 from twisted.names import dns
 
-from leadslip import interface as face
-from leadslip.checks import Tally
+from leadslip import interface
 from leadslip.config import Address
-from leadslip.core import Attempt, Deadlines, Engine, Request, Watcher
+from leadslip.core import Attempt, Deadlines, Engine, Observer, Request
 from leadslip.logs import Log
-from leadslip.net.links import AcceptedLink, AcceptedLinks, MessageError, SliceReceiver
+from leadslip.metrics import Metrics
+from leadslip.net.connections import (
+    InboundConnection,
+    InboundConnections,
+    LengthPrefixedReceiver,
+    MessageError,
+)
 from leadslip.parts.enum.settings import EnumConfig
 
 HEADER = struct.Struct("!HBBHHHH")
@@ -39,7 +44,7 @@
     OverflowError,
     struct.error,
 )
-OUTCOME_BY_RCODE = {dns.ESERVER: face.Outcome.ERROR, dns.EREFUSED: face.Outcome.FULL}
+OUTCOME_BY_RCODE = {dns.ESERVER: interface.Outcome.ERROR, dns.EREFUSED: interface.Outcome.FULL}
 SendReply = Callable[[bytes], None]
 MAX_PORT_ATTEMPTS = 16  # where the operating system chooses the port
 
@@ -94,13 +99,13 @@
         )
 
 
-class EnumFront(protocol.DatagramProtocol):
+class EnumServer(protocol.DatagramProtocol):
     """Receives queries over UDP, and over TCP through its connections; sends exactly one reply to each."""
 
     engine: Engine  # set once both exist
 
-    def __init__(self, conf: EnumConfig, tally: Tally, deadlines: Deadlines) -> None:
-        self.conf, self.tally, self.deadlines = conf, tally, deadlines
+    def __init__(self, conf: EnumConfig, metrics: Metrics, deadlines: Deadlines) -> None:
+        self.conf, self.metrics, self.deadlines = conf, metrics, deadlines
         self.count = 0
         self.open_requests: dict[object, Request] = {}
 
@@ -112,7 +117,7 @@
         try:
             self.handle_query(data, send_reply, addr, None)
         except MessageError:
-            self.tally.add("enum.malformed")
+            self.metrics.add("enum.malformed")
             if len(data) >= HEADER.size and not data[2] & RESPONSE:
                 # Only the header of the query can be read: without a reply its client would wait for its time-out.
                 reply_flags = RESPONSE | (data[2] & 0x78)
@@ -137,7 +142,7 @@
         if message.opCode != dns.OP_QUERY:
             send_reply(client_query.empty_reply(dns.ENOTIMP))
         elif number is None or query.cls != dns.IN or query.type != dns.NAPTR:
-            self.tally.add("enum.not_served")
+            self.metrics.add("enum.not_served")
             send_reply(client_query.empty_reply(dns.EREFUSED))
         elif key not in self.open_requests:  # else a retransmission: the reply to the first answers it
             self.count += 1
@@ -150,11 +155,11 @@
             return request
         return None
 
-    def catch_up(self, request: Request) -> None:
+    def read_pending(self, request: Request) -> None:
         """Reads what already waits on the client's connection; over UDP a client never reports that it leaves."""
         client = request.context.key[0]
-        if isinstance(client, EnumLink):
-            client.catch_up()
+        if isinstance(client, EnumConnection):
+            client.read_pending()
 
     def client_left(self, request: Request) -> None:
         """Cancels the request of a client that has disconnected."""
@@ -163,7 +168,7 @@
 
     # Callbacks of the engine.
 
-    def stands(self, request: Request, payload: object) -> None:
+    def established(self, request: Request, payload: object) -> None:
         client_query: ClientQuery = request.context
         if len(payload) > client_query.max_size:
             self._reply(request, client_query.empty_reply(dns.OK, TRUNCATED))
@@ -178,7 +183,7 @@
     def failed(self, request: Request) -> None:
         self._reply(request, request.context.empty_reply(dns.ESERVER))
 
-    def over(self, request: Request, cut: bool) -> None:
+    def call_ended(self, request: Request, cut: bool) -> None:
         """Nothing to release: an answered look-up holds no resources."""
 
     def _reply(self, request: Request, reply: bytes) -> None:
@@ -186,65 +191,68 @@
         request.context.send_reply(reply)
 
 
-class EnumLink(AcceptedLink, SliceReceiver):
+class EnumConnection(InboundConnection, LengthPrefixedReceiver):
     """One TCP connection of a client."""
 
     peer_kind = "enum_askers"
 
-    def __init__(self, factory: EnumLinks) -> None:
-        self.factory, self.front, self.tally = factory, factory.front, factory.front.tally
-        self.now_ms = factory.front.deadlines.clock.now_ms
-        self.accepted = factory.accepted
+    def __init__(self, factory: EnumConnections) -> None:
+        self.factory, self.downstream, self.metrics = factory, factory.downstream, factory.downstream.metrics
+        self.now_ms = factory.downstream.deadlines.clock.now_ms
+        self.inbound = factory.inbound
         self.requests: dict[str, Request] = {}
 
-    def busy(self) -> bool:
+    def awaits_answer(self) -> bool:
         return bool(self.requests)
 
-    def left(self) -> None:
+    def on_closed(self) -> None:
         for request in self.requests.values():
-            self.front.client_left(request)
+            self.downstream.client_left(request)
 
     def malformed(self, fault: MessageError) -> None:
         super().malformed(fault)
-        self.accepted.remove(self)
+        self.inbound.remove(self)
 
     def stringReceived(self, view: memoryview) -> None:
         replies: list[str] = []
 
         def send_reply(reply: bytes) -> None:
             replies.append("")
-            if self in self.accepted.held:
-                self.say(struct.pack("!H", len(reply)), reply)
+            if self in self.inbound.open:
+                self.send(struct.pack("!H", len(reply)), reply)
             if request is not None:
                 self.requests.pop(request.id, None)
 
-        self.heard()
+        self.message_received()
         request: Request | None = None
-        request = self.front.handle_query(bytes(view), send_reply, self, 0xFFFF)  # the codec requires bytes
+        # the codec requires bytes
+        request = self.downstream.handle_query(bytes(view), send_reply, self, 0xFFFF)
         if request is not None and not replies:
             self.requests[request.id] = request
 
 
-class EnumLinks(protocol.Factory):
+class EnumConnections(protocol.Factory):
     """Accepts the TCP connections of clients, up to a limit."""
 
     noisy = False
 
-    def __init__(self, front: EnumFront, max_connections: int) -> None:
-        self.front = front
-        self.accepted = AcceptedLinks(front.tally, "enum_askers", max_connections, front.deadlines)
+    def __init__(self, downstream: EnumServer, max_connections: int) -> None:
+        self.downstream = downstream
+        self.inbound = InboundConnections(
+            downstream.metrics, "enum_askers", max_connections, downstream.deadlines
+        )
 
-    def buildProtocol(self, addr: object) -> EnumLink | None:
-        return EnumLink(self) if self.accepted.room() else None
+    def buildProtocol(self, addr: object) -> EnumConnection | None:
+        return EnumConnection(self) if self.inbound.has_capacity() else None
 
 
-class ResolverConnection(SliceReceiver):
+class ResolverConnection(LengthPrefixedReceiver):
     """A TCP connection to a resolver, for the exchanges whose datagram came back truncated."""
 
     peer_kind = "enum_resolvers"
 
     def __init__(self, resolver: Resolver) -> None:
-        self.resolver, self.tally = resolver, resolver.upstream.tally
+        self.resolver, self.metrics = resolver, resolver.upstream.metrics
         self.now_ms = resolver.upstream.deadlines.clock.now_ms
 
     def connectionMade(self) -> None:
@@ -290,9 +298,9 @@
     def startProtocol(self) -> None:
         self.transport.connect(*self.address)
 
-    def send(self, attempt: Attempt) -> face.Outcome | None:
+    def send(self, attempt: Attempt) -> interface.Outcome | None:
         if self.transport is None:
-            return face.Outcome.NO_CONNECTION
+            return interface.Outcome.NO_CONNECTION
         id_ = secrets.randbelow(0x10000)  # unpredictable, so that no third party can spoof a reply
         while id_ in self.pending:
             id_ = secrets.randbelow(0x10000)
@@ -311,11 +319,11 @@
         self.tcp_queries.pop(id_, None)
         self._check_connection()
 
-    def end(self, id_: int, outcome: face.Outcome) -> None:
+    def end(self, id_: int, outcome: interface.Outcome) -> None:
         attempt = self.pending.get(id_)
         if attempt is not None:
             self.abandon(attempt)
-            self.upstream.engine.ended(attempt, outcome)
+            self.upstream.engine.on_attempt_ended(attempt, outcome)
 
     # UDP.
 
@@ -324,25 +332,25 @@
             self.reply_received(data, over_tcp=False)
         except MessageError:
             # A third party may have sent it: the exchange stays open until its own deadline.
-            self.upstream.tally.add("enum_resolvers.malformed")
+            self.upstream.metrics.add("enum_resolvers.malformed")
 
     def connectionRefused(self) -> None:
         """No process listens there: no pending UDP query has been worked on."""
         for id_ in [id_ for id_ in self.pending if id_ not in self.tcp_queries]:
-            self.end(id_, face.Outcome.NO_CONNECTION)
+            self.end(id_, interface.Outcome.NO_CONNECTION)
 
     def reply_received(self, data: bytes, over_tcp: bool) -> None:
         """Handles a reply; it counts only if it repeats the question of a pending exchange."""
         message = parse_message(data)
         attempt = self.pending.get(message.id)
         if attempt is None or not message.answer or over_tcp is not (message.id in self.tcp_queries):
-            self.upstream.tally.add("enum_resolvers.unsolicited")
+            self.upstream.metrics.add("enum_resolvers.unsolicited")
             return
         client_query: ClientQuery = attempt.request.context
         query = message.queries[0] if len(message.queries) == 1 else None
         same_name = query is not None and query.name.name.lower() == client_query.name.lower()
         if not same_name or query.type != dns.NAPTR or query.cls != dns.IN:
-            self.upstream.tally.add("enum_resolvers.mismatched")
+            self.upstream.metrics.add("enum_resolvers.mismatched")
         elif message.trunc and not over_tcp:
             self.tcp_queries[message.id] = self._query(message.id)
             self._query_over_tcp(message.id)
@@ -352,17 +360,17 @@
             and owners_match(message.answers, client_query.name)
         ):
             self.abandon(attempt)
-            self.upstream.engine.stood(attempt, memoryview(data))
-            self.upstream.engine.ended(attempt, face.Outcome.SERVED)
+            self.upstream.engine.on_established(attempt, memoryview(data))
+            self.upstream.engine.on_attempt_ended(attempt, interface.Outcome.SERVED)
         else:
-            self.end(message.id, OUTCOME_BY_RCODE.get(message.rCode, face.Outcome.ERROR))
+            self.end(message.id, OUTCOME_BY_RCODE.get(message.rCode, interface.Outcome.ERROR))
 
     # TCP.
 
     def _query_over_tcp(self, id_: int) -> None:
-        self.upstream.tally.add("enum_resolvers.truncated")
+        self.upstream.metrics.add("enum_resolvers.truncated")
         if self.connection is not None:
-            self.connection.say(struct.pack("!H", len(self.tcp_queries[id_])), self.tcp_queries[id_])
+            self.connection.send(struct.pack("!H", len(self.tcp_queries[id_])), self.tcp_queries[id_])
         else:
             self._connect()
 
@@ -377,27 +385,27 @@
     def connect_failed(self, refused: bool) -> None:
         self.connecting = False
         for id_ in list(self.tcp_queries):
-            self.end(id_, face.Outcome.ERROR if refused else face.Outcome.CUT)
+            self.end(id_, interface.Outcome.ERROR if refused else interface.Outcome.CUT)
 
     def connected(self, connection: ResolverConnection) -> None:
         self.connecting, self.connection = False, connection
         for query in self.tcp_queries.values():
-            connection.say(struct.pack("!H", len(query)), query)
+            connection.send(struct.pack("!H", len(query)), query)
         self._check_connection()
 
     def connection_lost(self, connection: ResolverConnection) -> None:
         if self.connection is connection:
             self.connection = None
             for id_ in list(self.tcp_queries):
-                self.end(id_, face.Outcome.CUT)
+                self.end(id_, interface.Outcome.CUT)
 
     def _check_connection(self) -> None:
         """Replaces a connection with an unfinished reply; closes an unused one, as truncated replies are rare."""
         connection = self.connection
         if (
             connection is not None
-            and connection.partial_ms
-            and connection.now_ms() - connection.partial_ms > self.upstream.attempt_ms / 2
+            and connection.partial_since_ms
+            and connection.now_ms() - connection.partial_since_ms > self.upstream.attempt_ms / 2
         ):
             # Prevents a reply that is never finished from blocking all replies after it.
             self.connection = None
@@ -414,8 +422,8 @@
 
     engine: Engine  # set once both exist
 
-    def __init__(self, reactor: object, conf: EnumConfig, tally: Tally, deadlines: Deadlines) -> None:
-        self.reactor, self.tally, self.deadlines = reactor, tally, deadlines
+    def __init__(self, reactor: object, conf: EnumConfig, metrics: Metrics, deadlines: Deadlines) -> None:
+        self.reactor, self.metrics, self.deadlines = reactor, metrics, deadlines
         self.attempt_ms = conf.attempt_ms
         names = [f"{host}:{port}" for host, port in conf.resolvers]
         self.resolvers = {
@@ -426,16 +434,18 @@
         """Opens a socket for each resolver and passes their list to the engine."""
         for resolver in self.resolvers.values():
             self.reactor.listenUDP(0, resolver)
-        entries = [face.ListEntry(name, i, face.ServerState.READY) for i, name in enumerate(self.resolvers)]
-        self.engine.news(face.ListNews(face.NewsKind.WHOLE, tuple(entries)))
+        entries = [
+            interface.ListEntry(name, i, interface.ServerState.READY) for i, name in enumerate(self.resolvers)
+        ]
+        self.engine.update_servers(interface.ServerListUpdate(interface.UpdateKind.SNAPSHOT, tuple(entries)))
 
-    def send(self, attempt: Attempt) -> face.Outcome | None:
+    def send(self, attempt: Attempt) -> interface.Outcome | None:
         return self.resolvers[attempt.server].send(attempt)
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         self.resolvers[attempt.server].abandon(attempt)
 
-    release = give_up
+    release = cancel
 
 
 def start(
@@ -443,40 +453,40 @@
     conf: EnumConfig,
     seed: int,
     deadlines: Deadlines,
-    tally: Tally,
+    metrics: Metrics,
     log: Log,
-    watcher: Watcher | None = None,
+    observer: Observer | None = None,
 ) -> Engine:
     """Starts the look-up service: clients, engine, resolvers. Returns the engine, which drains like any other."""
-    front = EnumFront(conf, tally, deadlines)
-    resolvers = Resolvers(reactor, conf, tally, deadlines)
+    downstream = EnumServer(conf, metrics, deadlines)
+    resolvers = Resolvers(reactor, conf, metrics, deadlines)
     engine = Engine(
         conf.settings,
         seed,
         deadlines.clock,
         deadlines,
         resolvers,
-        tally,
+        metrics,
         log,
         conf.max_open_requests,
-        watcher,
-        attempt_ms=conf.attempt_ms,
+        observer,
+        max_attempt_ms=conf.attempt_ms,
     )
-    front.engine = resolvers.engine = engine
-    port = _listen(reactor, conf, front)
+    downstream.engine = resolvers.engine = engine
+    port = _listen(reactor, conf, downstream)
     resolvers.start()
     log("enum.serves", address=f"{conf.listen[0]}:{port}")
     return engine
 
 
-def _listen(reactor: object, conf: EnumConfig, front: EnumFront) -> int:
+def _listen(reactor: object, conf: EnumConfig, downstream: EnumServer) -> int:
     """Listens over TCP and UDP on one port; where the system chooses it, on one that is free for both."""
     host, port = conf.listen
     for attempts_left in reversed(range(1 if port else MAX_PORT_ATTEMPTS)):
-        tcp = reactor.listenTCP(port, EnumLinks(front, conf.max_connections), interface=host)
+        tcp = reactor.listenTCP(port, EnumConnections(downstream, conf.max_connections), interface=host)
         bound_port = tcp.getHost().port
         try:
-            reactor.listenUDP(bound_port, front, interface=host, maxPacketSize=MAX_DATAGRAM)
+            reactor.listenUDP(bound_port, downstream, interface=host, maxPacketSize=MAX_DATAGRAM)
             break
         except error.CannotListenError:
             tcp.stopListening()
--- a/leadslip/net/ops.py
+++ b/leadslip/net/ops.py
@@ -22,10 +22,10 @@
 
 from twisted.web import http, resource, server
 
-from leadslip.checks import Tally
 from leadslip.core import Deadlines
 from leadslip.errors import OperatorError
-from leadslip.operators import Answer, Asked, Calls, Verbs, problem
+from leadslip.metrics import Metrics
+from leadslip.operators import Answer, Endpoint, Endpoints, OperatorRequest, problem
 
 MAX_BODY = 1024  # bytes, for a request to an unknown path
 REQUEST_TIMEOUT_MS = 2000.0  # from the connection to the end of the request
@@ -57,17 +57,17 @@
 
     isLeaf = True  # noqa: N815 (Twisted's name)
 
-    def __init__(self, verbs: Verbs) -> None:
+    def __init__(self, endpoint: Endpoint) -> None:
         super().__init__()
-        self.verbs = verbs
+        self.endpoint = endpoint
 
     def render(self, request: server.Request) -> bytes | int:
         path = tuple(part.decode("utf-8", "replace") for part in request.postpath or ())
-        if path and not self.verbs.below:
+        if path and not self.endpoint.has_subpaths:
             return finish(request, problem(UnknownEndpointError(request.path.decode("ascii", "replace"))))
-        handler = self.verbs.methods.get(request.method)
+        handler = self.endpoint.methods.get(request.method)
         if handler is None:
-            request.setHeader(b"allow", b", ".join(self.verbs.methods))
+            request.setHeader(b"allow", b", ".join(self.endpoint.methods))
             return finish(request, problem(MethodError(request.method.decode("ascii", "replace"))))
         query = {
             key.decode("utf-8", "replace"): values[-1].decode("utf-8", "replace")
@@ -80,7 +80,7 @@
                 request.finish()
 
         try:
-            answer = handler(Asked(path, query, request.content.getvalue(), reply_later))
+            answer = handler(OperatorRequest(path, query, request.content.getvalue(), reply_later))
         except OperatorError as error:
             answer = problem(error)
         if answer is None:
@@ -142,7 +142,7 @@
     def refuse(self) -> None:
         """Sends 413 and closes the connection before the body is read."""
         self.refused = True
-        self.channel.site.tally.add("ops.too_large")
+        self.channel.site.metrics.add("ops.too_large")
         answer = problem(TooLargeError(f"the body is longer than {self.max_body} bytes"))
         head = b"HTTP/1.1 413 Content Too Large\r\nConnection: close\r\nContent-Type: %s\r\nContent-Length: %d\r\n\r\n"
         self.channel.transport.write(head % (answer.content_type, len(answer.body)) + answer.body)
@@ -155,7 +155,7 @@
         self.setHeader(b"connection", b"close")
         self.setHeader(b"content-type", b"text/plain; charset=utf-8")
         self.setHeader(b"cache-control", b"no-store")
-        self.channel.site.tally.add("ops.calls")
+        self.channel.site.metrics.add("ops.calls")
         super().process()
 
 
@@ -167,7 +167,9 @@
     def connectionMade(self) -> None:
         super().connectionMade()
         deadlines = self.site.deadlines
-        self.request_timeout = deadlines.at(deadlines.clock.now_ms() + REQUEST_TIMEOUT_MS, self.timed_out)
+        self.request_timeout = deadlines.call_at(
+            deadlines.clock.now_ms() + REQUEST_TIMEOUT_MS, self.timed_out
+        )
 
     def connectionLost(self, reason: object) -> None:
         self.site.deadlines.cancel(self.request_timeout)
@@ -179,7 +181,7 @@
 
     def timed_out(self, _: object = None) -> None:
         if self.transport is not None and self.transport.connected:
-            self.site.tally.add("ops.stalled")
+            self.site.metrics.add("ops.stalled")
             self.transport.loseConnection()
 
 
@@ -189,15 +191,15 @@
     protocol = OpsChannel
     requestFactory = OpsRequest  # noqa: N815 (Twisted's name)
 
-    def __init__(self, deadlines: Deadlines, tally: Tally, endpoints: Calls) -> None:
+    def __init__(self, deadlines: Deadlines, metrics: Metrics, endpoints: Endpoints) -> None:
         control = PathSegment()
-        for name, verbs in endpoints.items():
-            control.putChild(name, EndpointResource(verbs))
+        for name, endpoint in endpoints.items():
+            control.putChild(name, EndpointResource(endpoint))
         root = PathSegment()
         root.putChild(b"control", control)
-        self.max_body = max([MAX_BODY, *(verbs.most_body for verbs in endpoints.values())])
+        self.max_body = max([MAX_BODY, *(endpoint.max_body for endpoint in endpoints.values())])
         super().__init__(root, timeout=None)  # REQUEST_TIMEOUT_MS applies instead
-        self.deadlines, self.tally = deadlines, tally
+        self.deadlines, self.metrics = deadlines, metrics
         self.noisy = False
 
     def log(self, request: server.Request) -> None:
--- a/leadslip/net/otlp.py
+++ b/leadslip/net/otlp.py
@@ -22,9 +22,9 @@
 from twisted.web.client import Agent, FileBodyProducer, readBody
 from twisted.web.http_headers import Headers
 
-from leadslip import interface as face
-from leadslip.checks import Tally
+from leadslip import interface
 from leadslip.core import Attempt, Deadlines, Request
+from leadslip.metrics import Metrics
 from leadslip.parts.otlp.settings import OtlpConfig
 
 SCOPE = InstrumentationScope(name="leadslip")
@@ -43,7 +43,7 @@
     def __init__(self, exporter: Exporter, protocol: str, name: str) -> None:
         self.exporter, self.protocol, self.name = exporter, protocol, name
 
-    def attempt_ended(self, attempt: Attempt, outcome: face.Outcome, now_ms: float) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: interface.Outcome, now_ms: float) -> None:
         trace, root = self._ids(attempt.request)
         span = self._span(trace, Span.SPAN_KIND_CLIENT, attempt.sent_ms, now_ms, outcome.value, "served")
         span.span_id, span.parent_span_id = secrets.token_bytes(8), root
@@ -52,14 +52,14 @@
 
     def request_answered(self, request: Request, answer: str, now_ms: float) -> None:
         trace, root = self._ids(request)
-        span = self._span(trace, Span.SPAN_KIND_SERVER, request.taken_ms, now_ms, answer, "stands")
+        span = self._span(trace, Span.SPAN_KIND_SERVER, request.received_at_ms, now_ms, answer, "stands")
         span.span_id = root
         span.attributes.append(attribute("leadslip.class", request.call_class))
         self.exporter.add_span(span)
 
     def _ids(self, request: Request) -> tuple[bytes, bytes]:
         """The ids of a request's trace and root span, hashed from the request so that none need be stored."""
-        identity = f"{self.protocol} {request.id} {request.taken_ms}".encode()
+        identity = f"{self.protocol} {request.id} {request.received_at_ms}".encode()
         digest = hashlib.blake2b(identity, digest_size=24, key=self.exporter.salt).digest()
         return digest[:16], digest[16:]
 
@@ -82,9 +82,9 @@
     """Queues the spans of the engines and exports them, with the counters, at every interval."""
 
     def __init__(
-        self, reactor: object, conf: OtlpConfig, name: str, deadlines: Deadlines, tally: Tally
+        self, reactor: object, conf: OtlpConfig, name: str, deadlines: Deadlines, metrics: Metrics
     ) -> None:
-        self.conf, self.deadlines, self.tally = conf, deadlines, tally
+        self.conf, self.deadlines, self.metrics = conf, deadlines, metrics
         self.agent = Agent(reactor, connectTimeout=conf.timeout_ms / 1000.0)
         host, port = conf.collector
         self.base = f"http://{f'[{host}]' if ':' in host else host}:{port}/v1/"
@@ -98,11 +98,11 @@
 
     def start(self) -> None:
         """Schedules the next export."""
-        self.deadlines.at(self.deadlines.clock.now_ms() + self.conf.interval_ms, self._export)
+        self.deadlines.call_at(self.deadlines.clock.now_ms() + self.conf.interval_ms, self._export)
 
     def add_span(self, span: Span) -> None:
         if len(self.spans) >= self.conf.most_spans:
-            self.tally.add("otlp.dropped_spans")
+            self.metrics.add("otlp.dropped_spans")
             return
         self.spans.append(span)
 
@@ -125,7 +125,7 @@
         export = ExportMetricsServiceRequest()
         metrics = export.resource_metrics.add(resource=self.resource).scope_metrics.add(scope=SCOPE).metrics
         now_ns = int(self.deadlines.clock.now_ms()) * NS_PER_MS
-        for name, count in sorted(self.tally.counts.items()):
+        for name, count in sorted(self.metrics.counts.items()):
             metric = metrics.add(name="leadslip." + name.replace(" ", "_"), unit="1")
             metric.sum.is_monotonic = True
             metric.sum.aggregation_temporality = AggregationTemporality.AGGREGATION_TEMPORALITY_CUMULATIVE
@@ -142,7 +142,7 @@
             FileBodyProducer(BytesIO(body)),
         )
         self.in_flight[signal] = request
-        timeout = self.deadlines.at(
+        timeout = self.deadlines.call_at(
             self.deadlines.clock.now_ms() + self.conf.timeout_ms, lambda pending: pending.cancel(), request
         )
 
@@ -155,8 +155,8 @@
             self.deadlines.cancel(timeout)
             del self.in_flight[signal]
             if isinstance(result, Failure):
-                self.tally.add("otlp.failed_exports")
-                self.tally.add("otlp.dropped_spans", spans)
+                self.metrics.add("otlp.failed_exports")
+                self.metrics.add("otlp.dropped_spans", spans)
 
         request.addCallback(check_status)
         request.addBoth(finished)
--- a/leadslip/net/peers.py
+++ b/leadslip/net/peers.py
@@ -18,11 +18,11 @@
 from twisted.internet import error, protocol
 from twisted.protocols.basic import Int32StringReceiver
 
-from leadslip.checks import Tally
 from leadslip.deadlines import Deadlines
 from leadslip.fleet import wire
-from leadslip.fleet.view.view import Compare, Me, Pace, View
+from leadslip.fleet.view.view import OwnMember, ProtocolTiming, StartSync, View
 from leadslip.logs import Log
+from leadslip.metrics import Metrics
 
 if TYPE_CHECKING:
     from leadslip.parts.fleet.settings import FleetConfig
@@ -34,7 +34,8 @@
 MAX_DELIVERY_CONNECTIONS = 8  # outbound connections at a time that deliver messages of parts
 MAX_QUEUED_BYTES = 4 << 20  # of messages of parts that wait for one member
 MAX_DELIVERY_BYTES = 1 << 20  # of messages of parts that one connection delivers
-MAX_DATAGRAM_BODY = wire.MOST_DATAGRAM - wire.SEAL_SIZE - 60  # bytes of a part's message sent as a datagram
+# bytes of a part's message sent as a datagram
+MAX_DATAGRAM_BODY = wire.MAX_DATAGRAM_BYTES - wire.SEAL_BYTES - 60
 RECEIVE_BUFFER_BYTES = 1 << 20  # holds datagrams while this process is busy or stopped
 
 
@@ -54,8 +55,8 @@
         self.peers = peers
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
-        if len(datagram) > wire.MOST_DATAGRAM:
-            self.peers.tally.add("fleet.refused.long")
+        if len(datagram) > wire.MAX_DATAGRAM_BYTES:
+            self.peers.metrics.add("fleet.refused.long")
         else:
             self.peers.datagram_received(datagram)
 
@@ -77,14 +78,14 @@
     def connectionMade(self) -> None:
         deadlines = self.peers.deadlines
         self.transport.setTcpNoDelay(True)  # else a second frame waits for the acknowledgement of the first
-        self.timeout = deadlines.at(deadlines.clock.now_ms() + SESSION_TIMEOUT_MS, self.timed_out)
+        self.timeout = deadlines.call_at(deadlines.clock.now_ms() + SESSION_TIMEOUT_MS, self.timed_out)
         self.on_connected()
 
     def on_connected(self) -> None:
         """Called when the connection is established."""
 
     def timed_out(self, _: object = None) -> None:
-        self.peers.tally.add("fleet.sessions_late")
+        self.peers.metrics.add("fleet.sessions_late")
         self.transport.abortConnection()
 
     def connectionLost(self, reason: object = None) -> None:
@@ -92,28 +93,28 @@
         self.peers.session_ended(self)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        self.peers.tally.add("fleet.refused.long")
+        self.peers.metrics.add("fleet.refused.long")
         self.transport.abortConnection()
 
-    def send_message(self, message: wire.Any) -> None:
+    def send_message(self, message: wire.AnyMessage) -> None:
         peers = self.peers
         version = peers.view.version_for(message.to)
-        data = peers.seal.close(wire.frame(message, version), version)
+        data = peers.seal.sign(wire.encode_frame(message, version), version)
         self.transferred_bytes += len(data)
         self.sendString(data)
 
     def stringReceived(self, string: bytes) -> None:
         try:
             self.transferred_bytes += len(string)
-            message = wire.unframe(self.peers.seal.open(string), string[0])
+            message = wire.decode_frame(self.peers.seal.verify(string), string[0])
             self.message_received(message, self.peers.clock.now_ms())
         except wire.WireError as wire_error:
-            self.peers.tally.add(f"fleet.refused.{wire_error}")
+            self.peers.metrics.add(f"fleet.refused.{wire_error}")
             self.transport.abortConnection()
             return
         self.peers.flush()
 
-    def message_received(self, message: wire.Any, now_ms: float) -> None:
+    def message_received(self, message: wire.AnyMessage, now_ms: float) -> None:
         raise NotImplementedError
 
 
@@ -123,16 +124,16 @@
     def on_connected(self) -> None:
         self.send_message(self.peers.view.hello(self.token))
 
-    def message_received(self, message: wire.Any, now_ms: float) -> None:
+    def message_received(self, message: wire.AnyMessage, now_ms: float) -> None:
         if getattr(message, "token", None) != self.token:
             raise wire.WireError("token")
-        self.MAX_LENGTH = wire.MOST_FRAME  # a sender that repeats our token, signed, is a member
-        if isinstance(message, wire.SyncAsk):
-            self.send_message(self.peers.view.answer(now_ms, message))
+        self.MAX_LENGTH = wire.MAX_FRAME_BYTES  # a sender that repeats our token, signed, is a member
+        if isinstance(message, wire.SyncRequest):
+            self.send_message(self.peers.view.answer_sync(now_ms, message))
         elif isinstance(message, wire.SyncTable):
-            self.peers.view.given(now_ms, message)
+            self.peers.view.accept_sync(now_ms, message)
             self.transport.loseConnection()
-        elif isinstance(message, wire.Carried):
+        elif isinstance(message, wire.PartMessage):
             self.peers.part_message_received(now_ms, message)
         else:
             raise wire.WireError("misplaced")
@@ -143,14 +144,14 @@
 
     peer_token = 0  # from the peer's Hello; 0 until that arrives
 
-    def message_received(self, message: wire.Any, now_ms: float) -> None:
+    def message_received(self, message: wire.AnyMessage, now_ms: float) -> None:
         if isinstance(message, wire.Hello) and not self.peer_token:
             self.peer_token = message.token
-            self.MAX_LENGTH = wire.MOST_FRAME
-            self.send_message(self.peers.view.ask(now_ms, message, self.token))
+            self.MAX_LENGTH = wire.MAX_FRAME_BYTES
+            self.send_message(self.peers.view.begin_sync(now_ms, message, self.token))
         elif isinstance(message, wire.SyncTable) and message.token == self.token:
-            self.send_message(self.peers.view.compared(now_ms, message, self.peer_token))
-            self.peers.view.spent(self.transferred_bytes)
+            self.send_message(self.peers.view.complete_sync(now_ms, message, self.peer_token))
+            self.peers.view.charge_sync(self.transferred_bytes)
         else:
             raise wire.WireError("misplaced")
 
@@ -162,7 +163,7 @@
         super().__init__(peers)
         self.run = run
 
-    def message_received(self, message: wire.Any, now_ms: float) -> None:
+    def message_received(self, message: wire.AnyMessage, now_ms: float) -> None:
         if not isinstance(message, wire.Hello):
             raise wire.WireError("misplaced")
         queue, sent_bytes = self.peers.queues.get(self.run), 0
@@ -170,7 +171,9 @@
             part, body = queue.pop()
             sent_bytes += len(body)
             view = self.peers.view
-            self.send_message(wire.Carried(next(view.counts), view.run, self.run, message.token, part, body))
+            self.send_message(
+                wire.PartMessage(next(view.message_counter), view.run, self.run, message.token, part, body)
+            )
         self.transport.loseConnection()
 
 
@@ -206,9 +209,9 @@
 
 
 class MessagingPart(Protocol):
-    """A part whose messages the fleet transport sends. It does no I/O: it puts (run, body) pairs into `out`."""
+    """A part whose messages the fleet transport sends. It does no I/O: it puts (run, body) pairs into `outbox`."""
 
-    out: list[tuple[int, bytes]]
+    outbox: list[tuple[int, bytes]]
     wake_ms: float
 
     def received(self, now_ms: float, run: int, body: bytes) -> None:
@@ -240,13 +243,13 @@
         part, peers = self.part, self.peers
         if peers.stopped:
             return
-        out, part.out = part.out, []
+        out, part.outbox = part.outbox, []
         for run, body in out:
             peers.send_part_message(self.name, run, body)
         self.after_work()
-        if self.timer is None or self.timer.work is None or part.wake_ms < self.timer.due_ms:
+        if self.timer is None or self.timer.callback is None or part.wake_ms < self.timer.due_ms:
             peers.deadlines.cancel(self.timer)
-            self.timer = peers.deadlines.at(part.wake_ms, self.timer_fired)
+            self.timer = peers.deadlines.call_at(part.wake_ms, self.timer_fired)
 
 
 class InboundSessionFactory(protocol.Factory):
@@ -259,7 +262,7 @@
 
     def buildProtocol(self, addr: object) -> InboundSession | None:
         if len(self.peers.inbound) >= MAX_INBOUND_SESSIONS:
-            self.peers.tally.add("fleet.sessions_refused")
+            self.peers.metrics.add("fleet.sessions_refused")
             return None
         session = InboundSession(self.peers)
         self.peers.inbound.add(session)
@@ -284,15 +287,15 @@
 class Peers:
     """The fleet transport of one member, and its view of the fleet."""
 
-    def __init__(self, reactor: object, conf: FleetConfig, name: str, tally: Tally, log: Log) -> None:
-        self.reactor, self.conf, self.name, self.tally, self.log = reactor, conf, name, tally, log
+    def __init__(self, reactor: object, conf: FleetConfig, name: str, metrics: Metrics, log: Log) -> None:
+        self.reactor, self.conf, self.name, self.metrics, self.log = reactor, conf, name, metrics, log
         self.clock = FleetClock()
         # Prevents a jump of the Unix clock from delaying the reactor's timers, by an hour if the clock jumps by one.
         # Timers set earlier would go by the other clock, so this object is made before any timer is set.
         reactor.seconds = lambda: time.clock_gettime(CLOCK)
         self.deadlines = Deadlines(self.clock, reactor)
         self.seal = wire.Seal(conf.keys)  # raises for invalid keys before any port is bound
-        self.draw = random.SystemRandom()
+        self.rng = random.SystemRandom()
         self.inbound: set[PeerSession] = set()
         self.outbound_count = 0  # anti-entropy sessions that this member has open
         self.parts: dict[str, PartTransport] = {}  # by the part's name
@@ -320,23 +323,23 @@
         bound_port = self.port.getHost().port
         if advertise == self.conf.listen:
             advertise = (host, bound_port)
-        me = Me(self.name, "{}:{}".format(*advertise), self.conf.zone, metadata())
+        me = OwnMember(self.name, "{}:{}".format(*advertise), self.conf.zone, metadata())
         self.metadata = metadata
         seeds = tuple("{}:{}".format(*seed) for seed in self.conf.seeds)
         view_class = View
         if self.conf.broken:
-            from leadslip.drill.broken import KINDS
+            from leadslip.drill.faulty import VIEW_VARIANTS
 
-            view_class = KINDS.get(self.conf.broken, View)
+            view_class = VIEW_VARIANTS.get(self.conf.broken, View)
         # The view has a pseudo-random generator of its own; only its seed comes from the system's.
-        draw = random.Random(self.draw.getrandbits(64))
-        self.view = view_class(me, seeds, draw, self.tally, Pace(), self.conf.most_members)
-        self.seal = wire.Seal(self.conf.keys, self.view.speaks)
+        rng = random.Random(self.rng.getrandbits(64))
+        self.view = view_class(me, seeds, rng, self.metrics, ProtocolTiming(), self.conf.most_members)
+        self.seal = wire.Seal(self.conf.keys, self.view.max_version)
         if self.conf.history:
             from leadslip.fleet import history
 
-            record = history.to_file(self.conf.history)
-            history.follow(self.view, record)
+            record = history.file_writer(self.conf.history)
+            history.record_view(self.view, record)
             self.history = lambda **event: record(event)
         self.view.start(self.clock.now_ms())
         self.flush()
@@ -349,7 +352,10 @@
             try:
                 self.datagrams = PeerDatagrams(self)
                 self.udp = self.reactor.listenUDP(
-                    port.getHost().port, self.datagrams, interface=host, maxPacketSize=wire.MOST_DATAGRAM + 1
+                    port.getHost().port,
+                    self.datagrams,
+                    interface=host,
+                    maxPacketSize=wire.MAX_DATAGRAM_BYTES + 1,
                 )
             except error.CannotListenError:
                 port.stopListening()
@@ -363,33 +369,33 @@
     def datagram_received(self, datagram: bytes) -> None:
         """Handles a datagram; nothing in it is used before its seal is verified."""
         try:
-            message = wire.decode(self.seal.open(datagram))
+            message = wire.decode(self.seal.verify(datagram))
         except wire.WireError as wire_error:
-            self.tally.add(f"fleet.refused.{wire_error}")
+            self.metrics.add(f"fleet.refused.{wire_error}")
             return
         if self.stopped:
             return
         now_ms = self.clock.now_ms()
-        if isinstance(message, wire.Carried):
-            if self.view.heard.fresh(message.run, message.count):
+        if isinstance(message, wire.PartMessage):
+            if self.view.replay_filter.accept(message.run, message.count):
                 self.part_message_received(now_ms, message)
             else:
-                self.tally.add("fleet.replayed")
+                self.metrics.add("fleet.replayed")
             return
         self.view.received(now_ms, message)
         self.flush()
 
-    def part_message_received(self, now_ms: float, message: wire.Carried) -> None:
+    def part_message_received(self, now_ms: float, message: wire.PartMessage) -> None:
         """Passes a message to its part, if it is addressed to this run and comes from the run of a live member."""
         part, sender = self.parts.get(message.part), self.view.table.get(message.run)
         if part is None or message.to != self.view.run:
-            self.tally.add("fleet.for_another")
+            self.metrics.add("fleet.for_another")
         elif sender is None or not sender.live or sender.run != message.run:
-            self.tally.add("fleet.of_no_member")
+            self.metrics.add("fleet.of_no_member")
         else:
             part.message_received(now_ms, message.run, message.body)
 
-    def join(self, name: str, part: MessagingPart, after_work: Callable[[], None]) -> PartTransport:
+    def add_part(self, name: str, part: MessagingPart, after_work: Callable[[], None]) -> PartTransport:
         """Sends and receives a part's messages from now on; `after_work` is called each time it may have worked."""
         transport = self.parts[name] = PartTransport(self, name, part, after_work)
         transport.timer_fired()
@@ -399,16 +405,17 @@
         """Sends a part's message to a member, as a datagram where it fits, else over TCP. It may be lost."""
         receiver = self.view.table.get(run)
         if self.stopped or receiver is None or not receiver.live or self.view.version_for(run) < 3:
-            self.tally.add("fleet.unsent")
+            self.metrics.add("fleet.unsent")
             return
         if len(body) <= MAX_DATAGRAM_BODY:
             self._send(
-                receiver.address, wire.Carried(next(self.view.counts), self.view.run, run, 0, part, body)
+                receiver.address,
+                wire.PartMessage(next(self.view.message_counter), self.view.run, run, 0, part, body),
             )
             return
         queue = self.queues.setdefault(run, MessageQueue())
         if queue.size + len(body) > MAX_QUEUED_BYTES:
-            self.tally.add("fleet.unsent")
+            self.metrics.add("fleet.unsent")
             return
         queue.messages.append((part, body))
         queue.size += len(body)
@@ -428,15 +435,15 @@
         """Sends what the view and the parts have queued and sets their timers."""
         if self.stopped:
             return
-        out, self.view.out = self.view.out, []
+        out, self.view.outbox = self.view.outbox, []
         for item in out:
-            if isinstance(item, Compare):
+            if isinstance(item, StartSync):
                 self._open_sync(item.address)
             else:
                 self._send(item.address, item.message)
-        if self.timer is None or self.timer.work is None or self.view.wake_ms < self.timer.due_ms:
+        if self.timer is None or self.timer.callback is None or self.view.wake_ms < self.timer.due_ms:
             self.deadlines.cancel(self.timer)
-            self.timer = self.deadlines.at(self.view.wake_ms, self._timer_fired)
+            self.timer = self.deadlines.call_at(self.view.wake_ms, self._timer_fired)
         for part in self.parts.values():
             part.flush()
 
@@ -446,19 +453,21 @@
             self.view.due(self.clock.now_ms())
             self.flush()
 
-    def _send(self, address: str, message: wire.Any) -> None:
-        data = self.seal.close(wire.encode(message), self.view.version_for(message.to))
-        if not self.tally.must(len(data) <= wire.MOST_DATAGRAM, "a datagram of the fleet keeps its size"):
+    def _send(self, address: str, message: wire.AnyMessage) -> None:
+        data = self.seal.sign(wire.encode(message), self.view.version_for(message.to))
+        if not self.metrics.check_invariant(
+            len(data) <= wire.MAX_DATAGRAM_BYTES, "a datagram of the fleet keeps its size"
+        ):
             return
         host, _, port = address.rpartition(":")
         try:
             self.datagrams.transport.write(data, (host, int(port)))
         except (OSError, ValueError):  # no route or a full buffer: lost like any datagram
-            self.tally.add("fleet.unsent")
+            self.metrics.add("fleet.unsent")
 
     def _open_sync(self, address: str) -> None:
         if self.outbound_count >= MAX_OUTBOUND_SESSIONS:
-            self.tally.add("fleet.sessions_waiting")
+            self.metrics.add("fleet.sessions_waiting")
             return
         self.outbound_count += 1
         self._connect(address, OutboundSessionFactory(self))
@@ -481,15 +490,15 @@
         else:
             self.outbound_count -= 1
 
-    def tell_facts(self) -> None:
+    def publish_metadata(self) -> None:
         """Disseminates this member's metadata if it has changed."""
         if self.view is not None and not self.stopped:
             self.view.change_facts(self.clock.now_ms(), self.metadata())
             self.flush()
 
-    def rekey(self, keys: tuple[bytes, ...]) -> None:
+    def replace_keys(self, keys: tuple[bytes, ...]) -> None:
         """Signs with the first of these keys from now on, and accepts all of them."""
-        self.seal = wire.Seal(keys, self.seal.speaks)
+        self.seal = wire.Seal(keys, self.seal.max_version)
 
     def stop(self) -> None:
         """Leaves the fleet and closes the ports."""
