--- a/leadslip/net/servers.py
+++ b/leadslip/net/servers.py
@@ -8,35 +8,35 @@
 
 from twisted.internet import error, protocol
 
-from leadslip import interface as face
-from leadslip.checks import Tally
-from leadslip.config import Address, MalformedError, load_named
+from leadslip import interface
+from leadslip.config import Address, MalformedError, parse_load_report
 from leadslip.core import Attempt, Deadlines, Engine
-from leadslip.net.links import MessageError, SliceReceiver
+from leadslip.metrics import Metrics
+from leadslip.net.connections import LengthPrefixedReceiver, MessageError
 
 # Message types.
-SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, STATE, TEST, TEST_ENDED = 1, 6, 9, 12, 16, 43, 52, 53
+SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, STATE, TEST, TEST_RESULT = 1, 6, 9, 12, 16, 43, 52, 53
 # Parameter codes.
 CLASS, WAIT, NUMBER, NOTE, REPORT, CAUSE, DESCRIPTION = 33, 35, 41, 47, 51, 61, 63
 OUTCOME_OF_CAUSE = {  # for a release that arrives before the answer
-    34: face.Outcome.FULL,
-    17: face.Outcome.ERROR,
-    47: face.Outcome.ERROR,
-    102: face.Outcome.NOT_SENT,
-    41: face.Outcome.CUT,
+    34: interface.Outcome.FULL,
+    17: interface.Outcome.ERROR,
+    47: interface.Outcome.ERROR,
+    102: interface.Outcome.NOT_SENT,
+    41: interface.Outcome.CUT,
 }
-IGNORED_TYPES = (PROGRESS, RELEASE_ACK, TEST_ENDED)  # valid, but need no action
+IGNORED_TYPES = (PROGRESS, RELEASE_ACK, TEST_RESULT)  # valid, but need no action
 CAUSE_OF_NOTE = {
-    b"no_circuit": face.Cause.NO_LINE,
-    b"turned_back": face.Cause.BOUNCED,
-    b"overload": face.Cause.PROCESSOR_FULL,
-    b"lines_busy": face.Cause.NUMBER_BUSY,
-    b"far_overload": face.Cause.BOUNCED,
+    b"no_circuit": interface.Cause.NO_LINE,
+    b"turned_back": interface.Cause.BOUNCED,
+    b"overload": interface.Cause.PROCESSOR_FULL,
+    b"lines_busy": interface.Cause.NUMBER_BUSY,
+    b"far_overload": interface.Cause.BOUNCED,
 }
 HEADER = struct.Struct("!HB8s")  # length, type, call
 NO_CALL = bytes(8)
 PARAMETER = struct.Struct("!BH")  # code, length
-NORMAL, TEMPORARY_FAILURE = 16, 41
+CAUSE_NORMAL, TEMPORARY_FAILURE = 16, 41
 RECENTLY_ENDED_MS = 30_000.0  # a server may repeat the end of a call for this long
 PARTIAL_MESSAGE_TIMEOUT_MS = 300.0  # a complete message takes a few ms to arrive
 MAX_CONNECTIONS = 4  # per server; a server reports its state on at most this many
@@ -70,19 +70,19 @@
     return found
 
 
-def message(message_type: int, call: bytes, *fields: tuple[int, bytes]) -> bytes:
+def encode_message(message_type: int, call: bytes, *fields: tuple[int, bytes]) -> bytes:
     """Encodes one message, including its length prefix."""
     body = b"".join(part for code, value in fields for part in (PARAMETER.pack(code, len(value)), value))
     return HEADER.pack(9 + len(body), message_type, call) + body
 
 
-class ServerConnection(SliceReceiver):
+class ServerConnection(LengthPrefixedReceiver):
     """One connection to a setup server."""
 
     peer_kind = "servers"
 
     def __init__(self, server: Server) -> None:
-        self.server, self.tally, self.now_ms = server, server.upstream.tally, server.upstream.now_ms
+        self.server, self.metrics, self.now_ms = server, server.upstream.metrics, server.upstream.now_ms
         self.opened_ms = self.last_received_ms = self.now_ms()
         self.set_ups: dict[bytes, Attempt] = {}  # in progress on this connection, oldest first
         self.missed_end_ms = 0.0  # since when another connection has brought an end due here
@@ -110,8 +110,8 @@
         """Sends a test message; any complete message that follows counts as the answer."""
         if not self.test_sent_ms:
             self.test_sent_ms = self.now_ms()
-            self.tally.add("servers.tests")
-            self.say(message(TEST, NO_CALL, (CAUSE, b"\x00")))
+            self.metrics.add("servers.tests")
+            self.send(encode_message(TEST, NO_CALL, (CAUSE, b"\x00")))
 
     def test_failed(self, now_ms: float) -> bool:
         """Returns whether a test has timed out."""
@@ -148,15 +148,15 @@
             self.server.answered(call, fields[DESCRIPTION])
         elif message_type == RELEASE:
             cause = fields.get(CAUSE)
-            if cause is None or len(cause) != 1 or cause[0] not in (NORMAL, *OUTCOME_OF_CAUSE):
+            if cause is None or len(cause) != 1 or cause[0] not in (CAUSE_NORMAL, *OUTCOME_OF_CAUSE):
                 raise MessageError("release cause is missing or unknown")
-            note = CAUSE_OF_NOTE.get(bytes(fields.get(NOTE, b"")), face.Cause.NONE)
+            note = CAUSE_OF_NOTE.get(bytes(fields.get(NOTE, b"")), interface.Cause.NONE)
             self.server.released(self, call, cause[0], note, load)
         elif message_type == STATE and load is not None:
             self.server.state_received(self)
-            self.server.upstream.engine.looked(self.server.uid, load)
+            self.server.upstream.engine.on_load_report(self.server.uid, load)
         elif message_type == TEST:
-            self.say(message(TEST_ENDED, call, (CAUSE, b"\x01")))
+            self.send(encode_message(TEST_RESULT, call, (CAUSE, b"\x01")))
         elif message_type not in IGNORED_TYPES:
             # An unknown type is a corrupt message: whatever follows on the connection is unreadable too.
             raise MessageError(f"unknown message type {message_type}")
@@ -184,7 +184,7 @@
     """One setup server, identified by its uid: successive servers at one address are distinct."""
 
     def __init__(
-        self, upstream: Servers, uid: str, address: Address, state: face.ServerState, since: float
+        self, upstream: Servers, uid: str, address: Address, state: interface.ServerState, since: float
     ) -> None:
         self.upstream, self.uid, self.address, self.state, self.since = upstream, uid, address, state, since
         self.active: list[ServerConnection] = []  # used for set-ups, oldest first
@@ -206,7 +206,7 @@
 
     # Called for the engine.
 
-    def send(self, attempt: Attempt) -> face.Outcome | None:
+    def send(self, attempt: Attempt) -> interface.Outcome | None:
         call = bytes.fromhex(attempt.request.id)
         connection = self._least_used()
         if connection is None:
@@ -216,7 +216,7 @@
         if (
             connection.set_ups
             and len(self.active) < MAX_CONNECTIONS
-            and self.state is face.ServerState.READY
+            and self.state is interface.ServerState.READY
             and not self.is_connecting()
             and self.upstream.has_capacity()
         ):
@@ -229,18 +229,20 @@
             self.active, key=lambda connection: (connection.blocked(), len(connection.set_ups)), default=None
         )
 
-    def _set_up(self, connection: ServerConnection, call: bytes, attempt: Attempt) -> face.Outcome | None:
+    def _set_up(
+        self, connection: ServerConnection, call: bytes, attempt: Attempt
+    ) -> interface.Outcome | None:
         request, upstream = attempt.request, self.upstream
         if connection.blocked():
             # An unreachable machine reads nothing: set-ups must not pile up in the write buffer.
-            return face.Outcome.NO_CONNECTION
-        if not upstream.engine.wanted(attempt):
-            return face.Outcome.NOT_SENT if attempt.out else None
-        left_ms = max(1, int(attempt.cut_at_ms - upstream.now_ms()))
+            return interface.Outcome.NO_CONNECTION
+        if not upstream.engine.may_send(attempt):
+            return interface.Outcome.NOT_SENT if attempt.active else None
+        left_ms = max(1, int(attempt.timeout_at_ms - upstream.now_ms()))
         self.calls[call] = connection.set_ups[call] = attempt
         self.connection_of[call] = connection
-        written = connection.say(
-            message(
+        written = connection.send(
+            encode_message(
                 SET_UP,
                 call,
                 (CLASS, request.call_class.encode()),
@@ -251,7 +253,7 @@
         )
         if written:
             connection.flush()
-            upstream.engine.written(attempt)
+            upstream.engine.on_set_up_written(attempt)
         return None
 
     def end(self, attempt: Attempt) -> None:
@@ -270,12 +272,12 @@
 
     def send_release(self, call: bytes, connection: ServerConnection | None) -> None:
         """Releases a call at the server, with cause 16 (normal)."""
-        release = message(RELEASE, call, (CAUSE, bytes((NORMAL,))))
-        if connection is None or not connection.say(release):
+        release = encode_message(RELEASE, call, (CAUSE, bytes((CAUSE_NORMAL,))))
+        if connection is None or not connection.send(release):
             self.unsent_releases.append(release)  # otherwise the server would keep the call
             self.connect()
 
-    def release_unheld(self, call: bytes) -> None:
+    def release_unknown_call(self, call: bytes) -> None:
         """Releases a call that is not known here, such as one set up by another process."""
         self.upstream.remember_ended(call)
         self.send_release(call, self._least_used())
@@ -292,12 +294,12 @@
     # Connections.
 
     def connect(self) -> None:
-        if self.is_connecting() or self.state is face.ServerState.GONE:
+        if self.is_connecting() or self.state is interface.ServerState.GONE:
             return
         self.connecting, self.connect_started_ms = True, self.upstream.now_ms()
         host, port = self.address
         self.upstream.reactor.connectTCP(
-            host, port, self.connection_factory, timeout=self.upstream.dial_timeout_s
+            host, port, self.connection_factory, timeout=self.upstream.connect_timeout_s
         )
 
     def connected(self, connection: ServerConnection) -> None:
@@ -306,7 +308,7 @@
         Prevents set-ups from being lost and delayed on a connection that is reset right after it opened.
         """
         self.connecting = False
-        if self.state is face.ServerState.GONE:
+        if self.state is interface.ServerState.GONE:
             # Another server may listen there by now, which has none of these calls.
             connection.transport.abortConnection()
             self.drop_calls()
@@ -337,17 +339,18 @@
         self.active.append(connection)
         releases, self.unsent_releases = self.unsent_releases, []
         for release in releases:
-            connection.say(release)
+            connection.send(release)
         # One at a time: the result of one set-up may end others in the queue, which must not be sent.
         while self.queued and connection in self.active:
             call, attempt = next(iter(self.queued.items()))
             del self.queued[call]
-            if not self.upstream.engine.sent_to(self.uid):
-                outcome = face.Outcome.NO_CONNECTION  # the server began to drain while the connection opened
+            if not self.upstream.engine.accepts_set_ups(self.uid):
+                # the server began to drain while the connection opened
+                outcome = interface.Outcome.NO_CONNECTION
             else:
                 outcome = self._set_up(connection, call, attempt)
             if outcome is not None:
-                self.upstream.engine.ended(attempt, outcome)
+                self.upstream.engine.on_attempt_ended(attempt, outcome)
         self.upstream.remove_if_unused(self)
 
     def _surplus(self, now_ms: float) -> list[ServerConnection]:
@@ -371,7 +374,7 @@
     def connect_failed(self, refused: bool) -> None:
         self.connecting = False
         self.unreachable = True
-        self.upstream.tally.add("servers.refused" if refused else "servers.unreachable")
+        self.upstream.metrics.add("servers.refused" if refused else "servers.unreachable")
         self._fail_queued()
         quiet_ms = self.upstream.now_ms() - self.last_received_ms
         if quiet_ms > CALLS_LOST_AFTER_MS or (
@@ -388,7 +391,7 @@
     def no_local_socket(self) -> None:
         """No local socket was available: this says nothing about the server, but queued set-ups go elsewhere."""
         self.connecting = False
-        self.upstream.tally.add("servers.no_socket")
+        self.upstream.metrics.add("servers.no_socket")
         self._fail_queued()
         self.upstream.remove_if_unused(self)
 
@@ -396,7 +399,7 @@
         """Ends the queued set-ups without a connection, so that they are sent elsewhere."""
         queued, self.queued = self.queued, {}
         for attempt in queued.values():
-            self.upstream.engine.ended(attempt, face.Outcome.NO_CONNECTION)
+            self.upstream.engine.on_attempt_ended(attempt, interface.Outcome.NO_CONNECTION)
 
     def lost(self, connection: ServerConnection, all_read: bool = False) -> None:
         """A connection was lost: its set-ups in progress may have run; established calls may go on."""
@@ -425,8 +428,8 @@
             self.connect()
         for call, attempt in list(connection.set_ups.items()):
             self._remove(call)
-            self.upstream.engine.ended(attempt, face.Outcome.CUT)
-        if self.state is face.ServerState.GONE and not self.active:
+            self.upstream.engine.on_attempt_ended(attempt, interface.Outcome.CUT)
+        if self.state is interface.ServerState.GONE and not self.active:
             self.drop_calls()
         self.upstream.remove_if_unused(self)
 
@@ -444,7 +447,7 @@
             connection.abort()
         for call, attempt in list(self.calls.items()):
             if self._remove(call) is not None:
-                self.upstream.engine.ended(attempt, face.Outcome.CUT)
+                self.upstream.engine.on_attempt_ended(attempt, interface.Outcome.CUT)
 
     def _drop_orphaned_calls(self) -> None:
         """Ends the calls whose connection is lost when no newer connection could report their end."""
@@ -452,7 +455,7 @@
         still_open = self.open_connections()
         for call, connection in list(self.connection_of.items()):
             if connection not in still_open:
-                self.upstream.engine.ended(self._remove(call), face.Outcome.CUT)
+                self.upstream.engine.on_attempt_ended(self._remove(call), interface.Outcome.CUT)
 
     def open_connections(self) -> list[ServerConnection]:
         return self.active + ([self.pending] if self.pending is not None else [])
@@ -472,9 +475,9 @@
         """
         for attempt in list(connection.set_ups.values()):
             if self._overtaken(attempt):
-                self.upstream.tally.add("servers.late_set_ups")
+                self.upstream.metrics.add("servers.late_set_ups")
                 self.end(attempt)
-                self.upstream.engine.ended(attempt, face.Outcome.CUT)
+                self.upstream.engine.on_attempt_ended(attempt, interface.Outcome.CUT)
 
     def _is_suspect(self, connection: ServerConnection, now_ms: float) -> bool:
         """Returns whether a connection is silent while others to the same server are not."""
@@ -503,20 +506,23 @@
         that hangs looks the same too; there a new connection stays silent as well, and no call is dropped.
         """
         for connection in self.open_connections():
-            if connection.partial_ms and now_ms - connection.partial_ms > PARTIAL_MESSAGE_TIMEOUT_MS:
+            if (
+                connection.partial_since_ms
+                and now_ms - connection.partial_since_ms > PARTIAL_MESSAGE_TIMEOUT_MS
+            ):
                 connection.malformed(
                     MessageError(f"message unfinished after {PARTIAL_MESSAGE_TIMEOUT_MS:.0f} ms")
                 )
             elif self._is_suspect(connection, now_ms):
                 if connection.is_dead(now_ms):
-                    self.upstream.tally.add("servers.dead_links")
+                    self.upstream.metrics.add("servers.dead_links")
                     connection.abort()
                 else:
                     connection.send_test()
         for connection in list(self.half_closed):
             if now_ms - connection.closing_since_ms > CLOSE_TIMEOUT_MS:
                 connection.abort()
-        if self.state is face.ServerState.GONE:
+        if self.state is interface.ServerState.GONE:
             if now_ms - self.last_received_ms > UNREACHABLE_AFTER_MS:
                 self.drop_calls()
             elif self.replacement_due_ms and now_ms - self.replacement_due_ms > UNREACHABLE_AFTER_MS:
@@ -566,10 +572,10 @@
         failed = sum(connection.test_failed(now_ms) for connection in silent)
         replace = failed and len(self.active) - failed < 2 * MAX_CONNECTIONS
         if unanswered or (self.calls and quiet_ms > SILENCE_TIMEOUT_MS):
-            self.upstream.tally.add("servers.silent")
+            self.upstream.metrics.add("servers.silent")
             self.connect()
         elif replace or self.replacement_due_ms:
-            self.upstream.tally.add("servers.renewed")
+            self.upstream.metrics.add("servers.renewed")
             self.connect()
 
     # Messages from the server.
@@ -579,15 +585,15 @@
         if attempt is not None:
             if self.connection_of[call].set_ups.pop(call, None) is not None:
                 self.latest_answered_ms = max(self.latest_answered_ms, attempt.sent_ms)
-            self.upstream.engine.stood(attempt, description)
+            self.upstream.engine.on_established(attempt, description)
 
     def released(
         self,
         connection: ServerConnection,
         call: bytes,
         cause: int,
-        note: face.Cause,
-        load: face.Load | None,
+        note: interface.Cause,
+        load: interface.Load | None,
     ) -> None:
         expected = self.connection_of.get(call)
         if (
@@ -598,15 +604,16 @@
             expected.missed_end_ms = connection.last_received_ms  # the release was due on that connection
         attempt = self._remove(call)
         if attempt is None:
-            if call not in self.upstream.recently_ended and cause in (NORMAL, TEMPORARY_FAILURE):
-                self.upstream.on_unknown_end(call, cause != NORMAL)
-        elif attempt.stands:
-            outcome = face.Outcome.SERVED if cause == NORMAL else face.Outcome.CUT
-            self.upstream.engine.ended(attempt, outcome, load=load)
-        elif cause == NORMAL:
-            self.upstream.engine.spent(attempt)  # it was established: its answer is late or lost
+            if call not in self.upstream.recently_ended and cause in (CAUSE_NORMAL, TEMPORARY_FAILURE):
+                self.upstream.on_unknown_end(call, cause != CAUSE_NORMAL)
+        elif attempt.established:
+            outcome = interface.Outcome.SERVED if cause == CAUSE_NORMAL else interface.Outcome.CUT
+            self.upstream.engine.on_attempt_ended(attempt, outcome, load=load)
+        elif cause == CAUSE_NORMAL:
+            # it was established: its answer is late or lost
+            self.upstream.engine.on_ended_unanswered(attempt)
         else:
-            self.upstream.engine.ended(attempt, OUTCOME_OF_CAUSE[cause], note, load)
+            self.upstream.engine.on_attempt_ended(attempt, OUTCOME_OF_CAUSE[cause], note, load)
 
 
 class Servers:
@@ -617,23 +624,23 @@
     def __init__(
         self,
         reactor: object,
-        tally: Tally,
+        metrics: Metrics,
         now_ms: Callable[[], float],
         connect_timeout_ms: float,
         on_unknown_end: Callable[[bytes, bool], None],
         deadlines: Deadlines,
-        most_links: float = math.inf,
+        max_connections: float = math.inf,
     ) -> None:
-        self.reactor, self.tally, self.now_ms = reactor, tally, now_ms
-        self.most_links = most_links  # connections to all servers, limited by file descriptors
-        self.dial_timeout_s = connect_timeout_ms / 1000.0
+        self.reactor, self.metrics, self.now_ms = reactor, metrics, now_ms
+        self.max_connections = max_connections  # connections to all servers, limited by file descriptors
+        self.connect_timeout_s = connect_timeout_ms / 1000.0
         self.on_unknown_end, self.deadlines = on_unknown_end, deadlines
         self.servers: dict[str, Server] = {}
         self.recently_ended: dict[bytes, float] = {}  # call id -> time of its end, oldest first
 
-    def listed(self, update: face.ListNews, addresses: dict[str, Address]) -> None:
+    def apply_list_update(self, update: interface.ServerListUpdate, addresses: dict[str, Address]) -> None:
         """Applies a server list update; call it before the engine's, so that the engine can send there."""
-        if update.kind is not face.NewsKind.CHANGES:
+        if update.kind is not interface.UpdateKind.CHANGES:
             for uid in self.servers.keys() - addresses.keys():
                 self._gone(self.servers[uid])
         for entry in update.entries:
@@ -644,7 +651,7 @@
                 self._gone(server)
                 server.drop_calls()  # same uid, but another process: the calls at the old one are lost
                 server = None
-            if entry.state is face.ServerState.GONE:
+            if entry.state is interface.ServerState.GONE:
                 if server is not None:
                     self._gone(server)
                 continue
@@ -664,20 +671,20 @@
             server.state = entry.state
 
     def _gone(self, server: Server) -> None:
-        server.state = face.ServerState.GONE
+        server.state = interface.ServerState.GONE
         queued, server.queued = server.queued, {}
         for attempt in queued.values():
-            self.engine.ended(attempt, face.Outcome.NO_CONNECTION)
+            self.engine.on_attempt_ended(attempt, interface.Outcome.NO_CONNECTION)
         if not server.active:
             server.drop_calls()
         self.remove_if_unused(server)
 
-    def look(self, _: object = None) -> None:
+    def check_connections(self, _: object = None) -> None:
         """Checks all connections, and schedules the next check."""
         now_ms = self.now_ms()
         for server in list(self.servers.values()):
             server.check_connections(now_ms)
-        self.deadlines.at(now_ms + CHECK_INTERVAL_MS, self.look)
+        self.deadlines.call_at(now_ms + CHECK_INTERVAL_MS, self.check_connections)
 
     def has_capacity(self) -> bool:
         """Returns whether a file descriptor is available for an additional connection to a server.
@@ -688,22 +695,22 @@
             max(1, len(server.active) + len(server.half_closed)) + server.is_connecting()
             for server in self.servers.values()
         )
-        return used < self.most_links
+        return used < self.max_connections
 
     def listed_count(self) -> int:
         """Returns the number of servers on the list, without those reported gone."""
-        return sum(server.state is not face.ServerState.GONE for server in self.servers.values())
+        return sum(server.state is not interface.ServerState.GONE for server in self.servers.values())
 
-    def avoided(self) -> int:
+    def unreachable_count(self) -> int:
         """Returns the number of listed servers whose last connect failed and that have no connection."""
         return sum(
-            server.unreachable and not server.active and server.state is not face.ServerState.GONE
+            server.unreachable and not server.active and server.state is not interface.ServerState.GONE
             for server in self.servers.values()
         )
 
     def remove_if_unused(self, server: Server) -> None:
         """Removes a server that has left the list once it has no calls."""
-        if server.state is face.ServerState.GONE and not server.calls:
+        if server.state is interface.ServerState.GONE and not server.calls:
             for connection in server.open_connections() + server.half_closed:
                 connection.transport.loseConnection()
             if self.servers.get(server.uid) is server:
@@ -716,24 +723,24 @@
         while now_ms - next(iter(self.recently_ended.values())) > RECENTLY_ENDED_MS:
             del self.recently_ended[next(iter(self.recently_ended))]
 
-    def parse_load(self, report: memoryview | None) -> face.Load | None:
+    def parse_load(self, report: memoryview | None) -> interface.Load | None:
         """Parses a load report such as x0:12;x1:40; fields of unknown names are skipped."""
         if report is None:
             return None
         try:
-            return load_named(str(report, "ascii"))
+            return parse_load_report(str(report, "ascii"))
         except (UnicodeDecodeError, MalformedError) as exc:
             raise MessageError(f"malformed load report: {exc}") from exc
 
-    # Implements core.FarSide.
+    # Implements core.Upstream.
 
-    def send(self, attempt: Attempt) -> face.Outcome | None:
+    def send(self, attempt: Attempt) -> interface.Outcome | None:
         server = self.servers.get(attempt.server)
-        return face.Outcome.NO_CONNECTION if server is None else server.send(attempt)
+        return interface.Outcome.NO_CONNECTION if server is None else server.send(attempt)
 
-    def give_up(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         server = self.servers.get(attempt.server)
         if server is not None:
             server.end(attempt)
 
-    release = give_up
+    release = cancel
--- a/leadslip/operators.py
+++ b/leadslip/operators.py
@@ -17,7 +17,7 @@
     content_type: bytes = b"text/plain; charset=utf-8"
 
 
-class Asked(NamedTuple):
+class OperatorRequest(NamedTuple):
     """A request of an operator: the path below the endpoint's name, the query, the body, and a callback.
 
     A handler that can't answer yet returns None and calls `reply` once, later.
@@ -29,18 +29,18 @@
     reply: Callable[[Answer], None] = lambda answer: None
 
 
-Handler = Callable[[Asked], Answer | None]
+Handler = Callable[[OperatorRequest], Answer | None]
 
 
-class Verbs(NamedTuple):
+class Endpoint(NamedTuple):
     """One endpoint: its handlers by HTTP method, whether it accepts a longer path, and the maximum body in bytes."""
 
     methods: Mapping[bytes, Handler]
-    below: bool = False
-    most_body: int = 1024
+    has_subpaths: bool = False
+    max_body: int = 1024
 
 
-Calls = dict[bytes, Verbs]  # name below /control -> endpoint
+Endpoints = dict[bytes, Endpoint]  # name below /control -> endpoint
 
 
 def as_json(value: object, status: int = 200) -> Answer:
--- a/leadslip/parts/__init__.py
+++ b/leadslip/parts/__init__.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Around:
+class SettingsContext:
     """What a part's settings are validated against besides their own file."""
 
     classes: tuple[str, ...] | None = None  # names of the proxy's call classes; None where they are unknown
@@ -31,54 +31,58 @@
     running: bool = False  # for a proxy that starts here, not for a file that is only checked
 
 
-class Kind:
+class PartSettings:
     """Describes the settings file of one part; each part has a subclass."""
 
     name: ClassVar[str]  # of the file and of the table in an applications file
-    variable: ClassVar[str]  # environment variable that names the file
-    lasting: ClassVar[str]  # the keys that can't change without a restart, as errors name them
+    environment_variable: ClassVar[str]  # environment variable that names the file
+    restart_keys: ClassVar[str]  # the keys that can't change without a restart, as errors name them
 
     @staticmethod
-    def settings(told: Mapping, around: Around) -> object | None:
+    def settings(table: Mapping, context: SettingsContext) -> object | None:
         """The validated settings from the file's table; None where the part is off. Raises MalformedError."""
         raise NotImplementedError
 
     @staticmethod
-    def fixed(conf: object) -> object:
+    def restart_settings(conf: object) -> object:
         """The settings that can't change without a restart."""
         return conf
 
     @staticmethod
-    def taken(conf: object) -> tuple[tuple[str, object], ...]:
+    def exclusive_values(conf: object) -> tuple[tuple[str, object], ...]:
         """Keys and values, such as addresses, that no two applications on one machine may share."""
         return ()
 
 
-def kind(name: str) -> type[Kind]:
+def settings_class(name: str) -> type[PartSettings]:
     """The class that describes the settings file of a part."""
-    return importlib.import_module(f"leadslip.parts.{name}.settings").KIND
+    return importlib.import_module(f"leadslip.parts.{name}.settings").SETTINGS_CLASS
 
 
-def wiring(name: str) -> type[Part]:
+def part_class(name: str) -> type[Part]:
     """The class that wires a part into a running proxy; imports all that the part needs."""
     return importlib.import_module(f"leadslip.parts.{name}.part").PART
 
 
-def read(conf: config.Config, environ: Mapping[str, str] = os.environ) -> dict[str, object]:
+def read_settings(conf: config.Config, environ: Mapping[str, str] = os.environ) -> dict[str, object]:
     """Reads the settings of every part for a proxy that starts here; None for one that is off.
 
     Raises MalformedError.
     """
-    around = Around(tuple(call_class.name for call_class in conf.settings.classes), running=True)
+    context = SettingsContext(tuple(call_class.name for call_class in conf.settings.classes), running=True)
     for name in NAMES:
-        table = config.read_optional_toml(environ, kind(name).variable, f"deploy/{name}.toml")
-        around.settings[name] = kind(name).settings(table, around)
-    return around.settings
+        table = config.read_optional_toml(
+            environ, settings_class(name).environment_variable, f"deploy/{name}.toml"
+        )
+        context.settings[name] = settings_class(name).settings(table, context)
+    return context.settings
 
 
-def fixed(settings: Mapping[str, object]) -> dict[str, object]:
+def restart_settings(settings: Mapping[str, object]) -> dict[str, object]:
     """The settings of all parts that can't change without a restart, by the keys that errors name."""
     return {
-        kind(name).lasting: None if conf is None else kind(name).fixed(conf)
+        settings_class(name).restart_keys: None
+        if conf is None
+        else settings_class(name).restart_settings(conf)
         for name, conf in settings.items()
     }
--- a/leadslip/parts/agreement/part.py
+++ b/leadslip/parts/agreement/part.py
@@ -7,7 +7,7 @@
 import secrets
 from collections.abc import Callable
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.config import MissingError
 from leadslip.errors import OperatorError
 from leadslip.filters import Filter
@@ -15,8 +15,8 @@
 from leadslip.fleet.agreement.documents import (
     MAX_DOCUMENT_BYTES,
     SCHEMAS,
+    ChangeResult,
     Isolated,
-    Outcome,
     Proposal,
     RefusedError,
     hash_of,
@@ -24,7 +24,7 @@
 from leadslip.fleet.agreement.filter import AgreedRules
 from leadslip.fleet.agreement.member import Agreement, Propose, StoppedError
 from leadslip.fleet.agreement.saver import Saver
-from leadslip.operators import Answer, Asked, Calls, Verbs, as_json, problem
+from leadslip.operators import Answer, Endpoint, Endpoints, OperatorRequest, as_json, problem
 from leadslip.parts.part import Part
 
 DEFAULT_WAIT_MS, MAX_WAIT_MS = 3000.0, 30_000.0  # how long a request waits for a majority
@@ -51,11 +51,11 @@
         rng = random.Random(random.SystemRandom().getrandbits(64))
         agreement_class = Agreement
         if self.peers.conf.broken:
-            from leadslip.drill.broken import AGREEMENTS
+            from leadslip.drill.faulty import AGREEMENT_VARIANTS
 
-            agreement_class = AGREEMENTS.get(self.peers.conf.broken, Agreement)
+            agreement_class = AGREEMENT_VARIANTS.get(self.peers.conf.broken, Agreement)
         self.agreement = agreement_class(
-            self.peers.view, conf.voters, conf.in_force_ms, isolated, rng, node.tally, node.log
+            self.peers.view, conf.voters, conf.in_force_ms, isolated, rng, node.metrics, node.log
         )
         if self.peers.view.me.name in conf.voters:
             if not conf.disk:
@@ -63,11 +63,11 @@
                     "agreement.disk is missing: this proxy is listed in agreement.voters and needs a file"
                 )
             disk = Disk(conf.disk)
-            self.agreement.votes_with(disk.id, disk.starts, disk.load([]))
+            self.agreement.make_voter(disk.id, disk.starts, disk.load([]))
             self.saver = Saver(disk, node.reactor.callFromThread, self.saved, self.agreement.on_save_failed)
-        self.carrier = self.peers.join("agreement", self.agreement, self.save)
-        self.peers.tell_facts()
-        node.filter()
+        self.carrier = self.peers.add_part("agreement", self.agreement, self.save)
+        self.peers.publish_metadata()
+        node.rebuild_filters()
 
     # Between the fleet transport and the agreement.
 
@@ -83,9 +83,9 @@
         for save in saves:
             self.saver.put(save)
         if saves and not self.peers.stopped:
-            self.peers.tell_facts()
+            self.peers.publish_metadata()
 
-    def facts(self) -> dict[str, str | int]:
+    def member_metadata(self) -> dict[str, str | int]:
         return {} if self.agreement is None else self.agreement.facts()
 
     def close(self) -> None:
@@ -99,35 +99,39 @@
             return []
         return [AgreedRules(self.agreement, self.peers.clock, self, self.peers.history)]
 
-    def settings(self) -> face.Settings:
+    def settings(self) -> interface.Settings:
         return self.node.conf.settings
 
-    def adopt(self, settings: face.Settings) -> None:
+    def apply_settings(self, settings: interface.Settings) -> None:
         engine = self.node.engine
         if settings != engine.settings:
-            engine.adopt(settings, engine.most_held)
+            engine.apply_settings(settings, engine.max_open_requests)
 
-    def hold(self, servers: frozenset[str]) -> None:
-        self.node.engine.hold(servers)
+    def drain_servers(self, servers: frozenset[str]) -> None:
+        self.node.engine.drain_servers(servers)
 
-    def keep(self, lines: dict[str, int]) -> None:
+    def set_reserved_lines(self, lines: dict[str, int]) -> None:
         trunks = self.node.parts.get("trunks")
         if trunks is not None and trunks.reservation is not None:
-            trunks.reservation.keep(lines, [call_class.name for call_class in self.settings().classes])
+            trunks.reservation.set_reserved_lines(
+                lines, [call_class.name for call_class in self.settings().classes]
+            )
 
     # Control endpoints.
 
-    def figures(self) -> dict[str, Callable[[], int]]:
-        return {"agreed_revision": lambda: self.agreement.held.revision if self.agreement is not None else 0}
+    def gauges(self) -> dict[str, Callable[[], int]]:
+        return {
+            "agreed_revision": lambda: self.agreement.current.revision if self.agreement is not None else 0
+        }
 
-    def calls(self) -> Calls:
+    def endpoints(self) -> Endpoints:
         return {
-            b"settings": Verbs(
+            b"settings": Endpoint(
                 {b"GET": self.get_settings, b"PUT": self.put_settings, b"DELETE": self.put_settings},
-                below=True,
-                most_body=len(SCHEMAS) * MAX_DOCUMENT_BYTES,
+                has_subpaths=True,
+                max_body=len(SCHEMAS) * MAX_DOCUMENT_BYTES,
             ),
-            b"voters": Verbs({b"GET": self.get_voters, b"PUT": self.put_voters}),
+            b"voters": Endpoint({b"GET": self.get_voters, b"PUT": self.put_voters}),
         }
 
     def require_agreement(self) -> Agreement:
@@ -136,13 +140,13 @@
             raise StoppedError("the agreement has not started on this proxy yet")
         return self.agreement
 
-    def get_settings(self, request: Asked) -> Answer:
+    def get_settings(self, request: OperatorRequest) -> Answer:
         """Answers with all that is agreed, or with one document."""
         agreement = self.require_agreement()
         if not request.path:
             documents = {
                 name: {"hash": hash_of(body), "bytes": len(body)}
-                for name, body in agreement.held.bodies.items()
+                for name, body in agreement.current.bodies.items()
             }
             history = [
                 {
@@ -154,19 +158,19 @@
                 | {"unix_ms": revision.unix_ms, "id": revision.id}
                 for revision in agreement.documents.history[-20:]
             ]
-            status = agreement.told(self.peers.clock.now_ms())
+            status = agreement.status(self.peers.clock.now_ms())
             return as_json(status | {"documents": documents, "history": history})
         name = "/".join(request.path)
-        if name not in agreement.held.bodies:
+        if name not in agreement.current.bodies:
             raise NoDocumentError(f"no document {name} is agreed on")
         answer = {
             "name": name,
-            "revision": agreement.held.revision,
-            "document": json.loads(agreement.held.bodies[name]),
+            "revision": agreement.current.revision,
+            "document": json.loads(agreement.current.bodies[name]),
         }
         return as_json(answer)
 
-    def put_settings(self, request: Asked) -> Answer | None:
+    def put_settings(self, request: OperatorRequest) -> Answer | None:
         """Proposes a change of the named document, or of those in the body, if unchanged since revision `expect`."""
         agreement, name = self.require_agreement(), "/".join(request.path)
         if name:
@@ -180,7 +184,7 @@
                 }
             except (ValueError, AttributeError) as error:
                 raise RefusedError(f"the body must be a JSON object of documents by name: {error}") from error
-        expect = query_number(request, "expect", agreement.held.revision)
+        expect = query_number(request, "expect", agreement.current.revision)
         query = request.query
         change = Proposal(
             query.get("id") or secrets.token_hex(8),
@@ -193,7 +197,7 @@
         agreement.documents.check(change) if agreement.raft is not None else None
         return self.propose(request, Propose(change.id, change))
 
-    def get_voters(self, request: Asked) -> Answer:
+    def get_voters(self, request: OperatorRequest) -> Answer:
         """Answers with the voters as this proxy knows them, and the voter ids of all live members."""
         agreement = self.require_agreement()
         there = {
@@ -201,20 +205,20 @@
             for member in self.peers.view.members()
             if "voter" in member.facts
         }
-        return as_json({"voter": agreement.told(self.peers.clock.now_ms())["voter"], "there": there})
+        return as_json({"voter": agreement.status(self.peers.clock.now_ms())["voter"], "there": there})
 
-    def put_voters(self, request: Asked) -> Answer | None:
+    def put_voters(self, request: OperatorRequest) -> Answer | None:
         """Proposes a new list of voters (comma-separated ids), with one voter more or one less than now."""
         ids = [id_ for id_ in request.query.get("ids", "").split(",") if id_]
         if not ids:
             raise RefusedError("ids is empty: it must list the voters' ids, separated by commas")
         return self.propose(request, Propose(secrets.token_hex(8), None, ids))
 
-    def propose(self, request: Asked, proposal: Propose) -> None:
+    def propose(self, request: OperatorRequest, proposal: Propose) -> None:
         """Proposes a change and replies once its result is known."""
         wait_ms = min(query_number(request, "wait_ms", DEFAULT_WAIT_MS), MAX_WAIT_MS)
 
-        def done(result: Outcome | OperatorError) -> None:
+        def done(result: ChangeResult | OperatorError) -> None:
             if isinstance(result, OperatorError):
                 request.reply(problem(result))
             else:
@@ -224,7 +228,7 @@
         self.carrier.flush()
 
 
-def query_number(request: Asked, key: str, default: float) -> float:
+def query_number(request: OperatorRequest, key: str, default: float) -> float:
     """Returns a number of a request's query. Raises RefusedError if it is not one."""
     try:
         return float(request.query.get(key, default))
--- a/leadslip/parts/agreement/settings.py
+++ b/leadslip/parts/agreement/settings.py
@@ -5,8 +5,15 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from leadslip.config import MalformedError, NeedsError, TakenError, figures_of, member, turned_on
-from leadslip.parts import Around, Kind
+from leadslip.config import (
+    MalformedError,
+    NeedsError,
+    TakenError,
+    bounded_numbers,
+    is_enabled,
+    required_value,
+)
+from leadslip.parts import PartSettings, SettingsContext
 
 KEYS = {
     "in_force_ms": (2000.0, 200.0, 600_000.0),
@@ -27,32 +34,32 @@
     )
 
 
-def settings(told: Mapping, around: Around) -> AgreementConfig | None:
+def settings(table: Mapping, context: SettingsContext) -> AgreementConfig | None:
     """Returns the validated settings of the agreement; None if they disable it."""
-    if not turned_on(told, "agreement", ("voters", "disk", *KEYS)):
+    if not is_enabled(table, "agreement", ("voters", "disk", *KEYS)):
         return None
-    if around.settings.get("fleet") is None:
+    if context.settings.get("fleet") is None:
         raise NeedsError("agreement needs the fleet to be turned on")
-    voters = member(told, "voters", list, "agreement")
+    voters = required_value(table, "voters", list, "agreement")
     if not 1 <= len(voters) <= MAX_VOTERS or not all(isinstance(voter, str) and voter for voter in voters):
         raise MalformedError(f"agreement.voters must be a list of 1 to {MAX_VOTERS} names: {voters!r}")
     if len(set(voters)) < len(voters):
         raise TakenError(f"agreement.voters names a voter twice: {voters!r}")
-    disk = told.get("disk", "")
+    disk = table.get("disk", "")
     if not isinstance(disk, str) or disk.endswith("/"):
         raise MalformedError(f"agreement.disk must be the path of a file: {disk!r}")
-    return AgreementConfig(tuple(voters), disk, **figures_of(told, "agreement", KEYS))
+    return AgreementConfig(tuple(voters), disk, **bounded_numbers(table, "agreement", KEYS))
 
 
-class AgreementSettings(Kind):
+class AgreementSettings(PartSettings):
     """The settings file of the agreement part."""
 
-    name, variable, lasting = "agreement", "LEADSLIP_AGREEMENT", "agreement"
+    name, environment_variable, restart_keys = "agreement", "LEADSLIP_AGREEMENT", "agreement"
     settings = staticmethod(settings)
 
     @staticmethod
-    def taken(conf: AgreementConfig) -> tuple[tuple[str, object], ...]:
+    def exclusive_values(conf: AgreementConfig) -> tuple[tuple[str, object], ...]:
         return (("agreement.disk", conf.disk),) if conf.disk else ()
 
 
-KIND = AgreementSettings
+SETTINGS_CLASS = AgreementSettings
--- a/leadslip/parts/enum/part.py
+++ b/leadslip/parts/enum/part.py
@@ -17,9 +17,9 @@
                 self.conf,
                 node.conf.seed,
                 node.deadlines,
-                node.tally,
+                node.metrics,
                 node.log,
-                node.watches["dns"],
+                node.observers["dns"],
             )
         )
 
--- a/leadslip/parts/enum/settings.py
+++ b/leadslip/parts/enum/settings.py
@@ -5,9 +5,17 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from leadslip import interface as face
-from leadslip.config import Address, MalformedError, TakenError, address_of, figures_of, member, turned_on
-from leadslip.parts import Around, Kind
+from leadslip import interface
+from leadslip.config import (
+    Address,
+    MalformedError,
+    TakenError,
+    bounded_numbers,
+    is_enabled,
+    parse_address,
+    required_value,
+)
+from leadslip.parts import PartSettings, SettingsContext
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +29,7 @@
     attempt_ms: float
     max_open_requests: int
     max_connections: int
-    settings: face.Settings
+    settings: interface.Settings
 
 
 ENUM_KEYS = {  # key -> (default, minimum, maximum)
@@ -33,25 +41,25 @@
 }
 
 
-def settings(told: Mapping, around: Around | None = None) -> EnumConfig | None:
+def settings(table: Mapping, context: SettingsContext | None = None) -> EnumConfig | None:
     """The validated settings of ENUM look-ups; None where they are off. Raises MalformedError."""
-    if not turned_on(told, "enum", ("listen", "resolvers", "suffix", *ENUM_KEYS)):
+    if not is_enabled(table, "enum", ("listen", "resolvers", "suffix", *ENUM_KEYS)):
         return None
-    numbers = figures_of(told, "enum", ENUM_KEYS)
-    listed = member(told, "resolvers", list, "enum")
+    numbers = bounded_numbers(table, "enum", ENUM_KEYS)
+    listed = required_value(table, "resolvers", list, "enum")
     if not listed:
         raise MalformedError("enum.resolvers is empty")
-    resolvers = tuple(address_of(text, f"enum.resolvers.{i}") for i, text in enumerate(listed))
+    resolvers = tuple(parse_address(text, f"enum.resolvers.{i}") for i, text in enumerate(listed))
     if len(set(resolvers)) < len(resolvers):
         raise TakenError("enum.resolvers lists an address more than once")
-    suffix = str(told.get("suffix", "e164.arpa")).strip(".").lower()
+    suffix = str(table.get("suffix", "e164.arpa")).strip(".").lower()
     if not suffix or not all(0 < len(label) < 64 for label in suffix.split(".")):
         raise MalformedError(
             f"enum.suffix must be a domain name, with labels of 1 to 63 characters: {suffix!r}"
         )
     wait_ms = numbers["answer_within_ms"]
-    lookup = face.CallClass("enum", worth=1.0, late_worth=0.0, aim_ms=wait_ms, deadline_ms=wait_ms)
-    settings = face.Settings(
+    lookup = interface.CallClass("enum", worth=1.0, late_worth=0.0, aim_ms=wait_ms, deadline_ms=wait_ms)
+    settings = interface.Settings(
         gateways=1,
         index=0,
         classes=(lookup,),
@@ -60,7 +68,7 @@
         tick_ms=5.0,
     )
     return EnumConfig(
-        listen=address_of(member(told, "listen", str, "enum"), "enum.listen"),
+        listen=parse_address(required_value(table, "listen", str, "enum"), "enum.listen"),
         resolvers=resolvers,
         suffix=suffix,
         answer_within_ms=wait_ms,
@@ -71,15 +79,15 @@
     )
 
 
-class EnumSettings(Kind):
+class EnumSettings(PartSettings):
     """Describes the settings file of ENUM look-ups."""
 
-    name, variable, lasting = "enum", "LEADSLIP_ENUM", "enum"
+    name, environment_variable, restart_keys = "enum", "LEADSLIP_ENUM", "enum"
     settings = staticmethod(settings)
 
     @staticmethod
-    def taken(conf: EnumConfig) -> tuple[tuple[str, object], ...]:
+    def exclusive_values(conf: EnumConfig) -> tuple[tuple[str, object], ...]:
         return (("enum.listen", conf.listen),)
 
 
-KIND = EnumSettings
+SETTINGS_CLASS = EnumSettings
--- a/leadslip/parts/fleet/part.py
+++ b/leadslip/parts/fleet/part.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from leadslip import __version__
-from leadslip.core import Watcher
+from leadslip.core import Observer
 from leadslip.net.peers import Peers
-from leadslip.operators import Answer, Asked, Calls, Verbs, as_json
+from leadslip.operators import Answer, Endpoint, Endpoints, OperatorRequest, as_json
 from leadslip.parts.fleet.settings import FleetConfig
 from leadslip.parts.part import Part
 
@@ -15,44 +15,44 @@
 class Fleet(Part):
     """Runs the membership protocol in this proxy."""
 
-    def figures(self) -> dict[str, Callable[[], int]]:
+    def gauges(self) -> dict[str, Callable[[], int]]:
         return {"fleet_members": lambda: len(self.peers.view.table) if self.peers.view is not None else 0}
 
-    def calls(self) -> Calls:
-        return {b"fleet": Verbs({b"GET": self.get_view})}
+    def endpoints(self) -> Endpoints:
+        return {b"fleet": Endpoint({b"GET": self.get_view})}
 
-    def watch(self, watches: dict[str, list[Watcher]]) -> None:
+    def add_observers(self, observers: dict[str, list[Observer]]) -> None:
         # Created before any timer is set: it switches the reactor's timers to a monotonic clock.
         node = self.node
-        self.peers = Peers(node.reactor, self.conf, node.conf.name or "proxy", node.tally, node.log)
+        self.peers = Peers(node.reactor, self.conf, node.conf.name or "proxy", node.metrics, node.log)
 
     def metadata(self) -> dict[str, str | int]:
         """Returns the metadata that this member publishes, including that of its other parts."""
         node = self.node
         metadata = {
             "capacity": node.conf.most_held,
-            "service": node.readiness.service(),
+            "service": node.readiness.service_state(),
             "version": __version__,
         }
         for part in node.parts.values():
-            metadata |= part.facts()
+            metadata |= part.member_metadata()
         return metadata
 
     def start(self) -> None:
         self.peers.start(self.metadata)
 
-    def service(self, state: str) -> None:
-        self.peers.tell_facts()
+    def service_state_changed(self, state: str) -> None:
+        self.peers.publish_metadata()
 
-    def retuned(self, conf: FleetConfig) -> None:
+    def settings_reloaded(self, conf: FleetConfig) -> None:
         """Applies reloaded settings; only the keys may change while the fleet runs."""
-        super().retuned(conf)
-        self.peers.rekey(conf.keys)
+        super().settings_reloaded(conf)
+        self.peers.replace_keys(conf.keys)
 
     def close(self) -> None:
         self.peers.stop()
 
-    def get_view(self, request: Asked) -> Answer:
+    def get_view(self, request: OperatorRequest) -> Answer:
         """Answers `GET /control/fleet`; status 503 before the view exists."""
         return as_json({}, 503) if self.peers.view is None else as_json(view_as_json(self.peers))
 
--- a/leadslip/parts/fleet/settings.py
+++ b/leadslip/parts/fleet/settings.py
@@ -10,12 +10,12 @@
     MalformedError,
     TakenError,
     UnreadableError,
-    address_of,
-    figures_of,
-    member,
-    turned_on,
+    bounded_numbers,
+    is_enabled,
+    parse_address,
+    required_value,
 )
-from leadslip.parts import Around, Kind
+from leadslip.parts import PartSettings, SettingsContext
 
 KEYS = {"most_members": (1024, 1, 4096)}  # key -> (default, minimum, maximum)
 MAX_ZONE_CHARS = 64
@@ -35,25 +35,25 @@
     broken: str = ""  # faulty variant that a fault-injection run asks for; debug builds only
 
 
-def settings(told: Mapping, around: Around) -> FleetConfig | None:
+def settings(table: Mapping, context: SettingsContext) -> FleetConfig | None:
     """Returns the checked settings of the fleet; None if they turn it off. Raises MalformedError."""
-    if not turned_on(
-        told, "fleet", ("listen", "advertise", "seeds", "key_file", "zone", "history", "broken", *KEYS)
+    if not is_enabled(
+        table, "fleet", ("listen", "advertise", "seeds", "key_file", "zone", "history", "broken", *KEYS)
     ):
         return None
-    listen = address_of(member(told, "listen", str, "fleet"), "fleet.listen")
-    advertise = address_of(told.get("advertise", told["listen"]), "fleet.advertise")
-    seed_texts = member(told, "seeds", list, "fleet") if "seeds" in told else []
-    seeds = tuple(address_of(text, f"fleet.seeds.{i}") for i, text in enumerate(seed_texts))
-    zone = told.get("zone", "")
+    listen = parse_address(required_value(table, "listen", str, "fleet"), "fleet.listen")
+    advertise = parse_address(table.get("advertise", table["listen"]), "fleet.advertise")
+    seed_texts = required_value(table, "seeds", list, "fleet") if "seeds" in table else []
+    seeds = tuple(parse_address(text, f"fleet.seeds.{i}") for i, text in enumerate(seed_texts))
+    zone = table.get("zone", "")
     if not isinstance(zone, str) or len(zone) > MAX_ZONE_CHARS:
         raise MalformedError(f"fleet.zone must be a string of at most {MAX_ZONE_CHARS} characters: {zone!r}")
-    key_path = member(told, "key_file", str, "fleet")
-    keys = read_keys(key_path) if around.running else ()
-    history, broken = str(told.get("history", "")), str(told.get("broken", ""))
+    key_path = required_value(table, "key_file", str, "fleet")
+    keys = read_keys(key_path) if context.running else ()
+    history, broken = str(table.get("history", "")), str(table.get("broken", ""))
     if broken and not __debug__:
         raise MalformedError(f"fleet.broken is allowed in debug builds only: {broken!r}")
-    numbers = figures_of(told, "fleet", KEYS)
+    numbers = bounded_numbers(table, "fleet", KEYS)
     return FleetConfig(listen, advertise, seeds, keys, zone, **numbers, history=history, broken=broken)
 
 
@@ -74,19 +74,19 @@
     return keys
 
 
-class FleetSettings(Kind):
+class FleetSettings(PartSettings):
     """Schema of this part's settings file."""
 
-    name, variable, lasting = "fleet", "LEADSLIP_FLEET", "fleet"
+    name, environment_variable, restart_keys = "fleet", "LEADSLIP_FLEET", "fleet"
     settings = staticmethod(settings)
 
     @staticmethod
-    def fixed(conf: FleetConfig) -> object:
+    def restart_settings(conf: FleetConfig) -> object:
         return conf.listen, conf.advertise, conf.seeds, conf.zone, conf.most_members
 
     @staticmethod
-    def taken(conf: FleetConfig) -> tuple[tuple[str, object], ...]:
+    def exclusive_values(conf: FleetConfig) -> tuple[tuple[str, object], ...]:
         return (("fleet.listen", conf.listen),)
 
 
-KIND = FleetSettings
+SETTINGS_CLASS = FleetSettings
--- a/leadslip/parts/logs/settings.py
+++ b/leadslip/parts/logs/settings.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from leadslip.config import MalformedError, UnknownKeyError
-from leadslip.parts import Around, Kind
+from leadslip.parts import PartSettings, SettingsContext
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,12 +20,12 @@
 LOG_FORMATS, LOG_LEVELS = ("plain", "console", "json"), ("debug", "info", "warning", "error")
 
 
-def settings(told: Mapping, around: Around | None = None) -> LogsConfig:
+def settings(table: Mapping, context: SettingsContext | None = None) -> LogsConfig:
     """The validated settings of the log; plain lines of level info by default. Raises MalformedError."""
-    for key in told:
+    for key in table:
         if key not in ("format", "level"):
             raise UnknownKeyError(f"logs.{key} is unknown")
-    conf = LogsConfig(**told)
+    conf = LogsConfig(**table)
     if conf.format not in LOG_FORMATS:
         raise MalformedError(f"logs.format must be one of {', '.join(LOG_FORMATS)}: {conf.format!r}")
     if conf.level not in LOG_LEVELS:
@@ -33,11 +33,11 @@
     return conf
 
 
-class LogsSettings(Kind):
+class LogsSettings(PartSettings):
     """Describes the settings file of logging."""
 
-    name, variable, lasting = "logs", "LEADSLIP_LOGS", "logs"
+    name, environment_variable, restart_keys = "logs", "LEADSLIP_LOGS", "logs"
     settings = staticmethod(settings)
 
 
-KIND = LogsSettings
+SETTINGS_CLASS = LogsSettings
--- a/leadslip/parts/otlp/part.py
+++ b/leadslip/parts/otlp/part.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from leadslip.core import Watcher
+from leadslip.core import Observer
 from leadslip.net.otlp import Exporter, SpanObserver
 from leadslip.parts.part import Part
 
@@ -10,11 +10,11 @@
 class Otlp(Part):
     """The OTLP exporter and its observer of each engine."""
 
-    def watch(self, watches: dict[str, list[Watcher]]) -> None:
+    def add_observers(self, observers: dict[str, list[Observer]]) -> None:
         node = self.node
-        self.exporter = Exporter(node.reactor, self.conf, node.conf.name, node.deadlines, node.tally)
-        watches["sip"].append(SpanObserver(self.exporter, "sip", "INVITE"))
-        watches["dns"].append(SpanObserver(self.exporter, "dns", "NAPTR"))
+        self.exporter = Exporter(node.reactor, self.conf, node.conf.name, node.deadlines, node.metrics)
+        observers["sip"].append(SpanObserver(self.exporter, "sip", "INVITE"))
+        observers["dns"].append(SpanObserver(self.exporter, "dns", "NAPTR"))
 
     def start(self) -> None:
         self.exporter.start()
--- a/leadslip/parts/otlp/settings.py
+++ b/leadslip/parts/otlp/settings.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from leadslip.config import Address, address_of, figures_of, member, turned_on
-from leadslip.parts import Around, Kind
+from leadslip.config import Address, bounded_numbers, is_enabled, parse_address, required_value
+from leadslip.parts import PartSettings, SettingsContext
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,19 +28,21 @@
 }
 
 
-def settings(told: Mapping, around: Around | None = None) -> OtlpConfig | None:
+def settings(table: Mapping, context: SettingsContext | None = None) -> OtlpConfig | None:
     """The validated settings of the OTLP export; None where it is off. Raises MalformedError."""
-    if not turned_on(told, "otlp", ("collector", *OTLP_KEYS)):
+    if not is_enabled(table, "otlp", ("collector", *OTLP_KEYS)):
         return None
-    numbers = figures_of(told, "otlp", OTLP_KEYS)
-    return OtlpConfig(address_of(member(told, "collector", str, "otlp"), "otlp.collector"), **numbers)
+    numbers = bounded_numbers(table, "otlp", OTLP_KEYS)
+    return OtlpConfig(
+        parse_address(required_value(table, "collector", str, "otlp"), "otlp.collector"), **numbers
+    )
 
 
-class OtlpSettings(Kind):
+class OtlpSettings(PartSettings):
     """Describes the settings file of the OTLP export."""
 
-    name, variable, lasting = "otlp", "LEADSLIP_OTLP", "otlp"
+    name, environment_variable, restart_keys = "otlp", "LEADSLIP_OTLP", "otlp"
     settings = staticmethod(settings)
 
 
-KIND = OtlpSettings
+SETTINGS_CLASS = OtlpSettings
--- a/leadslip/parts/part.py
+++ b/leadslip/parts/part.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from leadslip.checks import Tally
 from leadslip.config import Config
-from leadslip.core import Engine, Watcher
+from leadslip.core import Engine, Observer
 from leadslip.counters import Counters
 from leadslip.deadlines import Clock, Deadlines
 from leadslip.filters import Filter
 from leadslip.logs import Log
+from leadslip.metrics import Metrics
 from leadslip.net.clients import Clients
 from leadslip.net.servers import Servers
-from leadslip.operators import Calls
+from leadslip.operators import Endpoints
 from leadslip.readiness import Readiness
 
 
@@ -25,18 +25,18 @@
     conf: Config
     clock: Clock
     deadlines: Deadlines
-    tally: Tally
+    metrics: Metrics
     log: Log
     readiness: Readiness
-    figures: Counters
+    counters: Counters
     engine: Engine  # of calls; created after the parts
     engines: list[Engine]
-    watches: Mapping[str, Watcher | None]
+    observers: Mapping[str, Observer | None]
     clients: Clients  # created after the parts, as the servers are
     servers: Servers
     parts: Mapping[str, Part]  # the parts that are on, by name
 
-    def filter(self) -> None:
+    def rebuild_filters(self) -> None:
         """Rebuilds the filter chain from the filters of all parts."""
 
 
@@ -46,10 +46,10 @@
     def __init__(self, node: Host, conf: object) -> None:
         self.node, self.conf = node, conf
 
-    def watch(self, watches: dict[str, list[Watcher]]) -> None:
+    def add_observers(self, observers: dict[str, list[Observer]]) -> None:
         """Adds observers of the engines, before these are created: `sip` for calls, `dns` for look-ups."""
 
-    def facts(self) -> dict[str, str | int]:
+    def member_metadata(self) -> dict[str, str | int]:
         """The part's contribution to this member's metadata in the fleet."""
         return {}
 
@@ -57,21 +57,21 @@
         """Filters that run before the decisions; created again at each reload."""
         return []
 
-    def figures(self) -> dict[str, Callable[[], int]]:
+    def gauges(self) -> dict[str, Callable[[], int]]:
         """Gauges that are reported to operators beside the proxy's own, by name."""
         return {}
 
-    def calls(self) -> Calls:
+    def endpoints(self) -> Endpoints:
         """Endpoints at the operators' address, by name."""
         return {}
 
     def start(self) -> None:
         """Called when the proxy starts to accept clients."""
 
-    def service(self, told: str) -> None:
+    def service_state_changed(self, state: str) -> None:
         """Called when the service state changes: `in` service, `out` of service for operators, or `ending`."""
 
-    def retuned(self, conf: object) -> None:
+    def settings_reloaded(self, conf: object) -> None:
         """Called with the new settings after a reload."""
         self.conf = conf
 
--- a/leadslip/parts/replicas/part.py
+++ b/leadslip/parts/replicas/part.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from leadslip import interface as face
-from leadslip.core import Watcher
+from leadslip import interface
+from leadslip.core import Observer
 from leadslip.errors import OperatorError
-from leadslip.fleet.replicas.member import LEARNED, STANDS, Replicas
-from leadslip.operators import Answer, Asked, Calls, Verbs, as_json
+from leadslip.fleet.replicas.member import ESTABLISHED, LEARNED, Replicas
+from leadslip.operators import Answer, Endpoint, Endpoints, OperatorRequest, as_json
 from leadslip.parts.part import Part
 from leadslip.request import Attempt, Request
 
@@ -34,42 +34,42 @@
 
     replicas: Replicas | None = None
 
-    def watch(self, watches: dict[str, list[Watcher]]) -> None:
-        watches["sip"].append(self)
+    def add_observers(self, observers: dict[str, list[Observer]]) -> None:
+        observers["sip"].append(self)
 
     def start(self) -> None:
         node = self.node
         self.peers = node.parts["fleet"].peers
-        self.replicas = Replicas(self.peers.view, self.conf.copies, node.tally, node.log, self.recovered)
-        self.carrier = self.peers.join("replicas", self.replicas, lambda: None)
-        node.clients.seek = self.release_call
+        self.replicas = Replicas(self.peers.view, self.conf.copies, node.metrics, node.log, self.recovered)
+        self.carrier = self.peers.add_part("replicas", self.replicas, lambda: None)
+        node.clients.release_elsewhere = self.release_call
         self.replicate_rates()
 
     # Owner: events of the engine
 
     def request_answered(self, request: Request, answer: str, now_ms: float) -> None:
         if answer == "stands" and self.replicas is not None and request.attempt is not None:
-            self.replicas.put(STANDS, request.id, request.attempt.server.encode())
+            self.replicas.put(ESTABLISHED, request.id, request.attempt.server.encode())
 
-    def attempt_ended(self, attempt: Attempt, outcome: face.Outcome, now_ms: float) -> None:
-        if attempt.stands and self.replicas is not None:
-            self.replicas.put(STANDS, attempt.request.id, None)
+    def attempt_ended(self, attempt: Attempt, outcome: interface.Outcome, now_ms: float) -> None:
+        if attempt.established and self.replicas is not None:
+            self.replicas.put(ESTABLISHED, attempt.request.id, None)
 
     def ended_elsewhere(self, call: str) -> None:
         """A server has ended a call that the engine does not hold; it may be one from before a restart."""
         if self.replicas is not None:
-            self.replicas.put(STANDS, call, None)
+            self.replicas.put(ESTABLISHED, call, None)
 
     def replicate_rates(self, _: object = None) -> None:
         """Replicate the learned rates if they have changed; called at an interval."""
         if self.peers.stopped:
             return
-        known_ms, calls, rates = self.node.engine.controller.learned()
+        known_ms, calls, rates = self.node.engine.controller.learned_rates()
         if calls:
             learned = known_ms, calls, {number: float(f"{rate:.3g}") for number, rate in rates.items()}
             self.replicas.put(LEARNED, RATES, msgspec.msgpack.encode(learned))
         clock = self.peers.clock
-        self.peers.deadlines.at(clock.now_ms() + LEARNED_INTERVAL_MS, self.replicate_rates)
+        self.peers.deadlines.call_at(clock.now_ms() + LEARNED_INTERVAL_MS, self.replicate_rates)
 
     def recovered(self, kind: str, states: dict[str, bytes]) -> None:
         """Pass learned rates from before a restart to the controller."""
@@ -77,9 +77,9 @@
             try:
                 learned = msgspec.msgpack.decode(states[RATES], type=LearnedRates)
             except msgspec.DecodeError:
-                self.node.tally.add("replicas.unread")
+                self.node.metrics.add("replicas.unread")
                 return
-            self.node.engine.controller.recall(*learned)
+            self.node.engine.controller.restore_rates(*learned)
 
     # Releases of calls that are not held here
 
@@ -92,9 +92,9 @@
         def located(uid: str) -> None:
             server = self.node.servers.servers.get(uid) if uid else None
             if server is not None:
-                server.release_unheld(bytes.fromhex(call))
+                server.release_unknown_call(bytes.fromhex(call))
                 self.replicas.call_released(call)
-                self.node.tally.add("replicas.released")
+                self.node.metrics.add("replicas.released")
             done(server is not None)
 
         self.replicas.locate(self.peers.clock.now_ms(), call, located)
@@ -102,19 +102,19 @@
 
     # Operators' requests
 
-    def figures(self) -> dict[str, Callable[[], int]]:
+    def gauges(self) -> dict[str, Callable[[], int]]:
         return {"replicas_behind": lambda: int(self.replicas is None or self.replicas.behind(self.now_ms()))}
 
     def now_ms(self) -> float:
         return self.peers.clock.now_ms()
 
-    def calls(self) -> Calls:
-        return {b"replicas": Verbs({b"GET": self.status})}
+    def endpoints(self) -> Endpoints:
+        return {b"replicas": Endpoint({b"GET": self.status})}
 
-    def status(self, request: Asked) -> Answer:
+    def status(self, request: OperatorRequest) -> Answer:
         if self.replicas is None:
             raise NotReplicatedError("replication has not started yet")
-        return as_json(self.replicas.told(self.now_ms()))
+        return as_json(self.replicas.status(self.now_ms()))
 
 
 PART = ReplicasPart
--- a/leadslip/parts/replicas/settings.py
+++ b/leadslip/parts/replicas/settings.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from leadslip.config import NeedsError, figures_of, turned_on
-from leadslip.parts import Around, Kind
+from leadslip.config import NeedsError, bounded_numbers, is_enabled
+from leadslip.parts import PartSettings, SettingsContext
 
 KEYS = {"copies": (2, 1, 8)}  # key -> (default, minimum, maximum)
 
@@ -18,20 +18,20 @@
     copies: int
 
 
-def settings(told: Mapping, around: Around) -> ReplicasConfig | None:
+def settings(table: Mapping, context: SettingsContext) -> ReplicasConfig | None:
     """The checked settings of replication from a file's table; None where it is not turned on."""
-    if not turned_on(told, "replicas", tuple(KEYS)):
+    if not is_enabled(table, "replicas", tuple(KEYS)):
         return None
-    if around.settings.get("fleet") is None:
+    if context.settings.get("fleet") is None:
         raise NeedsError("replicas needs the fleet to be turned on")
-    return ReplicasConfig(**figures_of(told, "replicas", KEYS))
+    return ReplicasConfig(**bounded_numbers(table, "replicas", KEYS))
 
 
-class ReplicasSettings(Kind):
+class ReplicasSettings(PartSettings):
     """The settings file of replication."""
 
-    name, variable, lasting = "replicas", "LEADSLIP_REPLICAS", "replicas"
+    name, environment_variable, restart_keys = "replicas", "LEADSLIP_REPLICAS", "replicas"
     settings = staticmethod(settings)
 
 
-KIND = ReplicasSettings
+SETTINGS_CLASS = ReplicasSettings
--- a/leadslip/parts/store/__init__.py
+++ b/leadslip/parts/store/__init__.py
@@ -1,1 +1,1 @@
-"""The embedded store, for data that outlives the process (keeper.py, store/)."""
+"""The embedded store, for data that outlives the process (recorder.py, store/)."""
--- a/leadslip/parts/store/part.py
+++ b/leadslip/parts/store/part.py
@@ -2,23 +2,23 @@
 
 from __future__ import annotations
 
-from leadslip.core import Watcher
-from leadslip.keeper import Keeper
+from leadslip.core import Observer
 from leadslip.parts.part import Part
+from leadslip.recorder import Recorder
 
 
 class Store(Part):
     """Owns the recorder that stores the data of the other parts."""
 
-    def watch(self, watches: dict[str, list[Watcher]]) -> None:
+    def add_observers(self, observers: dict[str, list[Observer]]) -> None:
         node = self.node
-        self.keeper = Keeper(node.reactor, self.conf, node.deadlines, node.tally, node.log)
+        self.recorder = Recorder(node.reactor, self.conf, node.deadlines, node.metrics, node.log)
 
     def start(self) -> None:
-        self.keeper.start()
+        self.recorder.start()
 
     def close(self) -> None:
-        self.keeper.close()
+        self.recorder.close()
 
 
 PART = Store
--- a/leadslip/parts/store/settings.py
+++ b/leadslip/parts/store/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the embedded store, for data that outlives the process (keeper.py, store/)."""
+"""Settings of the embedded store, for data that outlives the process (recorder.py, store/)."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from leadslip.config import BoundsError, MalformedError, figures_of, member, turned_on
-from leadslip.parts import Around, Kind
+from leadslip.config import BoundsError, MalformedError, bounded_numbers, is_enabled, required_value
+from leadslip.parts import PartSettings, SettingsContext
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,34 +27,34 @@
 }
 
 
-def settings(told: Mapping, around: Around | None = None) -> StoreConfig | None:
+def settings(table: Mapping, context: SettingsContext | None = None) -> StoreConfig | None:
     """Returns the validated configuration of the store; None if the part is not enabled."""
-    if not turned_on(told, "store", ("path", *STORE_BOUNDS)):
+    if not is_enabled(table, "store", ("path", *STORE_BOUNDS)):
         return None
-    path = str(member(told, "path", str, "store"))
+    path = str(required_value(table, "path", str, "store"))
     if not path or path.endswith("/"):
         raise MalformedError(f"store.path must name a file: {path!r}")
-    numbers = figures_of(told, "store", STORE_BOUNDS)
+    numbers = bounded_numbers(table, "store", STORE_BOUNDS)
     if numbers["days"] < numbers["fine_days"]:
         raise BoundsError(
             f"store.days must be at least fine_days ({numbers['fine_days']}): {numbers['days']}"
         )
-    if around is not None and around.running:
+    if context is not None and context.running:
         folder = os.path.dirname(path) or "."
         if os.path.isdir(path) or not os.path.isdir(folder):
             raise MalformedError(f"store.path is no file in a folder that exists: {path!r}")
     return StoreConfig(path, **numbers)
 
 
-class StoreSettings(Kind):
+class StoreSettings(PartSettings):
     """The settings file of this part."""
 
-    name, variable, lasting = "store", "LEADSLIP_STORE", "store"
+    name, environment_variable, restart_keys = "store", "LEADSLIP_STORE", "store"
     settings = staticmethod(settings)
 
     @staticmethod
-    def taken(conf: StoreConfig) -> tuple[tuple[str, object], ...]:
+    def exclusive_values(conf: StoreConfig) -> tuple[tuple[str, object], ...]:
         return (("store.path", conf.path),)  # two writers of one file would block each other
 
 
-KIND = StoreSettings
+SETTINGS_CLASS = StoreSettings
--- a/leadslip/parts/trunks/part.py
+++ b/leadslip/parts/trunks/part.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from leadslip.core import Watcher
+from leadslip.core import Observer
 from leadslip.filters import Filter
 from leadslip.parts.part import Part
 
@@ -12,9 +12,9 @@
 
     reservation = None
 
-    def watch(self, watches: dict[str, list[Watcher]]) -> None:
+    def add_observers(self, observers: dict[str, list[Observer]]) -> None:
         if self.conf.measure:
-            self.node.parts["store"].keeper.measure(self.conf, [watches["sip"], watches["dns"]])
+            self.node.parts["store"].recorder.observe_traffic(self.conf, [observers["sip"], observers["dns"]])
 
     def filters(self) -> list[Filter]:
         if not any(group.reserve for group in self.conf.groups):
--- a/leadslip/parts/trunks/settings.py
+++ b/leadslip/parts/trunks/settings.py
@@ -12,11 +12,11 @@
     NeedsError,
     TakenError,
     UnknownKeyError,
-    figures_of,
-    member,
-    turned_on,
+    bounded_numbers,
+    is_enabled,
+    required_value,
 )
-from leadslip.parts import Around, Kind
+from leadslip.parts import PartSettings, SettingsContext
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,25 +41,25 @@
 TRUNK_BOUNDS = {"interval_s": (60, 1, 900)}
 
 
-def settings(told: Mapping, around: Around) -> TrunksConfig | None:
+def settings(table: Mapping, context: SettingsContext) -> TrunksConfig | None:
     """Returns the validated configuration of trunk groups; None if the part is not enabled."""
-    if not turned_on(told, "trunks", ("measure", "group", *TRUNK_BOUNDS)):
+    if not is_enabled(table, "trunks", ("measure", "group", *TRUNK_BOUNDS)):
         return None
-    measure = told.get("measure", True)
+    measure = table.get("measure", True)
     if not isinstance(measure, bool):
         raise MalformedError(f"trunks.measure must be true or false: {measure!r}")
-    if measure and around.settings.get("store") is None:
+    if measure and context.settings.get("store") is None:
         raise NeedsError("trunks.measure needs the store to be turned on")
-    interval_s = figures_of(told, "trunks", TRUNK_BOUNDS)["interval_s"]
+    interval_s = bounded_numbers(table, "trunks", TRUNK_BOUNDS)["interval_s"]
     if 900 % interval_s:
         raise BoundsError(f"trunks.interval_s must divide 900: {interval_s}")
-    group_tables = told.get("group", [])
+    group_tables = table.get("group", [])
     if not isinstance(group_tables, list):
         raise MalformedError("trunks.group must be a list of tables")
     groups: dict[str, TrunkGroup] = {}
     owner: dict[int, str] = {}
     for i, group_table in enumerate(group_tables):
-        group = _trunk_group(group_table, f"trunks.group.{i}", around.classes)
+        group = _trunk_group(group_table, f"trunks.group.{i}", context.classes)
         if group.name in groups:
             raise TakenError(f"trunks.group.{i}.name is used twice: {group.name!r}")
         for destination in group.destinations:
@@ -76,36 +76,38 @@
     for key in table:
         if key not in ("name", "destinations", "trunks", "share", "reserve"):
             raise UnknownKeyError(f"{prefix}.{key} is unknown")
-    name = str(member(table, "name", str, prefix))
+    name = str(required_value(table, "name", str, prefix))
     if not name or "/" in name:
         raise MalformedError(f"{prefix}.name must not be empty or contain a slash: {name!r}")
-    destinations = member(table, "destinations", list, prefix)
+    destinations = required_value(table, "destinations", list, prefix)
     for destination in destinations:
         if isinstance(destination, bool) or not isinstance(destination, int):
             raise MalformedError(f"{prefix}.destinations must hold integers: {destination!r}")
     if "trunks" not in table:
         raise MissingError(f"{prefix}.trunks is missing")
     bounds = {"trunks": (1, 0, 100_000), "share": (1.0, 0.0, 1.0)}
-    numbers = figures_of(table, prefix, bounds)
+    numbers = bounded_numbers(table, prefix, bounds)
     reserve = table.get("reserve", {})
     if not isinstance(reserve, Mapping):
         raise MalformedError(f"{prefix}.reserve must be a table")
     for key in reserve:
         if classes is not None and key not in classes:
             raise MalformedError(f"{prefix}.reserve.{key} is no class of the settings")
-    levels = figures_of(reserve, f"{prefix}.reserve", dict.fromkeys(reserve, (0.0, 0, numbers["trunks"])))
+    levels = bounded_numbers(
+        reserve, f"{prefix}.reserve", dict.fromkeys(reserve, (0.0, 0, numbers["trunks"]))
+    )
     return TrunkGroup(name, tuple(destinations), numbers["trunks"] * numbers["share"], levels)
 
 
-class TrunksSettings(Kind):
+class TrunksSettings(PartSettings):
     """The settings file of this part."""
 
-    name, variable, lasting = "trunks", "LEADSLIP_TRUNKS", "trunks.measure"
+    name, environment_variable, restart_keys = "trunks", "LEADSLIP_TRUNKS", "trunks.measure"
     settings = staticmethod(settings)
 
     @staticmethod
-    def fixed(conf: TrunksConfig) -> object:
+    def restart_settings(conf: TrunksConfig) -> object:
         return conf.measure, conf.interval_s
 
 
-KIND = TrunksSettings
+SETTINGS_CLASS = TrunksSettings
--- a/leadslip/readiness.py
+++ b/leadslip/readiness.py
@@ -19,26 +19,26 @@
     """The readiness of the proxy and the times of its drain.
 
     `listening`: the clients' address is bound and accepts connections. `out_of_service_since_ms`: when operators
-    took the proxy out of service; 0 while in service. `ending_ms`: when SIGTERM was received; 0 before. `longest_ms`:
-    the longest deadline of a class at that time.
+    took the proxy out of service; 0 while in service. `shutdown_since_ms`: when SIGTERM was received; 0 before.
+    `longest_deadline_ms`: the longest deadline of a class at that time.
     """
 
     listening: bool = False
     out_of_service_since_ms: float = 0.0
-    ending_ms: float = 0.0
-    longest_ms: float = 0.0
+    shutdown_since_ms: float = 0.0
+    longest_deadline_ms: float = 0.0
 
     def ready(self) -> bool:
         """Whether the proxy is listening, in service and not shutting down."""
-        return self.listening and not self.out_of_service_since_ms and not self.ending_ms
+        return self.listening and not self.out_of_service_since_ms and not self.shutdown_since_ms
 
-    def service(self) -> str:
+    def service_state(self) -> str:
         """Return the service state: `in`, `out` (taken out of service by operators) or `ending`."""
-        return "ending" if self.ending_ms else "out" if self.out_of_service_since_ms else "in"
+        return "ending" if self.shutdown_since_ms else "out" if self.out_of_service_since_ms else "in"
 
     def draining(self) -> bool:
         """Whether client connections are to be closed once no answer is pending on them."""
-        return bool(self.out_of_service_since_ms or self.ending_ms)
+        return bool(self.out_of_service_since_ms or self.shutdown_since_ms)
 
     def out_of_service(self, now_ms: float) -> bool:
         """Take the proxy out of service; returns whether this changed anything (a second call keeps the first time)."""
@@ -54,18 +54,18 @@
         self.out_of_service_since_ms = 0.0
         return True
 
-    def end(self, now_ms: float, longest_ms: float = MAX_DEADLINE_MS) -> bool:
+    def begin_shutdown(self, now_ms: float, longest_deadline_ms: float = MAX_DEADLINE_MS) -> bool:
         """Begin the shutdown after SIGTERM, which is final; returns whether this is the first call."""
-        if self.ending_ms:
+        if self.shutdown_since_ms:
             return False
-        self.ending_ms, self.longest_ms = max(now_ms, 1.0), longest_ms
+        self.shutdown_since_ms, self.longest_deadline_ms = max(now_ms, 1.0), longest_deadline_ms
         return True
 
-    def last_ms(self, longest_ms: float) -> float:
+    def answer_by_ms(self, longest_deadline_ms: float) -> float:
         """Return when all requests must be answered, shortly before SIGKILL.
 
-        `longest_ms` is the longest deadline in the current settings. SIGKILL may follow by the settings at SIGTERM or
-        by those of a later reload: the earlier time counts.
+        `longest_deadline_ms` is the longest deadline in the current settings. SIGKILL may follow by the settings at
+        SIGTERM or by those of a later reload: the earlier time counts.
         """
-        longest_ms = min(self.longest_ms, longest_ms, MAX_DEADLINE_MS)
-        return self.ending_ms + longest_ms + KILL_DELAY_MS - EXIT_MARGIN_MS
+        longest_deadline_ms = min(self.longest_deadline_ms, longest_deadline_ms, MAX_DEADLINE_MS)
+        return self.shutdown_since_ms + longest_deadline_ms + KILL_DELAY_MS - EXIT_MARGIN_MS
--- a/leadslip/keeper.py
+++ b/leadslip/recorder.py
@@ -5,9 +5,9 @@
 import time
 from typing import TYPE_CHECKING
 
-from leadslip.checks import Tally
 from leadslip.core import Deadlines
 from leadslip.logs import Log
+from leadslip.metrics import Metrics
 from leadslip.store.base import Store
 from leadslip.store.writer import Batch, Writer
 from leadslip.trunks import record
@@ -21,20 +21,22 @@
 CLOSE_TIMEOUT_S = 0.5  # for writing queued batches at exit
 
 
-class Keeper:
+class Recorder:
     """Owns the store's writer and queues batches for it; one per proxy."""
 
     def __init__(
-        self, reactor: object, conf: StoreConfig, deadlines: Deadlines, tally: Tally, log: Log
+        self, reactor: object, conf: StoreConfig, deadlines: Deadlines, metrics: Metrics, log: Log
     ) -> None:
-        self.conf, self.deadlines, self.tally, self.log = conf, deadlines, tally, log
-        self.writer = Writer(lambda: Store(conf.path, conf.most_mb << 20), reactor.callFromThread, tally, log)
+        self.conf, self.deadlines, self.metrics, self.log = conf, deadlines, metrics, log
+        self.writer = Writer(
+            lambda: Store(conf.path, conf.most_mb << 20), reactor.callFromThread, metrics, log
+        )
         self.run = int(
             time.time() * 1000.0
         )  # distinguishes the records of this process from those of earlier ones
         self.traffics: list[Traffic] = []
 
-    def measure(self, conf: TrunksConfig, observers: list[list]) -> None:
+    def observe_traffic(self, conf: TrunksConfig, observers: list[list]) -> None:
         """Observe the traffic of each engine: calls for the first entry of `observers`, look-ups for the second."""
         now_ms = self.deadlines.clock.now_ms()
         groups = {destination: group.name for group in conf.groups for destination in group.destinations}
@@ -51,12 +53,12 @@
         """Start the writer, the traffic intervals and retention."""
         self.writer.start()
         for traffic in self.traffics:
-            self.deadlines.at(traffic.due_ms(), self._end_interval, traffic)
+            self.deadlines.call_at(traffic.due_ms(), self._end_interval, traffic)
         self._schedule_retention()
 
     def record_intervals(self, intervals: list[Interval]) -> None:
         """Queue finished intervals for writing."""
-        points = [record.point_of(interval, self.run) for interval in intervals]
+        points = [record.to_point(interval, self.run) for interval in intervals]
         first_start_s = intervals[0].start_s
 
         def done(written: bool) -> None:
@@ -69,23 +71,23 @@
 
     def report_gap(self, begun_ms: float, ended_ms: float) -> None:
         """Report a period that was not measured and stays a gap in the records."""
-        self.tally.add("trunks.gaps")
+        self.metrics.add("trunks.gaps")
         self.log("trunks.gap", level="warning", seconds=(ended_ms - begun_ms) / 1000.0)
 
     def _end_interval(self, traffic: Traffic) -> None:
-        traffic.roll(self.deadlines.clock.now_ms())
-        self.deadlines.at(traffic.due_ms(), self._end_interval, traffic)
+        traffic.finish_intervals(self.deadlines.clock.now_ms())
+        self.deadlines.call_at(traffic.due_ms(), self._end_interval, traffic)
 
     def _schedule_retention(self, _: object = None) -> None:
         now_ms = self.deadlines.clock.now_ms()
 
         def run_retention(store: Store) -> None:
-            record.keep(store, int(now_ms / 1000.0), self.conf.fine_days, self.conf.days)
-            store.forget_expired(now_ms)
-            store.make_room()
+            record.apply_retention(store, int(now_ms / 1000.0), self.conf.fine_days, self.conf.days)
+            store.delete_expired(now_ms)
+            store.evict_oldest()
 
         self.writer.put(Batch(task=run_retention))
-        self.deadlines.at(now_ms + RETENTION_INTERVAL_MS, self._schedule_retention)
+        self.deadlines.call_at(now_ms + RETENTION_INTERVAL_MS, self._schedule_retention)
 
     def close(self) -> None:
         """Write the current, incomplete interval and close the writer."""
@@ -93,4 +95,4 @@
         for traffic in self.traffics:
             traffic.close(now_ms)
         if not self.writer.close(CLOSE_TIMEOUT_S):
-            self.tally.add("store.closed_late")
+            self.metrics.add("store.closed_late")
--- a/leadslip/request.py
+++ b/leadslip/request.py
@@ -12,7 +12,7 @@
     """Lifecycle state of a request."""
 
     OPEN = "open"  # no final answer sent yet
-    STANDING = "standing"  # answered; the call is established
+    ESTABLISHED = "standing"  # answered; the call is established
     ENDED = "over"
 
 
@@ -28,7 +28,7 @@
         "lines",
         "redialled",
         "cut_before",
-        "front",
+        "downstream",
         "payload",
         "context",
         "state",
@@ -36,29 +36,29 @@
         "attempt_count",
         "not_before_ms",
         "overall_deadline",
-        "taken_ms",
-        "attempt_ms",
-        "passed",
-        "most_tries",
+        "received_at_ms",
+        "max_attempt_ms",
+        "admitted_by",
+        "max_attempts",
     )
 
     def __init__(
-        self, id_: str, call_class: str, valid_until_ms: float, front: Front, payload: bytes = b""
+        self, id_: str, call_class: str, valid_until_ms: float, downstream: Downstream, payload: bytes = b""
     ) -> None:
         self.id, self.call_class, self.valid_until_ms = id_, call_class, valid_until_ms
         self.number, self.destination, self.lines = "", -1, 1.0
         self.redialled = self.cut_before = False
-        self.front, self.payload = front, payload
+        self.downstream, self.payload = downstream, payload
         self.context: object = None  # private data of the downstream side
         self.state = State.OPEN
         self.attempt: Attempt | None = None  # in progress, or carrying the established call
         self.attempt_count = 0
         self.not_before_ms = 0.0  # no attempt before: resources of the last one may still be in use
         self.overall_deadline: Deadline | None = None
-        self.taken_ms = 0.0
-        self.attempt_ms = float("inf")  # upper limit for the duration of one attempt
-        self.passed: tuple = ()  # the filters to notify of its progress
-        self.most_tries = (
+        self.received_at_ms = 0.0
+        self.max_attempt_ms = float("inf")  # upper limit for the duration of one attempt
+        self.admitted_by: tuple = ()  # the filters to notify of its progress
+        self.max_attempts = (
             0  # attempts allowed by the settings when it was received; later changes do not apply
         )
 
@@ -66,25 +66,36 @@
 class Attempt:
     """One set-up of a request at one server."""
 
-    __slots__ = ("request", "server", "index", "sent_ms", "cut_at_ms", "deadline", "out", "stands")
+    __slots__ = (
+        "request",
+        "server",
+        "index",
+        "sent_ms",
+        "timeout_at_ms",
+        "deadline",
+        "active",
+        "established",
+    )
 
-    def __init__(self, request: Request, server: str, index: int, sent_ms: float, cut_at_ms: float) -> None:
+    def __init__(
+        self, request: Request, server: str, index: int, sent_ms: float, timeout_at_ms: float
+    ) -> None:
         self.request, self.server, self.index = request, server, index
-        self.sent_ms, self.cut_at_ms = sent_ms, cut_at_ms
+        self.sent_ms, self.timeout_at_ms = sent_ms, timeout_at_ms
         self.deadline: Deadline | None = None
-        self.out, self.stands = True, False
+        self.active, self.established = True, False
 
 
-class Front(Protocol):
+class Downstream(Protocol):
     """The side a request came from: receives its one final answer, and the end of an established call."""
 
-    def stands(self, request: Request, payload: object) -> None: ...
+    def established(self, request: Request, payload: object) -> None: ...
 
     def refused(self, request: Request, pause_ms: float) -> None: ...
 
     def failed(self, request: Request) -> None: ...
 
-    def over(self, request: Request, cut: bool) -> None: ...
+    def call_ended(self, request: Request, cut: bool) -> None: ...
 
-    def catch_up(self, request: Request) -> None:
+    def read_pending(self, request: Request) -> None:
         """Read what its sender has already sent: it may have cancelled the request or disconnected."""
--- a/leadslip/simhost.py
+++ b/leadslip/simhost.py
@@ -10,121 +10,121 @@
 from collections.abc import Callable, Iterable
 from typing import TextIO
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.choice import Controller
 from leadslip.config import (
     Fields,
     MalformedError,
-    flag,
-    known,
-    load_of,
+    boolean,
+    integer,
+    lookup_keyword,
     number,
-    settings_of,
-    whole,
-    word,
+    parse_load_values,
+    parse_settings,
+    required_text,
 )
 
 UPDATE_KINDS = {
-    0: face.NewsKind.FAILED,
-    1: face.NewsKind.CACHED,
-    2: face.NewsKind.CHANGES,
-    3: face.NewsKind.WHOLE,
+    0: interface.UpdateKind.FAILED,
+    1: interface.UpdateKind.CACHED,
+    2: interface.UpdateKind.CHANGES,
+    3: interface.UpdateKind.SNAPSHOT,
 }
-STATES = {0: face.ServerState.DRAINING, 1: face.ServerState.GONE, 2: face.ServerState.READY}
+STATES = {0: interface.ServerState.DRAINING, 1: interface.ServerState.GONE, 2: interface.ServerState.READY}
 OUTCOMES = {
-    "served": face.Outcome.SERVED,
-    "server_error": face.Outcome.ERROR,
-    "turned_away": face.Outcome.FULL,
-    "no_answer": face.Outcome.TIMED_OUT,
-    "no_connection": face.Outcome.NO_CONNECTION,
-    "connection_lost": face.Outcome.CUT,
-    "called_off": face.Outcome.WITHDRAWN,
-    "not_sent": face.Outcome.NOT_SENT,
+    "served": interface.Outcome.SERVED,
+    "server_error": interface.Outcome.ERROR,
+    "turned_away": interface.Outcome.FULL,
+    "no_answer": interface.Outcome.TIMED_OUT,
+    "no_connection": interface.Outcome.NO_CONNECTION,
+    "connection_lost": interface.Outcome.CUT,
+    "called_off": interface.Outcome.WITHDRAWN,
+    "not_sent": interface.Outcome.NOT_SENT,
 }
 CAUSES = {
-    1: face.Cause.NO_LINE,
-    2: face.Cause.BOUNCED,
-    3: face.Cause.PROCESSOR_FULL,
-    4: face.Cause.NUMBER_BUSY,
+    1: interface.Cause.NO_LINE,
+    2: interface.Cause.BOUNCED,
+    3: interface.Cause.PROCESSOR_FULL,
+    4: interface.Cause.NUMBER_BUSY,
 }
 LIST_BUFFERS = 16  # server lists that the simulator numbers and refers to by number
 
 
-def parse_list_entry(fields: Fields) -> face.ListEntry:
+def parse_list_entry(fields: Fields) -> interface.ListEntry:
     """Parses one entry of the server list."""
-    return face.ListEntry(
-        server=word(fields, "switch"),
-        number=whole(fields, "node_no", -1),
-        state=known(STATES, whole(fields, "mode"), "mode"),
+    return interface.ListEntry(
+        server=required_text(fields, "switch"),
+        number=integer(fields, "node_no", -1),
+        state=lookup_keyword(STATES, integer(fields, "mode"), "mode"),
         online_since_ms=number(fields, "online_since_ms", 0.0),
     )
 
 
-def parse_call_offered(fields: Fields) -> face.CallOffered:
+def parse_call_offered(fields: Fields) -> interface.CallOffered:
     """Parses a call offered to this gateway."""
-    return face.CallOffered(
-        call=word(fields, "txn"),
-        call_class=word(fields, "tier_class"),
+    return interface.CallOffered(
+        call=required_text(fields, "txn"),
+        call_class=required_text(fields, "tier_class"),
         valid_until_ms=number(fields, "valid_until_ms"),
-        destination=whole(fields, "destination", -1),
+        destination=integer(fields, "destination", -1),
         lines=number(fields, "circuits", 1.0),
         number_called=fields.get("route_key", ""),
         tenant=fields.get("realm", ""),
-        in_transit=flag(fields, "passing"),
-        cut_before=flag(fields, "reconnect"),
-        redialled=flag(fields, "again_by_client"),
+        in_transit=boolean(fields, "passing"),
+        cut_before=boolean(fields, "reconnect"),
+        redialled=boolean(fields, "again_by_client"),
     )
 
 
-def parse_attempt_ended(fields: Fields, report_fields: list[str]) -> face.AttemptEnded:
+def parse_attempt_ended(fields: Fields, report_fields: list[str]) -> interface.AttemptEnded:
     """Parses the end of an attempt."""
     # The low 4 bits are the cause, the others the waiting time if the processor is full.
-    code = whole(fields, "cause", 0)
-    return face.AttemptEnded(
-        call=word(fields, "txn"),
-        server=word(fields, "switch"),
-        attempt=whole(fields, "go"),
-        outcome=known(OUTCOMES, word(fields, "reason"), "reason"),
-        taken_ms=number(fields, "time_taken_ms"),
-        call_over=flag(fields, "done_flag"),
-        cause=CAUSES.get(code % 16, face.Cause.NONE),
+    code = integer(fields, "cause", 0)
+    return interface.AttemptEnded(
+        call=required_text(fields, "txn"),
+        server=required_text(fields, "switch"),
+        attempt=integer(fields, "go"),
+        outcome=lookup_keyword(OUTCOMES, required_text(fields, "reason"), "reason"),
+        elapsed_ms=number(fields, "time_taken_ms"),
+        call_over=boolean(fields, "done_flag"),
+        cause=CAUSES.get(code % 16, interface.Cause.NONE),
         wait_ms=float(code // 16) if code % 16 == 3 else 0.0,
-        load=load_of(fields.get("stats"), report_fields),
+        load=parse_load_values(fields.get("stats"), report_fields),
     )
 
 
-def parse_peer_message(fields: Fields) -> face.PeerMessage:
+def parse_peer_message(fields: Fields) -> interface.PeerMessage:
     """Parses a message from another gateway."""
-    text = word(fields, "msg")
+    text = required_text(fields, "msg")
     try:
         content = b"" if text == "-" else bytes.fromhex(text)
     except ValueError:
         raise MalformedError(f"msg is not hexadecimal: {text}") from None
-    return face.PeerMessage(whole(fields, "src_peer"), content)
+    return interface.PeerMessage(integer(fields, "src_peer"), content)
 
 
-def format_action(action: face.Action) -> str:
+def format_action(action: interface.Action) -> str:
     """Formats one action as a line of the protocol."""
     match action:
-        case face.SetUp(call, server, cut_at_ms):
-            return f"HAND_OFF txn={call} switch={server} cut_at_ms={cut_at_ms:.3f}"
-        case face.Withdraw(call, attempt):
+        case interface.SetUp(call, server, timeout_at_ms):
+            return f"HAND_OFF txn={call} switch={server} cut_at_ms={timeout_at_ms:.3f}"
+        case interface.Withdraw(call, attempt):
             return f"WITHDRAW txn={call} go={attempt}"
-        case face.Refuse(call, pause_ms):
+        case interface.Refuse(call, pause_ms):
             return f"OVERLOAD_REPLY txn={call} pause_ms={pause_ms:.3f}"
-        case face.Fail(call):
+        case interface.Fail(call):
             return f"GIVE_UP txn={call}"
-        case face.SetTimer(after_ms, token):
+        case interface.SetTimer(after_ms, token):
             return f"WAKE_ME offset_ms={after_ms:.3f} ctx={token}"
-        case face.Probe(server):
+        case interface.Probe(server):
             return f"HEALTH_CHECK switch={server}"
-        case face.SendToPeers(content, peer):
+        case interface.SendToPeers(content, peer):
             return f"ANNOUNCE peer={'*' if peer is None else peer} msg={content.hex() or '-'}"
-        case face.SubscribeList(enabled):
+        case interface.SubscribeList(enabled):
             return f"WATCH want={int(enabled)}"
-        case face.FetchList():
+        case interface.FetchList():
             return "REFRESH"
-        case face.Log(text):
+        case interface.Log(text):
             return f"RECORD what={' '.join(text.split())}"
     raise TypeError(f"action has no line format: {action!r}")
 
@@ -135,7 +135,7 @@
     def __init__(self, fields: Fields) -> None:
         names = fields.get("load_report.fields", "")
         self.report_fields = names.split(",") if names else []
-        self.controller = Controller(settings_of(fields), whole(fields, "salt"))
+        self.controller = Controller(parse_settings(fields), integer(fields, "salt"))
 
 
 class SimHost:
@@ -145,11 +145,11 @@
         self.out = out
         self.err = err
         self.instances: dict[str, Instance] = {}
-        self.lists: dict[int, list[face.ListEntry]] = {}
+        self.lists: dict[int, list[interface.ListEntry]] = {}
         self.now_ms: float | None = None
         self.gateway_id = ""  # addressed by the messages that follow
         self.reply_to = ""  # to which the latest lines of the reply belong
-        self.open_list: list[face.ListEntry] | None = None  # receives the next entries
+        self.open_list: list[interface.ListEntry] | None = None  # receives the next entries
         self.missing_entries = 0
         self.reply: list[str] = []
 
@@ -212,10 +212,10 @@
             self.out.write("".join(f"{line}\n" for line in [*self.reply, "DONE"]))
             self.out.flush()
         elif kind == "SWITCH_TO":
-            self.gateway_id = word(fields, "gateway_id")
+            self.gateway_id = required_text(fields, "gateway_id")
         elif kind == "LIST":
-            self.open_list = self.lists[whole(fields, "buffer") % LIST_BUFFERS] = []
-            self.missing_entries = whole(fields, "items")
+            self.open_list = self.lists[integer(fields, "buffer") % LIST_BUFFERS] = []
+            self.missing_entries = integer(fields, "items")
         elif kind == "ENTRY":
             if self.open_list is None or not self.missing_entries:
                 raise MalformedError("entry outside a list, or beyond its items")
@@ -237,28 +237,37 @@
             lambda: [format_action(action) for action in instance.controller.handle(now_ms, event)]
         )
 
-    def parse_event(self, kind: str, fields: Fields, report_fields: list[str]) -> face.Event:
+    def parse_event(self, kind: str, fields: Fields, report_fields: list[str]) -> interface.Event:
         """Parses one event line."""
         if kind == "TARGETS":
-            update_kind = known(UPDATE_KINDS, whole(fields, "kind"), "kind")
-            if update_kind is face.NewsKind.FAILED:
-                return face.ListNews(update_kind)
-            return face.ListNews(update_kind, tuple(known(self.lists, whole(fields, "buffer"), "buffer")))
+            update_kind = lookup_keyword(UPDATE_KINDS, integer(fields, "kind"), "kind")
+            if update_kind is interface.UpdateKind.FAILED:
+                return interface.ServerListUpdate(update_kind)
+            return interface.ServerListUpdate(
+                update_kind, tuple(lookup_keyword(self.lists, integer(fields, "buffer"), "buffer"))
+            )
         if kind == "REQ":
             return parse_call_offered(fields)
         if kind == "VANISHED":
-            return face.CallerLeft(word(fields, "txn"))
+            return interface.CallerLeft(required_text(fields, "txn"))
         if kind == "BELL":
-            return face.TimerDue(word(fields, "ctx"))
+            return interface.TimerDue(required_text(fields, "ctx"))
         if kind == "ECHO":
-            outcome = known(OUTCOMES, word(fields, "reason"), "reason")
-            load = load_of(fields.get("stats"), report_fields)
-            return face.ServerLooked(word(fields, "switch"), outcome, number(fields, "time_taken_ms"), load)
+            outcome = lookup_keyword(OUTCOMES, required_text(fields, "reason"), "reason")
+            load = parse_load_values(fields.get("stats"), report_fields)
+            return interface.LoadReported(
+                required_text(fields, "switch"), outcome, number(fields, "time_taken_ms"), load
+            )
         if kind == "NEIGHBOUR_SAYS":
             return parse_peer_message(fields)
         if kind == "BEGUN":
-            taken_ms = number(fields, "time_taken_ms")
-            return face.CallStands(word(fields, "txn"), word(fields, "switch"), whole(fields, "go"), taken_ms)
+            elapsed_ms = number(fields, "time_taken_ms")
+            return interface.CallEstablished(
+                required_text(fields, "txn"),
+                required_text(fields, "switch"),
+                integer(fields, "go"),
+                elapsed_ms,
+            )
         if kind == "VERDICT":
             return parse_attempt_ended(fields, report_fields)
         raise MalformedError(f"unknown message {kind!r}")
--- a/leadslip/store/base.py
+++ b/leadslip/store/base.py
@@ -89,7 +89,7 @@
 
 
 @contextmanager
-def whole(connection: apsw.Connection) -> Iterator[None]:
+def transaction(connection: apsw.Connection) -> Iterator[None]:
     """Runs one transaction. On a full disk SQLite rolls back by itself, and then there is none left to roll back."""
     connection.execute("BEGIN IMMEDIATE")
     try:
@@ -107,7 +107,7 @@
     def __init__(self, path: str, max_bytes: int = 64 << 20, read_only: bool = False) -> None:
         self.path, self.max_bytes = path, max_bytes
         self.damaged_path: str | None = None  # path that a damaged file was renamed to on opening
-        self.damaged: list[str] = []  # names of the damaged records skipped when reading
+        self.damaged_records: list[str] = []  # names of the damaged records skipped when reading
         if read_only and not os.path.exists(path):
             raise StoreError(f"{path}: there is no store at this path")
         try:
@@ -156,7 +156,7 @@
         if not version and list(connection.execute("SELECT name FROM sqlite_schema")):
             raise StoreError(f"{self.path}: is a database of another program")
         for step in range(version, len(MIGRATIONS)):
-            with whole(connection):
+            with transaction(connection):
                 connection.execute(MIGRATIONS[step])
                 connection.pragma("application_id", APPLICATION_ID)
                 connection.pragma("user_version", step + 1)
@@ -186,7 +186,7 @@
         deleted: Iterable[tuple[str, str]] = (),
     ) -> None:
         """Inserts or replaces points and items, and deletes the items with the given (space, key)."""
-        with whole(self.connection):
+        with transaction(self.connection):
             self._put(points)
             self.connection.executemany(
                 "INSERT OR REPLACE INTO state VALUES (?,?,?,?,?)",
@@ -202,7 +202,7 @@
 
     def replace(self, old: Iterable[Point], new: Iterable[Point]) -> None:
         """Replaces old points by new ones in one transaction, as when intervals are rolled up."""
-        with whole(self.connection):
+        with transaction(self.connection):
             self.connection.executemany(
                 "DELETE FROM series WHERE space=? AND span_s=? AND start_s=? AND key=? AND run=?",
                 [(p.space, p.span_s, p.start_s, p.key, p.run) for p in old],
@@ -216,12 +216,12 @@
         )
         return self.connection.changes()
 
-    def forget_expired(self, now_ms: float) -> int:
+    def delete_expired(self, now_ms: float) -> int:
         """Deletes expired state; returns the number of items."""
         self.connection.execute("DELETE FROM state WHERE until_ms <= ?", (now_ms,))
         return self.connection.changes()
 
-    def make_room(self) -> int:
+    def evict_oldest(self) -> int:
         """Deletes the oldest points while the file is near its size limit; returns their number.
 
         Prevents a full file from rejecting new records: history is evicted, state is retained.
@@ -247,7 +247,7 @@
     def points(
         self, space: str, span_s: int | None = None, since_s: int = 0, before_s: int = 1 << 62
     ) -> Iterator[Point]:
-        """Yields the points of a space in chronological order; damaged ones are skipped and named in `damaged`."""
+        """Yields a space's points in chronological order; damaged ones are skipped and named in `damaged_records`."""
         rows = self.connection.execute(
             "SELECT space, span_s, start_s, key, run, value, sum FROM series"
             " WHERE space = ?1 AND (?2 IS NULL OR span_s = ?2) AND start_s >= ?3 AND start_s < ?4"
@@ -259,16 +259,16 @@
             if point.sum() == checksum:
                 yield point
             else:
-                self.damaged.append(f"{space} {point.key} at {point.start_s}")
+                self.damaged_records.append(f"{space} {point.key} at {point.start_s}")
 
     def items(self, space: str, now_ms: float) -> Iterator[Item]:
-        """Yields the unexpired state of a space; damaged records are skipped and named in `damaged`."""
+        """Yields the unexpired state of a space; damaged records are skipped and named in `damaged_records`."""
         rows = self.connection.execute(
             "SELECT space, key, value, until_ms, sum FROM state WHERE space = ? ORDER BY key", (space,)
         )
         for *name, until_ms, checksum in rows:
             item = Item(*name, until_ms)
             if item.sum() != checksum:
-                self.damaged.append(f"{space} {item.key}")
+                self.damaged_records.append(f"{space} {item.key}")
             elif until_ms is None or until_ms > now_ms:
                 yield item
--- a/leadslip/store/writer.py
+++ b/leadslip/store/writer.py
@@ -12,8 +12,8 @@
 
 import apsw
 
-from leadslip.checks import Tally
 from leadslip.logs import Log
+from leadslip.metrics import Metrics
 from leadslip.store.base import Item, Point, Store, StoreError
 
 MAX_PENDING_RECORDS = 10_000  # records queued or being written
@@ -47,13 +47,13 @@
         self,
         open_store: Callable[[], Store],
         call_from_thread: Callable[[Callable[[], None]], object],
-        tally: Tally,
+        metrics: Metrics,
         log: Log,
     ) -> None:
-        self.open_store, self.call_from_thread, self.tally, self.log = (
+        self.open_store, self.call_from_thread, self.metrics, self.log = (
             open_store,
             call_from_thread,
-            tally,
+            metrics,
             log,
         )
         self.queue: deque[Batch] = deque()
@@ -70,7 +70,7 @@
     def put(self, batch: Batch) -> bool:
         """Queues a batch; returns False if the queue is full or closing: the batch is then dropped and counted."""
         if self.closing or self.pending_records + len(batch) > MAX_PENDING_RECORDS:
-            self.tally.add("store.dropped", len(batch))
+            self.metrics.add("store.dropped", len(batch))
             if batch.done is not None:
                 batch.done(False)
             return False
@@ -142,7 +142,7 @@
         try:
             self._commit(store, batches)
         except apsw.FullError:
-            if not store.make_room():
+            if not store.evict_oldest():
                 raise
             self._commit(store, batches)
 
@@ -166,13 +166,13 @@
     # On the reactor thread.
 
     def _on_damaged_file(self, damaged_path: str) -> None:
-        self.tally.add("store.set_aside")
+        self.metrics.add("store.set_aside")
         self.log("store.set_aside", level="error", file=damaged_path)
 
     def _on_written(self, batches: list[Batch], written: bool, error: str) -> None:
         size = sum(len(batch) for batch in batches)
         self.pending_records -= size
-        self.tally.add("store.written" if written else "store.dropped", size)
+        self.metrics.add("store.written" if written else "store.dropped", size)
         if written == self.failing:  # logged only when the state changes
             self.failing = not written
             if written:
--- a/leadslip/trunks/record.py
+++ b/leadslip/trunks/record.py
@@ -23,7 +23,7 @@
 decode = msgspec.msgpack.Decoder(Interval).decode
 
 
-def point_of(interval: Interval, run: int) -> Point:
+def to_point(interval: Interval, run: int) -> Point:
     """Encodes an interval as a point; `run` identifies the process run, as two runs may each cover part of a span."""
     key = f"{interval.group}/{interval.call_class}"
     return Point(SPACE, interval.span_s, interval.start_s, key, run, encode(interval))
@@ -37,7 +37,7 @@
         try:
             interval = decode(point.value)
         except msgspec.MsgspecError:
-            store.damaged.append(f"{SPACE} {point.key} at {point.start_s}")
+            store.damaged_records.append(f"{SPACE} {point.key} at {point.start_s}")
             continue
         if group is None or interval.group == group:
             yield interval
@@ -52,7 +52,7 @@
     )
 
 
-def keep(store: Store, now_s: int, fine_days: int, days: int) -> int:
+def apply_retention(store: Store, now_s: int, fine_days: int, days: int) -> int:
     """Rolls up points past their retention and deletes the oldest; returns the number of points removed."""
     removed = 0
     for (span_s, longer_s), retention_days in zip(ROLL_UP_STEPS, (fine_days, days), strict=True):
@@ -83,11 +83,11 @@
             try:
                 old_intervals.append(decode(point.value))
             except msgspec.MsgspecError:
-                store.damaged.append(f"{SPACE} {point.key} at {point.start_s}")
+                store.damaged_records.append(f"{SPACE} {point.key} at {point.start_s}")
         # Adds up all runs, including the longer span that an earlier roll-up stored, so that it is not overwritten.
         first_s, last_s = old_points[0].start_s // longer_s * longer_s, old_points[-1].start_s + 1
         for point in store.points(SPACE, longer_s, first_s, last_s):
             old_points.append(point)
             old_intervals.append(decode(point.value))
-        store.replace(old_points, [point_of(interval, 0) for interval in aggregate(old_intervals, longer_s)])
+        store.replace(old_points, [to_point(interval, 0) for interval in aggregate(old_intervals, longer_s)])
         removed += len(old_points)
--- a/leadslip/trunks/report.py
+++ b/leadslip/trunks/report.py
@@ -44,7 +44,7 @@
             intervals = [interval for interval in record.intervals(store) if interval.span_s <= QUARTER_S]
         finally:
             store.close()
-        self.damaged = store.damaged
+        self.damaged_records = store.damaged_records
         self.by_group: dict[str, list[Interval]] = {}
         for interval in aggregate(intervals, QUARTER_S, classes=False):
             self.by_group.setdefault(interval.group, []).append(interval)
@@ -56,7 +56,7 @@
     def groups(self) -> list[str]:
         return sorted(self.by_group)
 
-    def told(self, group: str, kind: str, confidence: float) -> GroupReport:
+    def group_report(self, group: str, kind: str, confidence: float) -> GroupReport:
         """Returns the report of one group."""
         quarters = self.by_group.get(group)
         if quarters is None:
@@ -123,7 +123,7 @@
         """Returns the load to size a group for, its upper confidence limit; 0 if the group has no record."""
         if group not in self.by_group:
             return 0.0
-        return self.told(group, kind, confidence).high or 0.0
+        return self.group_report(group, kind, confidence).high or 0.0
 
 
 def _total(quarters: Sequence[Interval]) -> Interval:
--- a/leadslip/trunks/reservation.py
+++ b/leadslip/trunks/reservation.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from leadslip.filters import Refused
+from leadslip.filters import Refusal
 from leadslip.trunks import sizing
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
                 for destination in config.destinations
             }
 
-    def keep(self, lines: Mapping[str, float], classes: Sequence[str]) -> None:
+    def set_reserved_lines(self, lines: Mapping[str, float], classes: Sequence[str]) -> None:
         """Reserves these trunks of each group for the first class, where that exceeds the reserve in its settings."""
         for config in self.configs:
             raised_reserve = (
@@ -78,19 +78,19 @@
         state = self.groups[group]
         return state.config.trunks - state.busy
 
-    def admit(self, request: Request, now_ms: float) -> Refused | None:
+    def admit(self, request: Request, now_ms: float) -> Refusal | None:
         """Takes the trunks that a request needs, unless they are reserved for other classes."""
         group = self.by_destination.get(request.destination)
         if group is None:
             return None
         free_after = group.config.trunks - group.busy - request.lines
         if free_after < group.config.reserve.get(request.call_class, 0.0):
-            return Refused(group.pause_ms())
+            return Refusal(group.pause_ms())
         group.busy += request.lines
         group.in_use[id(request)] = (request.lines, 0.0)
         return None
 
-    def stood(self, request: Request, now_ms: float) -> None:
+    def established(self, request: Request, now_ms: float) -> None:
         """Notes when a call was established: its holding time predicts when trunks become free."""
         group = self._group(request)
         if group is not None:
--- a/leadslip/trunks/traffic.py
+++ b/leadslip/trunks/traffic.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, fields
 from typing import TYPE_CHECKING
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.trunks.redials import RefusalSample, persistence
 
 if TYPE_CHECKING:
@@ -190,9 +190,9 @@
         if request.number:
             self._sample_refusal(interval, request.number, now_ms)
 
-    def attempt_ended(self, attempt: Attempt, outcome: face.Outcome, now_ms: float) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: interface.Outcome, now_ms: float) -> None:
         """Counts the end of an established call; other attempts are ignored."""
-        if not attempt.stands:
+        if not attempt.established:
             return
         request = attempt.request
         cell = self.by_destination.get((request.destination, request.call_class))
@@ -205,7 +205,7 @@
         interval.held += 1
         interval.held_s += hold_s
         interval.held_sq += hold_s * hold_s
-        if outcome is not face.Outcome.SERVED:
+        if outcome is not interface.Outcome.SERVED:
             interval.cut += 1
 
     def _match_repeat(
@@ -254,7 +254,7 @@
         """Returns the end of the current interval in Unix ms."""
         return (self._start_s(self.covered_from_ms) + self.interval_s) * 1000.0
 
-    def roll(self, now_ms: float) -> None:
+    def finish_intervals(self, now_ms: float) -> None:
         """Reports each finished interval; must be called at `due_ms` and when the process ends."""
         if now_ms - self.covered_from_ms > MAX_UNROLLED_INTERVALS * self.interval_s * 1000.0:
             self._report_gap(now_ms)
@@ -269,7 +269,7 @@
 
     def close(self, now_ms: float) -> None:
         """Reports the current interval up to now; its remainder stays a gap."""
-        self.roll(now_ms)
+        self.finish_intervals(now_ms)
         if now_ms > self.covered_from_ms:
             self._finish_interval(now_ms)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.choice import INTERVAL_MS, Controller
 
 URGENT, PLAIN = "urgent", "plain"
 
 
-def settings(**changes: object) -> face.Settings:
+def settings(**changes: object) -> interface.Settings:
     """Settings of a small example site, with changes."""
     values: dict = {
         "gateways": 4,
         "index": 0,
         "classes": (
-            face.CallClass(PLAIN, 1.0, 0.2, 1500.0, 9000.0),
-            face.CallClass(URGENT, 6.0, 0.2, 1000.0, 6000.0),
+            interface.CallClass(PLAIN, 1.0, 0.2, 1500.0, 9000.0),
+            interface.CallClass(URGENT, 6.0, 0.2, 1000.0, 6000.0),
         ),
         "max_attempts": 4,
         "may_withdraw": True,
@@ -27,12 +27,12 @@
         "release_wait_ms": 250.0,
         "tick_ms": 5.0,
     }
-    return face.Settings(**(values | changes))
+    return interface.Settings(**(values | changes))
 
 
-def entry(name: str, number: int, state: str = "ready", since: float = 0.0) -> face.ListEntry:
+def entry(name: str, number: int, state: str = "ready", since: float = 0.0) -> interface.ListEntry:
     """One entry of the server list."""
-    return face.ListEntry(name, number, face.ServerState(state), since)
+    return interface.ListEntry(name, number, interface.ServerState(state), since)
 
 
 class Gateway:
@@ -42,50 +42,58 @@
         self.controller = Controller(settings(**changes), seed)
         self.now = 1_000.0
         self.timers: list[tuple[float, str]] = []
-        self.log: list[tuple[float, face.Action]] = []
+        self.log: list[tuple[float, interface.Action]] = []
         self.call_count = 0
-        self.give(face.ListNews(face.NewsKind.CACHED, tuple(entry(f"s{i}", i) for i in range(servers))))
+        self.handle(
+            interface.ServerListUpdate(
+                interface.UpdateKind.CACHED, tuple(entry(f"s{i}", i) for i in range(servers))
+            )
+        )
 
-    def give(self, event: face.Event) -> list[face.Action]:
+    def handle(self, event: interface.Event) -> list[interface.Action]:
         """Passes an event to the Controller now; returns and logs its actions."""
         actions = self.controller.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
-            if isinstance(action, face.SetTimer):
+            if isinstance(action, interface.SetTimer):
                 self.timers.append((self.now + action.after_ms, action.token))
         return actions
 
-    def wait(self, ms: float) -> list[face.Action]:
+    def wait(self, ms: float) -> list[interface.Action]:
         """Advances the clock, with the timers that expire meanwhile; returns the actions."""
         end, actions = self.now + ms, []
         while self.timers and min(self.timers)[0] <= end:
             timer = min(self.timers)
             self.timers.remove(timer)
             self.now = timer[0]
-            actions += self.give(face.TimerDue(timer[1]))
+            actions += self.handle(interface.TimerDue(timer[1]))
         self.now = end
         return actions
 
     def call(
         self, to: int = 0, kind: str = PLAIN, valid_for_ms: float = 3000.0, **fields: object
-    ) -> list[face.Action]:
+    ) -> list[interface.Action]:
         """Offers a call whose caller waits for `valid_for_ms`."""
         self.call_count += 1
-        return self.give(
-            face.CallOffered(f"c{self.call_count}", kind, self.now + valid_for_ms, destination=to, **fields)  # type: ignore
+        return self.handle(
+            interface.CallOffered(
+                f"c{self.call_count}", kind, self.now + valid_for_ms, destination=to, **fields
+            )  # type: ignore
         )
 
-    def stands(self, sent: face.SetUp, elapsed_ms: float, attempt: int = 0) -> list[face.Action]:
+    def establish(self, sent: interface.SetUp, elapsed_ms: float, attempt: int = 0) -> list[interface.Action]:
         """Reports a call as established after `elapsed_ms`; the clock stays."""
-        return self.give(face.CallStands(sent.call, sent.server, attempt, elapsed_ms))
+        return self.handle(interface.CallEstablished(sent.call, sent.server, attempt, elapsed_ms))
 
     def end_attempt(
-        self, sent: face.SetUp, outcome: str, attempt: int = 0, **fields: object
-    ) -> list[face.Action]:
+        self, sent: interface.SetUp, outcome: str, attempt: int = 0, **fields: object
+    ) -> list[interface.Action]:
         """Reports the end of an attempt."""
-        elapsed_ms = fields.pop("taken_ms", 30.0)
-        return self.give(
-            face.AttemptEnded(sent.call, sent.server, attempt, face.Outcome(outcome), elapsed_ms, **fields)  # type: ignore
+        elapsed_ms = fields.pop("elapsed_ms", 30.0)
+        return self.handle(
+            interface.AttemptEnded(
+                sent.call, sent.server, attempt, interface.Outcome(outcome), elapsed_ms, **fields
+            )  # type: ignore
         )
 
     def serve(self, seconds: float, per_s: float = 8.0, delay: float = 30.0, **fields: object) -> int:
@@ -95,7 +103,7 @@
             self.wait(1000.0 / per_s)
             for action in set_ups(self.call(to=i % max(1, len(self.controller.servers)), **fields)):
                 sent += 1
-                self.stands(action, delay)
+                self.establish(action, delay)
         return sent
 
     def answer_slowly(self, server: str, delay: float, intervals: int = 6) -> None:
@@ -107,11 +115,11 @@
             self.wait(INTERVAL_MS)
 
 
-def set_ups(actions: list[face.Action]) -> list[face.SetUp]:
+def set_ups(actions: list[interface.Action]) -> list[interface.SetUp]:
     """Returns the set-ups among the actions."""
-    return [action for action in actions if isinstance(action, face.SetUp)]
+    return [action for action in actions if isinstance(action, interface.SetUp)]
 
 
-def finals(actions: list[face.Action]) -> list[face.Action]:
+def finals(actions: list[interface.Action]) -> list[interface.Action]:
     """Returns the final answers among the actions."""
-    return [action for action in actions if isinstance(action, face.Refuse | face.Fail)]
+    return [action for action in actions if isinstance(action, interface.Refuse | interface.Fail)]
--- a/tests/standin_links.py
+++ b/tests/standin_links.py
@@ -22,12 +22,12 @@
 LATE_MS = 2900.0  # an answer delayed beyond its time-out
 
 
-class Wire:
+class FakeConnection:
     """The proxy's transport of one simulated connection: data arrives after half a round trip."""
 
     def __init__(self, server: StandInServer, factory: object) -> None:
         self.server, self.protocol = server, factory.buildProtocol(None)
-        self.bad = False  # open, but delivers nothing any more
+        self.failed_silently = False  # open, but delivers nothing any more
         self.first: list[bytes] = []  # ends repeated when it opened, until they have arrived
         self.server_open, self.proxy_open, self.disconnecting = True, True, False
 
@@ -59,16 +59,16 @@
     def _arrive(self, data: bytes) -> None:
         if self.server.defer_while_hung(self._arrive, data):
             return
-        while data and self.server_open and not self.bad:
+        while data and self.server_open and not self.failed_silently:
             (size,) = struct.unpack_from("!H", data)
-            self.server.heard(self, data[2 : 2 + size])
+            self.server.message_received(self, data[2 : 2 + size])
             data = data[2 + size :]
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.server.later(RTT_MS / 2, self._deliver, data)
 
     def _deliver(self, data: bytes) -> None:
-        if self.proxy_open and not self.bad:
+        if self.proxy_open and not self.failed_silently:
             self.protocol.dataReceived(data)
 
     def end(self, reason: Exception) -> None:
@@ -78,7 +78,7 @@
             self.server.later(RTT_MS / 2, self._ended, reason)
 
     def _ended(self, reason: Exception) -> None:
-        if self.proxy_open and not self.bad:
+        if self.proxy_open and not self.failed_silently:
             self.proxy_open, self.disconnecting = False, True
             self.protocol.connectionLost(Failure(reason))
 
@@ -87,15 +87,22 @@
     """Accepts set-ups, establishes and ends calls, and records when it sent each end."""
 
     def __init__(
-        self, clock: Clock, seed: int, hold_ms: float, states: bool, again: bool = True, late: float = 0.0
+        self,
+        clock: Clock,
+        seed: int,
+        hold_ms: float,
+        states: bool,
+        repeats_ends: bool = True,
+        late: float = 0.0,
     ) -> None:
-        self.clock, self.draw, self.hold_ms, self.states = clock, Random(seed), hold_ms, states
-        self.again, self.late = again, late  # fraction of the answers that are delayed by LATE_MS
+        self.clock, self.rng, self.hold_ms, self.states = clock, Random(seed), hold_ms, states
+        # fraction of the answers that are delayed by LATE_MS
+        self.repeats_ends, self.late = repeats_ends, late
         self.released: set[bytes] = set()
         self.deferred: list[tuple[Callable, tuple]] | None = None  # actions to run after a hang, in order
-        self.wires: list[Wire] = []
+        self.wires: list[FakeConnection] = []
         self.repeat_on_open: list[bytes] = []  # ends sent since the last connection was opened
-        self.standing: dict[bytes, Wire] = {}
+        self.established: dict[bytes, FakeConnection] = {}
         self.ended_ms: dict[bytes, float] = {}
         self.refuses = self.vanished = False
         self.dials = 0
@@ -118,39 +125,39 @@
             self.later(RTT_MS / 2, self._accept, factory)
 
     def _accept(self, factory: object) -> None:
-        wire = Wire(self, factory)
+        wire = FakeConnection(self, factory)
         self.wires.append(wire)
         self.later(RTT_MS / 2, wire.protocol.makeConnection, wire)
         if self.deferred is not None:
             return  # the kernel has accepted it; the server sends nothing
         wire.first, self.repeat_on_open = self.repeat_on_open, []
         self.later(RTT_MS, wire.first.clear)
-        self.later(RTT_MS / 2, wire.say, binary(43, bytes(8), (51, b"x0:50;x1:50")) + b"".join(wire.first))
+        self.later(RTT_MS / 2, wire.send, binary(43, bytes(8), (51, b"x0:50;x1:50")) + b"".join(wire.first))
 
     def _send_state(self) -> None:
         for wire in self.wires[:4] if self.deferred is None else ():
-            wire.say(binary(43, bytes(8), (51, b"x0:50;x1:50")))
+            wire.send(binary(43, bytes(8), (51, b"x0:50;x1:50")))
         self.later(500.0, self._send_state)
 
-    def heard(self, wire: Wire, message: bytes) -> None:
+    def message_received(self, wire: FakeConnection, message: bytes) -> None:
         message_type, call = message[0], message[1:9]
         if message_type == 1:
-            late = self.late and self.draw.random() < self.late
+            late = self.late and self.rng.random() < self.late
             self.later(LATE_MS if late else SERVE_MS, self._establish, wire, call)
         elif message_type == 12:
             self.released.add(call)
         elif message_type == 52 and wire.server_open:
-            wire.say(binary(53, call, (61, b"\x01")))
+            wire.send(binary(53, call, (61, b"\x01")))
 
-    def _establish(self, wire: Wire, call: bytes) -> None:
+    def _establish(self, wire: FakeConnection, call: bytes) -> None:
         if self.defer_while_hung(self._establish, wire, call):
             return
         if wire.server_open:
-            wire.say(binary(9, call, (63, b"sdp")))
+            wire.send(binary(9, call, (63, b"sdp")))
             if call in self.released:
                 return
-            self.standing[call] = wire
-            self.later(self.draw.uniform(0.5, 1.5) * self.hold_ms, self.release, call)
+            self.established[call] = wire
+            self.later(self.rng.uniform(0.5, 1.5) * self.hold_ms, self.release, call)
 
     def defer_while_hung(self, action: Callable, *args: object) -> bool:
         """Returns whether the server hangs; if so, the action runs when it resumes."""
@@ -171,24 +178,24 @@
     def release(self, call: bytes) -> None:
         if self.defer_while_hung(self.release, call):
             return
-        wire = self.standing.pop(call, None)
+        wire = self.established.pop(call, None)
         if wire is None:
             return
         if wire not in self.wires and self.wires:
-            wire = self.draw.choice(self.wires) if self.again else self.wires[-1]
+            wire = self.rng.choice(self.wires) if self.repeats_ends else self.wires[-1]
         release = binary(12, call, (61, b"\x10"))
         self.ended_ms[call] = self.now_ms()
-        if self.again or not self.wires:
+        if self.repeats_ends or not self.wires:
             self.repeat_on_open.append(release)
-        wire.say(release)
+        wire.send(release)
 
-    def half_closed(self, wire: Wire) -> None:
+    def half_closed(self, wire: FakeConnection) -> None:
         if self.defer_while_hung(self.half_closed, wire):
             return
-        if not wire.bad:
-            wire.end(error.ConnectionDone() if self.again else error.ConnectionLost())
+        if not wire.failed_silently:
+            wire.end(error.ConnectionDone() if self.repeats_ends else error.ConnectionLost())
 
-    def closed(self, wire: Wire) -> None:
+    def closed(self, wire: FakeConnection) -> None:
         if self.defer_while_hung(self.closed, wire):
             return
         wire.server_open = False
--- a/tests/standin_trunks.py
+++ b/tests/standin_trunks.py
@@ -13,9 +13,8 @@
 from collections.abc import Callable
 from random import Random
 
-from leadslip import core, logs
-from leadslip import interface as face
-from leadslip.checks import Tally
+from leadslip import core, interface, logs
+from leadslip.metrics import Metrics
 from tests.helpers import URGENT, entry, settings
 from tests.standins import SetupServer, binary
 
@@ -76,8 +75,8 @@
         self.lost = dict.fromkeys(sizes, 0)
         self.engine: core.Engine = None  # type: ignore[assignment]
 
-    def load(self, server: str) -> face.Load:
-        return face.Load(
+    def load(self, server: str) -> interface.Load:
+        return interface.Load(
             free_lines=float(self.sizes[server] - self.busy[server]), lines=float(self.sizes[server])
         )
 
@@ -90,20 +89,20 @@
         if self.busy[server] >= self.sizes[server]:
             self.lost[server] += 1
             load = self.load(server)
-            self.engine.ended(attempt, face.Outcome.FULL, face.Cause.NO_LINE, load)
+            self.engine.on_attempt_ended(attempt, interface.Outcome.FULL, interface.Cause.NO_LINE, load)
             return
         self.busy[server] += 1
-        self.engine.stood(attempt, b"")
+        self.engine.on_established(attempt, b"")
         self.world.callLater(self.rng.expovariate(1.0 / self.hold_s), lambda: self._end(attempt))
 
     def _end(self, attempt: core.Attempt) -> None:
         self.busy[attempt.server] -= 1
-        self.engine.ended(attempt, face.Outcome.SERVED, load=self.load(attempt.server))
+        self.engine.on_attempt_ended(attempt, interface.Outcome.SERVED, load=self.load(attempt.server))
 
-    def give_up(self, attempt: core.Attempt) -> None:
+    def cancel(self, attempt: core.Attempt) -> None:
         """Never needed: every set-up is answered before its time-out."""
 
-    release = give_up
+    release = cancel
 
 
 class Callers:
@@ -143,7 +142,7 @@
         request.context = tries
         self.engine.offer(request)
 
-    def stands(self, request: core.Request, payload: object) -> None:
+    def established(self, request: core.Request, payload: object) -> None:
         self.log.append(False)
 
     def lost(self, request: core.Request) -> None:
@@ -159,27 +158,27 @@
     def failed(self, request: core.Request) -> None:
         self.lost(request)
 
-    def over(self, request: core.Request, cut: bool) -> None:
+    def call_ended(self, request: core.Request, cut: bool) -> None:
         """Does nothing: the caller needs no notice of the end."""
 
-    def catch_up(self, request: core.Request) -> None:
+    def read_pending(self, request: core.Request) -> None:
         """Does nothing: the caller sends no further messages."""
 
 
 def site(
-    sizes: list[int], hold_s: float, seed: int, observer: core.Watcher | None = None
+    sizes: list[int], hold_s: float, seed: int, observer: core.Observer | None = None
 ) -> tuple[VirtualTime, core.Engine, Trunks]:
     """Returns an engine with one server per trunk group; the first server is every call's first choice."""
     world = VirtualTime()
     trunks = Trunks(world, {f"s{i}": size for i, size in enumerate(sizes)}, hold_s, seed)
     deadlines = core.Deadlines(world, world)
     conf = settings(gateways=1, warm_after_ms=0.0)
-    engine = core.Engine(conf, seed, world, deadlines, trunks, Tally(), logs.silent, watcher=observer)
+    engine = core.Engine(conf, seed, world, deadlines, trunks, Metrics(), logs.discard, observer=observer)
     trunks.engine = engine
     entries = tuple(entry(name, i) for i, name in enumerate(trunks.sizes))
-    engine.news(face.ListNews(face.NewsKind.WHOLE, entries))
+    engine.update_servers(interface.ServerListUpdate(interface.UpdateKind.SNAPSHOT, entries))
     for name in trunks.sizes:
-        engine.looked(name, trunks.load(name))
+        engine.on_load_report(name, trunks.load(name))
     return world, engine, trunks
 
 
@@ -203,4 +202,4 @@
     def release(self, call_id: str) -> None:
         call = bytes.fromhex(call_id)
         self.established.remove(call)
-        self.links[-1].sendall(binary(12, call, (61, b"\x10"), (51, self.report())))
+        self.connections[-1].sendall(binary(12, call, (61, b"\x10"), (51, self.report())))
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -19,12 +19,12 @@
 
 ROOT = Path(__file__).parent.parent
 HOST = f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"  # an address of this test run alone
-PATIENCE_S = 20.0  # ends a test that hangs; no test measures time with it
+TEST_TIMEOUT_S = 20.0  # ends a test that hangs; no test measures time with it
 
 
 def wait_for(condition: Callable[[], bool]) -> None:
-    """Waits for a condition; fails after PATIENCE_S."""
-    deadline = time.monotonic() + PATIENCE_S
+    """Waits for a condition; fails after TEST_TIMEOUT_S."""
+    deadline = time.monotonic() + TEST_TIMEOUT_S
     while not condition():
         assert time.monotonic() < deadline
         time.sleep(0.01)
@@ -77,7 +77,7 @@
                     self.socket = socket.create_server((HOST, port))
         self.port = self.socket.getsockname()[1]
         self.address = f"{HOST}:{self.port}"
-        self.links: list[socket.socket] = []
+        self.connections: list[socket.socket] = []
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -87,7 +87,7 @@
             except OSError:
                 return
             link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.links.append(link)
+            self.connections.append(link)
             threading.Thread(target=self._serve, args=(link,), daemon=True).start()
 
     def _serve(self, link: socket.socket) -> None:
@@ -107,7 +107,7 @@
             return
         self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
-        for link in self.links:
+        for link in self.connections:
             try:
                 link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 link.shutdown(socket.SHUT_RD)
@@ -121,7 +121,7 @@
 
     def __init__(self, behaviour: str = "answer") -> None:
         self.behaviour = behaviour
-        self.heard: list[tuple[int, bytes, dict[int, bytes]]] = []
+        self.received: list[tuple[int, bytes, dict[int, bytes]]] = []
         super().__init__()
 
     def serve(self, link: socket.socket) -> None:
@@ -134,7 +134,7 @@
                 code, size = struct.unpack_from("!BH", body, offset)
                 fields[code] = body[offset + 3 : offset + 3 + size]
                 offset += 3 + size
-            self.heard.append((body[0], body[1:9], fields))
+            self.received.append((body[0], body[1:9], fields))
             if body[0] == 1:
                 self.answer(link, body[1:9], fields)
             elif body[0] == 52 and self.behaviour != "silent":
@@ -152,9 +152,9 @@
             link.sendall(binary(12, call, (61, b"\x22"), (47, b"overload")))
 
     def release_all(self) -> None:
-        for message_type, call, _ in list(self.heard):
+        for message_type, call, _ in list(self.received):
             if message_type == 1:
-                self.links[-1].sendall(binary(12, call, (61, b"\x10")))
+                self.connections[-1].sendall(binary(12, call, (61, b"\x10")))
 
 
 def binary(message_type: int, call: bytes, *fields: tuple[int, bytes]) -> bytes:
@@ -260,7 +260,7 @@
     socket_type = socket.SOCK_STREAM if over_tcp else socket.SOCK_DGRAM
     answers = []
     with socket.socket(socket.AF_INET, socket_type) as link:
-        link.settimeout(PATIENCE_S)
+        link.settimeout(TEST_TIMEOUT_S)
         link.connect(address)
         for name, id_ in queries:
             data = query(name, id_)
@@ -301,8 +301,13 @@
             ],
         }
         self.folder = folder
-        self.told = {"name": "n0", "listen": f"{HOST}:0", "seed": "5eed", "board": self.board.address}
-        self.told |= {"known": known, "settings": settings(), "limits": {"sockets": 256}} | more
+        self.configuration = {
+            "name": "n0",
+            "listen": f"{HOST}:0",
+            "seed": "5eed",
+            "board": self.board.address,
+        }
+        self.configuration |= {"known": known, "settings": settings(), "limits": {"sockets": 256}} | more
         self.configure()
         (folder / "enum.toml").write_text(enum or "enabled = false\n")
         environ = {"NODE_CONFIG": str(folder / "config.json"), "LEADSLIP_ENUM": str(folder / "enum.toml")}
@@ -319,14 +324,14 @@
             text=True,
         )
         self.log: list[str] = []
-        self.listen = self.enum_at = self.ops = ("", 0)
+        self.listen = self.enum_address = self.ops = ("", 0)
         for line in self.process.stdout:
             self.log.append(line)
             words = line.split()
             if " ops.serves " in line:
                 self.ops = (HOST, int(words[-1].rpartition(":")[2]))
             if " enum.serves " in line:
-                self.enum_at = (HOST, int(words[-1].rpartition(":")[2]))
+                self.enum_address = (HOST, int(words[-1].rpartition(":")[2]))
             if " serves " in line:
                 self.listen = (HOST, int(words[-1].rpartition(":")[2]))
                 break
@@ -338,7 +343,7 @@
 
     def configure(self, **changes: object) -> None:
         """Writes the configuration with the changes; the process reads it on start and on SIGHUP."""
-        (self.folder / "new.json").write_text(json.dumps(self.told | changes))
+        (self.folder / "new.json").write_text(json.dumps(self.configuration | changes))
         (self.folder / "new.json").replace(self.folder / "config.json")
 
     def reload(self, **changes: object) -> str:
@@ -358,7 +363,7 @@
 
     def call(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
         """Sends one HTTP request to the operators' address; returns status and body."""
-        connection = http.client.HTTPConnection(*self.ops, timeout=PATIENCE_S)
+        connection = http.client.HTTPConnection(*self.ops, timeout=TEST_TIMEOUT_S)
         try:
             connection.request(method, path, body=body)
             response = connection.getresponse()
@@ -371,11 +376,11 @@
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
-            code = self.process.wait(PATIENCE_S)
+            code = self.process.wait(TEST_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             code = self.process.wait()
-        self.reader.join(PATIENCE_S)
+        self.reader.join(TEST_TIMEOUT_S)
         return code
 
 
@@ -383,10 +388,10 @@
     """One SIP connection to the program."""
 
     def __init__(self, program: Program) -> None:
-        self.socket = socket.create_connection(program.listen, timeout=PATIENCE_S)
+        self.socket = socket.create_connection(program.listen, timeout=TEST_TIMEOUT_S)
         self.file = self.socket.makefile("rb")
 
-    def say(self, method: str, id_: str, body: bytes = b"", **headers: object) -> None:
+    def send(self, method: str, id_: str, body: bytes = b"", **headers: object) -> None:
         more = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
         cseq = "INVITE" if method == "ACK" else method
         self.socket.sendall(
@@ -397,9 +402,9 @@
 
     def invite(self, id_: str, kind: str = "plain", expires: int = 3000, dest: int = 0) -> None:
         info = f"dest:{dest};width:1;via:-1"
-        self.say("INVITE", id_, b"c=offer", Priority_Class=kind, Expires_Ms=expires, P_Trunk_Info=info)
+        self.send("INVITE", id_, b"c=offer", Priority_Class=kind, Expires_Ms=expires, P_Trunk_Info=info)
 
-    def hear(self) -> tuple[str, dict[str, str], bytes]:
+    def receive(self) -> tuple[str, dict[str, str], bytes]:
         """Returns the next message: start line, headers, body."""
         start = self.file.readline().decode().strip()
         headers = {}
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -42,10 +42,10 @@
 
 def test_a_silent_stream_is_dropped_and_polled_again_from_the_last_event():
     world, revisions, agent = World(), [], FakeAgent()
-    client = board.Board(
+    client = board.BoardClient(
         world.time,
         world.deadlines,
-        world.tally,
+        world.metrics,
         ("127.0.0.1", 9),
         3,
         lambda received: revisions.append(received.rev),
@@ -60,7 +60,7 @@
     world.time.advance(board.SILENCE_TIMEOUT_MS / 1000.0 - 0.1)
     assert len(agent.polls) == 1, "a comment keeps the poll alive"
     world.time.advance(0.2)
-    assert [last for _, last in agent.polls] == ["3", "4"] and world.tally.counts["board.silent"] == 1
+    assert [last for _, last in agent.polls] == ["3", "4"] and world.metrics.counts["board.silent"] == 1
     second = agent.answer(1)
     send_event(first, 5, ("s1", "127.0.0.1:2", "active"))
     assert revisions == [4], "events of the old stream are ignored"
@@ -72,10 +72,10 @@
 def open_poll():
     """Returns a client with one open poll, the revisions it passes on, its agent and the stream."""
     world, revisions, agent = World(), [], FakeAgent()
-    client = board.Board(
+    client = board.BoardClient(
         world.time,
         world.deadlines,
-        world.tally,
+        world.metrics,
         ("127.0.0.1", 9),
         3,
         lambda received: revisions.append(received.rev),
@@ -115,7 +115,7 @@
 
 def test_after_a_move_the_old_board_is_ignored_and_the_end_of_its_stream_starts_no_poll():
     world, client, revisions, agent, first = open_poll()
-    client.move(("127.0.0.1", 10))
+    client.change_address(("127.0.0.1", 10))
     send_event(first, 4, ("s0", "127.0.0.1:1", "active"))
     second = agent.answer(1)
     send_event(second, 4, ("s0", "127.0.0.1:1", "active"))
@@ -126,10 +126,10 @@
 
 def test_a_poll_without_a_response_is_repeated():
     world, revisions, agent = World(), [], FakeAgent()
-    client = board.Board(
+    client = board.BoardClient(
         world.time,
         world.deadlines,
-        world.tally,
+        world.metrics,
         ("127.0.0.1", 9),
         3,
         lambda received: revisions.append(received.rev),
@@ -138,4 +138,4 @@
     client.agent = agent
     client.poll()
     world.time.advance(2.6)
-    assert len(agent.polls) == 2 and world.tally.counts["board.silent"] == 1
+    assert len(agent.polls) == 2 and world.metrics.counts["board.silent"] == 1
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,13 +10,13 @@
 from leadslip import logs
 from leadslip.cli import GROUPS, main
 from leadslip.config import MalformedError
-from leadslip.parts import Around
+from leadslip.parts import SettingsContext
 from leadslip.parts.logs import settings as logs_part
 from leadslip.parts.store import settings as store_part
 from leadslip.parts.trunks import settings as trunks_part
 from leadslip.store.base import Store
 from leadslip.trunks import record
-from tests.standins import HOST, PATIENCE_S, ROOT, settings
+from tests.standins import HOST, ROOT, TEST_TIMEOUT_S, settings
 from tests.test_trunks import days
 
 
@@ -100,7 +100,7 @@
 def test_run_and_configure_subcommands_work_as_processes(tmp_path):
     def run(*words):
         command = [sys.executable, "-m", "leadslip.cli", *words]
-        return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=PATIENCE_S)
+        return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=TEST_TIMEOUT_S)
 
     (tmp_path / "c.json").write_text("{}")
     completed = run("run", "--config", str(tmp_path / "c.json"))
@@ -120,7 +120,7 @@
     path = str(tmp_path / "leadslip.db")
     store = Store(path)
     intervals = days(8, lambda day, q: (50.0 if day == 5 else 20.0) if 50 <= q < 54 else 2.0)
-    store.write([record.point_of(interval, 1) for i, interval in enumerate(intervals) if i != 100])
+    store.write([record.to_point(interval, 1) for i, interval in enumerate(intervals) if i != 100])
     store.close()
     return path
 
@@ -155,7 +155,7 @@
 
 def test_plain_log_lines_quote_values_and_respect_the_level():
     stream = io.StringIO()
-    log = logs.Plain("info", stream)
+    log = logs.PlainLog("info", stream)
     log("a.b", level="debug", hidden=1)
     log("a.b", n=3, text='two words "quoted"', ratio=0.25, none="")
     (line,) = stream.getvalue().splitlines()
@@ -164,7 +164,7 @@
 
 def test_structured_log_lines_are_json_or_console_text():
     stream = io.StringIO()
-    log = logs.Structured("json", "info", stream, {"proxy": "n0"})
+    log = logs.StructuredLog("json", "info", stream, {"proxy": "n0"})
     log("serves", address="a:1")
     log("serves", level="debug")
     log("reload.refused", level="error", fault="x is missing")
@@ -173,7 +173,7 @@
     assert first == {"event": "serves", "level": "info", "proxy": "n0", "address": "a:1"}
     assert second["level"] == "error" and second["fault"] == "x is missing"
     stream = io.StringIO()
-    logs.Structured("console", "info", stream)("serves", address="a:1")
+    logs.StructuredLog("console", "info", stream)("serves", address="a:1")
     assert "serves" in stream.getvalue() and "address=a:1" in stream.getvalue()
 
 
@@ -194,7 +194,7 @@
         read(given)
 
 
-CONTEXT = Around(("plain", "urgent"), {"store": True})
+CONTEXT = SettingsContext(("plain", "urgent"), {"store": True})
 GROUP = {"name": "n", "destinations": [0], "trunks": 5}
 
 
@@ -218,9 +218,9 @@
 def test_errors_in_trunks_settings_name_the_key(given, key):
     with pytest.raises(MalformedError, match=key):
         trunks_part.settings({"enabled": True} | given, CONTEXT)
-    assert trunks_part.settings({"enabled": False}, Around()) is None
+    assert trunks_part.settings({"enabled": False}, SettingsContext()) is None
     with pytest.raises(MalformedError, match="needs the store"):
-        trunks_part.settings({"enabled": True}, Around())
+        trunks_part.settings({"enabled": True}, SettingsContext())
     good = trunks_part.settings({"enabled": True, "group": [GROUP | {"share": 0.5}]}, CONTEXT)
     assert good.groups[0].trunks == 2.5
 
@@ -231,17 +231,21 @@
     (tmp_path / "trunks.toml").write_text("enabled = true\n")
     env = {"NODE_CONFIG": str(tmp_path / "c.json"), "LEADSLIP_TRUNKS": str(tmp_path / "trunks.toml")}
     command = [sys.executable, "-m", "leadslip"]
-    completed = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True, timeout=PATIENCE_S)
+    completed = subprocess.run(
+        command, cwd=ROOT, env=env, capture_output=True, text=True, timeout=TEST_TIMEOUT_S
+    )
     assert completed.returncode == 2 and "trunks.measure needs the store to be turned on" in completed.stderr
     (tmp_path / "store.toml").write_text(f'enabled = true\npath = "{tmp_path}/nowhere/leadslip.db"\n')
     env["LEADSLIP_STORE"] = str(tmp_path / "store.toml")
-    completed = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True, timeout=PATIENCE_S)
+    completed = subprocess.run(
+        command, cwd=ROOT, env=env, capture_output=True, text=True, timeout=TEST_TIMEOUT_S
+    )
     assert completed.returncode == 2 and completed.stderr.startswith(
         "leadslip: store.path is no file in a folder"
     )
 
 
-@pytest.mark.parametrize("make_log", [logs.Plain, lambda **kwargs: logs.Structured("json", **kwargs)])
+@pytest.mark.parametrize("make_log", [logs.PlainLog, lambda **kwargs: logs.StructuredLog("json", **kwargs)])
 def test_a_closed_log_stream_does_not_raise(make_log):
     class ClosedStream(io.StringIO):
         def write(self, text):
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -5,13 +5,15 @@
 
 import pytest
 
-from leadslip import interface as face
+from leadslip import interface
 from tests.helpers import Gateway, entry, set_ups
 
 SERVERS, MULTIPLE, WINDOW_MS, WARM_UP_MS, COLD_FRACTION = 4, 2.5, 1500.0, 14_000.0, 0.3
 LOAD = 0.9  # fraction of the capacity of warmed-up servers
 SERVERS_REPLACED_MS, END_MS = 20_000.0, 34_000.0
-CLASSES = tuple(face.CallClass(name, worth, 0.2, 1500.0, 9000.0) for name, worth in (("a", 1.0), ("b", 3.0)))
+CLASSES = tuple(
+    interface.CallClass(name, worth, 0.2, 1500.0, 9000.0) for name, worth in (("a", 1.0), ("b", 3.0))
+)
 
 
 class Fleet:
@@ -21,11 +23,11 @@
     """
 
     def __init__(self, gateways: int, budget: float, seed: int) -> None:
-        self.draw, self.seed, self.gateways = random.Random(seed), seed, gateways
+        self.rng, self.seed, self.gateways = random.Random(seed), seed, gateways
         self.capacity = budget / (
             MULTIPLE * COLD_FRACTION * WINDOW_MS / 1000.0
         )  # set-ups per second of a warmed-up server
-        self.weights = [self.draw.choice((1, 1, 1, 1, 3)) for _ in range(gateways)]
+        self.weights = [self.rng.choice((1, 1, 1, 1, 3)) for _ in range(gateways)]
         self.running = [self.start_gateway(0.0) for _ in range(gateways)]
         self.started: dict[str, float] = {}
         self.sent: dict[str, list[float]] = {}
@@ -47,10 +49,10 @@
         gateway.now = now
         return gateway
 
-    def listed(self, kind: face.NewsKind) -> face.ListNews:
+    def listed(self, kind: interface.UpdateKind) -> interface.ServerListUpdate:
         """Return the current server list as an update."""
         names = [(f"s{i}", i) for i in range(SERVERS)]
-        return face.ListNews(
+        return interface.ServerListUpdate(
             kind, tuple(entry(name, i, since=self.started.get(name, 0.0)) for name, i in names)
         )
 
@@ -58,25 +60,25 @@
         self.started = {f"s{i}": SERVERS_REPLACED_MS for i in range(SERVERS // 2)}
         for gateway in self.running:
             gateway.wait(SERVERS_REPLACED_MS - gateway.now)
-            gateway.give(self.listed(face.NewsKind.CHANGES))
+            gateway.handle(self.listed(interface.UpdateKind.CHANGES))
 
     def restart(self, indices: list[int], now: float) -> None:
         for i in indices:
             self.running[i] = self.start_gateway(now)
-            self.running[i].give(self.listed(face.NewsKind.WHOLE))
+            self.running[i].handle(self.listed(interface.UpdateKind.SNAPSHOT))
 
     def serve(self, until: float, up: list[int]) -> None:
         """Offer calls with random (Poisson) arrivals to the gateways that are up."""
         rate = self.capacity * SERVERS * LOAD / 1000.0
         weights = [self.weights[i] for i in up]
         now = max(gateway.now for gateway in self.running)
-        while (now := now + self.draw.expovariate(rate)) < until:
-            gateway = self.running[self.draw.choices(up, weights)[0]]
+        while (now := now + self.rng.expovariate(rate)) < until:
+            gateway = self.running[self.rng.choices(up, weights)[0]]
             actions = gateway.wait(max(0.0, now - gateway.now))
-            call_class = self.draw.choice(("a", "a", "a", "b"))
-            for action in set_ups(actions + gateway.call(to=self.draw.randrange(SERVERS), kind=call_class)):
+            call_class = self.rng.choice(("a", "a", "a", "b"))
+            for action in set_ups(actions + gateway.call(to=self.rng.randrange(SERVERS), kind=call_class)):
                 self.sent.setdefault(action.server, []).append(now)
-                gateway.stands(action, 30.0)
+                gateway.establish(action, 30.0)
 
     def windows(self) -> list[tuple[int, float]]:
         """Return the set-ups and N of each window that ends with a set-up to a server in slow start."""
@@ -99,7 +101,7 @@
     all_gateways = list(range(gateways))
     fleet.serve(SERVERS_REPLACED_MS - 3000.0, all_gateways)
     if killed:
-        killed_gateways = fleet.draw.sample(all_gateways, gateways * 7 // 10)
+        killed_gateways = fleet.rng.sample(all_gateways, gateways * 7 // 10)
         fleet.serve(SERVERS_REPLACED_MS, [i for i in all_gateways if i not in killed_gateways])
         fleet.replace_servers()
         fleet.serve(SERVERS_REPLACED_MS + 1000.0, [i for i in all_gateways if i not in killed_gateways])
--- a/tests/test_configure.py
+++ b/tests/test_configure.py
@@ -33,7 +33,7 @@
         assert configure.main(["check", *map(str, folder.iterdir())]) == 0
     assert len(seeds) == 2
     enum = tmp_path / "out" / "voice-alerts" / "enum.toml"
-    assert parts.read(conf, {"LEADSLIP_ENUM": str(enum)})["enum"].resolvers == (("127.0.0.1", 5301),)
+    assert parts.read_settings(conf, {"LEADSLIP_ENUM": str(enum)})["enum"].resolvers == (("127.0.0.1", 5301),)
     assert not (tmp_path / "out" / "siren-desk" / "enum.toml").exists()
     capsys.readouterr()
 
@@ -70,12 +70,15 @@
     root = configure.Path(__file__).parent.parent
     for name in parts.NAMES:
         table = tomllib.loads((root / "deploy" / f"{name}.toml").read_text())
-        check, around = parts.kind(name).settings, parts.Around(settings={"store": True, "fleet": True})
-        assert check(table, around) == (LogsConfig() if name == "logs" else None)
+        check, context = (
+            parts.settings_class(name).settings,
+            parts.SettingsContext(settings={"store": True, "fleet": True}),
+        )
+        assert check(table, context) == (LogsConfig() if name == "logs" else None)
         with pytest.raises(config.MalformedError, match="odd is unknown"):
-            check(table | {"odd": 1}, around)
+            check(table | {"odd": 1}, context)
         if name != "logs":
-            assert check(table | {"enabled": True}, around) is not None
+            assert check(table | {"enabled": True}, context) is not None
 
 
 def test_the_example_configuration_is_valid():
@@ -109,7 +112,11 @@
     for name, call_class in (("siren-desk", "resident-call"), ("voice-alerts", "officer-call")):
         folder = tmp_path / "b" / name
         table = tomllib.loads((folder / "trunks.toml").read_text())
-        (group,) = parts.kind("trunks").settings(table, parts.Around(settings={"store": True})).groups
+        (group,) = (
+            parts.settings_class("trunks")
+            .settings(table, parts.SettingsContext(settings={"store": True}))
+            .groups
+        )
         assert (group.name, group.reserve) == ("north", {call_class: 2})
         assert configure.main(["check", *map(str, folder.iterdir())]) == 0
     assert write("a", "officer-call") == 2 and write("c", "other") == 2
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,9 +6,8 @@
 import pytest
 from twisted.internet.task import Clock
 
-from leadslip import choice, core, deadlines, logs
-from leadslip import interface as face
-from leadslip.checks import Tally
+from leadslip import choice, core, deadlines, interface, logs
+from leadslip.metrics import Metrics
 from tests.helpers import PLAIN, entry, settings
 from tests.standins import ROOT
 
@@ -17,12 +16,14 @@
     """An engine with its clock; also its downstream and upstream sides, which record what the engine calls."""
 
     def __init__(self, servers=2, **changes):
-        self.time, self.tally, self.told, self.sent = Clock(), Tally(), [], []
+        self.time, self.metrics, self.recorded, self.sent = Clock(), Metrics(), [], []
         self.outcome = None
         self.deadlines = core.Deadlines(self, self.time)
-        self.engine = core.Engine(settings(**changes), 1, self, self.deadlines, self, self.tally, logs.silent)
+        self.engine = core.Engine(
+            settings(**changes), 1, self, self.deadlines, self, self.metrics, logs.discard
+        )
         listed = tuple(entry(f"s{i}", i) for i in range(servers))
-        self.engine.news(face.ListNews(face.NewsKind.WHOLE, listed))
+        self.engine.update_servers(interface.ServerListUpdate(interface.UpdateKind.SNAPSHOT, listed))
 
     def now_ms(self):
         return 1e12 + self.time.seconds() * 1000.0
@@ -31,25 +32,25 @@
         self.sent.append(attempt)
         return self.outcome
 
-    def give_up(self, attempt):
-        self.told.append(("give up", attempt.request.id))
+    def cancel(self, attempt):
+        self.recorded.append(("give up", attempt.request.id))
 
     def release(self, attempt):
-        self.told.append(("release", attempt.request.id))
+        self.recorded.append(("release", attempt.request.id))
 
-    def stands(self, request, payload):
-        self.told.append(("stands", request.id, payload))
+    def established(self, request, payload):
+        self.recorded.append(("stands", request.id, payload))
 
     def refused(self, request, pause_ms):
-        self.told.append(("refused", request.id))
+        self.recorded.append(("refused", request.id))
 
     def failed(self, request):
-        self.told.append(("failed", request.id))
+        self.recorded.append(("failed", request.id))
 
-    def over(self, request, cut):
-        self.told.append(("over", request.id, cut))
+    def call_ended(self, request, cut):
+        self.recorded.append(("over", request.id, cut))
 
-    def catch_up(self, request):
+    def read_pending(self, request):
         """Does nothing: no unread data is ever pending from the callers of this fixture."""
 
     def offer(self, id_="a", left_ms=2000.0, to=0):
@@ -67,21 +68,21 @@
     world = World()
     world.offer()
     (attempt,) = world.sent
-    world.engine.stood(attempt, b"sdp")
-    world.engine.stood(attempt, b"again")
-    world.engine.ended(attempt, face.Outcome.SERVED)
-    world.engine.ended(attempt, face.Outcome.CUT)
+    world.engine.on_established(attempt, b"sdp")
+    world.engine.on_established(attempt, b"again")
+    world.engine.on_attempt_ended(attempt, interface.Outcome.SERVED)
+    world.engine.on_attempt_ended(attempt, interface.Outcome.CUT)
     world.wait(3000)
-    assert world.told == [("stands", "a", b"sdp"), ("over", "a", False)]
+    assert world.recorded == [("stands", "a", b"sdp"), ("over", "a", False)]
 
 
 def test_with_a_silent_server_the_request_fails_before_its_deadline_and_the_attempt_is_cancelled():
     world = World()
     world.offer(left_ms=800.0)
     world.wait(795)
-    assert world.told == [("give up", "a"), ("failed", "a")]
-    world.engine.stood(world.sent[0], b"late")
-    assert len(world.told) == 2
+    assert world.recorded == [("give up", "a"), ("failed", "a")]
+    world.engine.on_established(world.sent[0], b"late")
+    assert len(world.recorded) == 2
 
 
 def test_a_request_is_answered_even_if_the_controller_never_decides_about_it():
@@ -89,33 +90,33 @@
     world.engine.controller.handle = lambda now_ms, event: []
     world.offer(left_ms=500.0)
     world.wait(500)
-    assert world.told == [("failed", "a")]
+    assert world.recorded == [("failed", "a")]
 
 
 def test_a_cancellation_that_crosses_the_answer_changes_nothing():
     world = World()
     request = world.offer()
-    world.engine.stood(world.sent[0], b"sdp")
+    world.engine.on_established(world.sent[0], b"sdp")
     world.engine.cancel(request)
-    assert world.told == [("stands", "a", b"sdp")]
+    assert world.recorded == [("stands", "a", b"sdp")]
     world.engine.hang_up(request)
     world.engine.hang_up(request)
-    assert world.told[1:] == [("release", "a")]
+    assert world.recorded[1:] == [("release", "a")]
 
 
 def test_a_cancelled_request_gets_no_answer_and_its_attempt_is_cancelled_at_the_server():
     world = World()
     request = world.offer()
     world.engine.cancel(request)
-    world.engine.stood(world.sent[0], b"late")
+    world.engine.on_established(world.sent[0], b"late")
     world.wait(3000)
-    assert world.told == [("give up", "a")]
+    assert world.recorded == [("give up", "a")]
 
 
 def test_after_a_lost_connection_nothing_is_sent_for_the_release_wait():
     world = World(release_wait_ms=250.0)
     world.offer()
-    world.engine.ended(world.sent[0], face.Outcome.CUT)
+    world.engine.on_attempt_ended(world.sent[0], interface.Outcome.CUT)
     world.wait(249)
     assert len(world.sent) == 1
     world.wait(20)
@@ -124,36 +125,44 @@
 
 def test_an_unsent_attempt_is_retried_elsewhere_at_once_with_one_attempt_in_progress():
     world = World()
-    world.outcome = face.Outcome.NO_CONNECTION
+    world.outcome = interface.Outcome.NO_CONNECTION
     world.offer()
     assert [attempt.server for attempt in world.sent] == ["s0", "s1"]
-    assert world.told == [("refused", "a")]
-    assert world.tally.counts["attempts.no_connection"] == 2
+    assert world.recorded == [("refused", "a")]
+    assert world.metrics.counts["attempts.no_connection"] == 2
 
 
-@pytest.mark.parametrize("state", [face.ServerState.DRAINING, face.ServerState.GONE])
+@pytest.mark.parametrize("state", [interface.ServerState.DRAINING, interface.ServerState.GONE])
 def test_a_draining_server_accepts_set_ups_only_during_the_drain_grace(state):
     world = World(drain_grace_ms=300.0)
-    world.engine.news(face.ListNews(face.NewsKind.CHANGES, (face.ListEntry("s0", 0, state),)))
+    world.engine.update_servers(
+        interface.ServerListUpdate(interface.UpdateKind.CHANGES, (interface.ListEntry("s0", 0, state),))
+    )
     world.wait(299)
-    assert world.engine.sent_to("s0")
+    assert world.engine.accepts_set_ups("s0")
     world.wait(2)
-    assert not world.engine.sent_to("s0") and world.engine.sent_to("s1") and not world.engine.sent_to("s9")
+    assert (
+        not world.engine.accepts_set_ups("s0")
+        and world.engine.accepts_set_ups("s1")
+        and not world.engine.accepts_set_ups("s9")
+    )
 
 
 def test_a_duplicate_id_fails_and_the_first_call_is_kept():
     world = World()
     world.offer()
     world.offer()
-    world.engine.stood(world.sent[0], b"sdp")
-    assert world.told == [("failed", "a"), ("stands", "a", b"sdp")]
+    world.engine.on_established(world.sent[0], b"sdp")
+    assert world.recorded == [("failed", "a"), ("stands", "a", b"sdp")]
     assert len(world.sent) == 1
 
 
 def test_many_deadlines_share_one_timer_and_cancelled_ones_are_compacted():
     world = World()
     before = len(world.time.getDelayedCalls())
-    scheduled = [world.deadlines.at(world.now_ms() + 5000 + i, lambda argument: None) for i in range(5000)]
+    scheduled = [
+        world.deadlines.call_at(world.now_ms() + 5000 + i, lambda argument: None) for i in range(5000)
+    ]
     assert len(world.time.getDelayedCalls()) == before == 1
     for deadline in scheduled:
         world.deadlines.cancel(deadline)
@@ -161,9 +170,9 @@
 
 
 BROKEN_INVARIANT = """
-from leadslip.checks import Tally
-tally = Tally()
-print(tally.must(True, "fine"), tally.must(False, "one attempt out"), dict(tally.counts))
+from leadslip.metrics import Metrics
+metrics = Metrics()
+print(metrics.check_invariant(True, "fine"), metrics.check_invariant(False, "one attempt out"), dict(metrics.counts))
 """
 
 
@@ -182,16 +191,20 @@
 def test_servers_replaced_under_new_ids_leave_no_state_behind():
     world = World(drain_grace_ms=300.0)
     for i in range(50):
-        world.engine.news(face.ListNews(face.NewsKind.CHANGES, (entry(f"n{i}", 0),)))
+        world.engine.update_servers(
+            interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry(f"n{i}", 0),))
+        )
         world.offer(str(i), to=0)
         for attempt in world.sent:
-            world.engine.ended(attempt, face.Outcome.ERROR)
+            world.engine.on_attempt_ended(attempt, interface.Outcome.ERROR)
         gone_entry = entry(f"n{i}", 0, "gone")
-        world.engine.news(face.ListNews(face.NewsKind.CHANGES, (gone_entry,)))
+        world.engine.update_servers(interface.ServerListUpdate(interface.UpdateKind.CHANGES, (gone_entry,)))
         world.wait(301)
-    world.engine.news(face.ListNews(face.NewsKind.CHANGES, ()))
-    world.wait(choice.MEMORY_MS + choice.INTERVAL_MS)
+    world.engine.update_servers(interface.ServerListUpdate(interface.UpdateKind.CHANGES, ()))
+    world.wait(choice.MAX_SAMPLE_LIFETIME_MS + choice.INTERVAL_MS)
     assert set(world.engine.states) == {"s0", "s1"} == set(world.engine.controller.servers)
     assert (
-        not world.engine.unavailable_since_ms and not world.engine.open and not world.engine.controller.gone
+        not world.engine.unavailable_since_ms
+        and not world.engine.open
+        and not world.engine.controller.gone_servers
     )
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -2,7 +2,7 @@
 
 import random
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.core import Request
 from leadslip.counters import Counters
 from tests.helpers import PLAIN, URGENT
@@ -10,7 +10,7 @@
 
 
 def figures(world: World) -> dict[str, int]:
-    return world.engine.counters.figures()
+    return world.engine.counters.values()
 
 
 def test_each_answer_counts_once_in_its_class_and_active_counts_open_requests():
@@ -25,27 +25,27 @@
         world.engine.offer(request)
         for attempt in world.sent[before:]:
             if rng.random() < 0.9:
-                world.engine.written(attempt)
+                world.engine.on_set_up_written(attempt)
                 expected[(call_class, "tries")] = expected.get((call_class, "tries"), 0) + 1
         event = rng.random()
         attempt = request.attempt
         if attempt is not None and event < 0.5:
-            world.engine.stood(attempt, b"sdp")
+            world.engine.on_established(attempt, b"sdp")
         elif attempt is not None and event < 0.6:
-            world.engine.ended(attempt, face.Outcome.ERROR)
+            world.engine.on_attempt_ended(attempt, interface.Outcome.ERROR)
         elif attempt is not None and event < 0.7:
             world.engine.cancel(request)  # the caller left: no answer is counted
             cancelled.add(request.id)
         world.wait(rng.choice((0, 5, 50)))
-        for established in list(world.engine.standing.values()):
+        for established in list(world.engine.established.values()):
             if rng.random() < 0.1:
-                world.engine.ended(established.attempt, face.Outcome.SERVED)
+                world.engine.on_attempt_ended(established.attempt, interface.Outcome.SERVED)
         active = len(active_requests(world, classes, cancelled))
         assert figures(world)["proxy.active"] == active
         active_seen.append(active)
     world.wait(4000)
     answers = {"stands": "ok", "refused": "shed", "failed": "errors"}
-    for answer, id_, *_ in world.told:
+    for answer, id_, *_ in world.recorded:
         if answer in answers:
             key = (classes[id_], answers[answer])
             expected[key] = expected.get(key, 0) + 1
@@ -61,7 +61,7 @@
 def active_requests(world: World, offered: dict, cancelled: set) -> set:
     """Requests received and not ended, as seen downstream: without a final answer, or with an established call."""
     active = set(offered) - cancelled
-    for answer, id_, *_ in world.told:
+    for answer, id_, *_ in world.recorded:
         if answer in ("refused", "failed", "over"):
             active.discard(id_)
     return active
@@ -76,28 +76,30 @@
     values = figures(world)
     assert values[f"proxy.responses.{PLAIN}.errors"] == 1
     assert not [name for name in values if "no such class" in name]
-    assert ("refused", "b" * 16) in world.told
+    assert ("refused", "b" * 16) in world.recorded
 
 
 def test_classes_added_at_a_reload_are_counted_and_removed_ones_keep_their_counters():
     world = World()
     world.engine.offer(Request("a" * 16, PLAIN, world.now_ms() + 2000.0, world))
-    world.engine.stood(world.sent[0], b"sdp")
+    world.engine.on_established(world.sent[0], b"sdp")
     settings = world.engine.settings
-    added = face.CallClass("fresh", 2.0, 0.2, 1500.0, 9000.0)
-    world.engine.adopt(face.Settings(**{**_fields(settings), "classes": (added,)}), world.engine.most_held)
+    added = interface.CallClass("fresh", 2.0, 0.2, 1500.0, 9000.0)
+    world.engine.apply_settings(
+        interface.Settings(**{**_fields(settings), "classes": (added,)}), world.engine.max_open_requests
+    )
     values = figures(world)
     assert values[f"proxy.responses.{PLAIN}.ok"] == 1 and values["proxy.responses.fresh.ok"] == 0
 
 
-def _fields(settings: face.Settings) -> dict:
+def _fields(settings: interface.Settings) -> dict:
     return {name: getattr(settings, name) for name in settings.__dataclass_fields__}
 
 
 def test_the_text_has_one_sorted_line_for_each_counter_and_gauge():
     counters = Counters(["b", "a"])
-    counters.watch("active", lambda: 14)
-    counters.answered("a", "ok")
+    counters.add_gauge("active", lambda: 14)
+    counters.count_answer("a", "ok")
     counters.config_rejected += 1
     lines = counters.text().decode().splitlines()
     assert lines[:4] == [
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -47,12 +47,12 @@
 
 
 def set_ups(server):
-    return [call.hex() for kind, call, _ in server.heard if kind == 1]
+    return [call.hex() for kind, call, _ in server.received if kind == 1]
 
 
 def leave(caller, manner):
     if manner == "cancel":
-        caller.say("CANCEL", FIRST)
+        caller.send("CANCEL", FIRST)
     elif manner == "end":
         caller.socket.shutdown(socket.SHUT_WR)
     else:
@@ -65,7 +65,7 @@
     """Returns a server's set-ups after a later one was answered: any earlier attempt would have arrived before it."""
     other = Caller(program)
     other.invite(SECOND, dest=1)
-    assert other.hear()[0] == "SIP/2.0 200 OK"
+    assert other.receive()[0] == "SIP/2.0 200 OK"
     return set_ups(server)
 
 
@@ -76,7 +76,7 @@
     caller.invite(FIRST)
     wait_for(lambda: set_ups(first) == [FIRST])
     with Stopped(program):
-        (link,) = first.links
+        (link,) = first.connections
         link.sendall(binary(12, bytes.fromhex(FIRST), *FULL))  # sent first, so read first
         leave(caller, manner)
     assert set_ups_after_another_call(program, second) == [SECOND]
@@ -89,9 +89,10 @@
     caller = Caller(program)
     caller.invite(FIRST, expires=20_000)
     wait_for(lambda: set_ups(first) == [FIRST])
-    (link,) = first.links
+    (link,) = first.connections
     link.shutdown(socket.SHUT_RDWR)
-    wait_for(lambda: len(first.links) > 1)  # the program has noticed the loss, and waits for the guard time
+    # the program has noticed the loss, and waits for the guard time
+    wait_for(lambda: len(first.connections) > 1)
     with Stopped(program):
         leave(caller, manner)
         time.sleep(1.1 * GUARD_MS / 1000.0)  # the guard time has passed when the process continues
@@ -113,7 +114,7 @@
     caller.invite(FIRST, expires=2000)
     wait_for(lambda: set_ups(first) == [FIRST])
     with Stopped(program):
-        (link,) = first.links
+        (link,) = first.connections
         link.sendall(binary(9, bytes.fromhex(FIRST), (63, b"sdp")))
         time.sleep(2.1)
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.choice import (
     CALM_PROBABILITY,
     INTERVAL_MS,
@@ -44,7 +44,7 @@
 def test_processor_full_sets_the_refusal_probability_to_one_at_once():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
-    gateway.end_attempt(sent, "full", cause=face.Cause.PROCESSOR_FULL)
+    gateway.end_attempt(sent, "full", cause=interface.Cause.PROCESSOR_FULL)
     assert gateway.controller.servers["s0"].refusal_probability == 1.0
 
 
@@ -65,7 +65,7 @@
         gateway.wait(50.0)
         (sent,) = set_ups(gateway.call(to=2))
         assert sent.server == "s2"
-        gateway.stands(sent, 30.0)
+        gateway.establish(sent, 30.0)
 
 
 def test_calls_of_an_overloaded_first_choice_go_to_the_calmer_server():
@@ -98,7 +98,7 @@
         refused += len(finals(actions))
         for action in set_ups(actions):
             sent += 1
-            gateway.stands(action, 30.0)
+            gateway.establish(action, 30.0)
     assert refused + sent == 400
     assert 140 < refused < 260
 
@@ -109,13 +109,13 @@
     for _ in range(50):
         gateway.controller.servers["s0"].refusal_probability = 0.9
         (sent,) = set_ups(gateway.call(kind=URGENT))
-        gateway.stands(sent, 30.0)
+        gateway.establish(sent, 30.0)
     unanswered = sum(len(set_ups(gateway.call(kind=URGENT))) for _ in range(50))
     assert 4 <= unanswered <= 8
 
 
 def test_calls_of_a_tenant_beyond_its_quota_are_refused_first():
-    tenants = (face.Tenant("modest", 6.0), face.Tenant("greedy", 2.0))
+    tenants = (interface.Tenant("modest", 6.0), interface.Tenant("greedy", 2.0))
     gateway = Gateway(1, tenants=tenants, over_share_worth=0.2)
     for _ in range(60):
         gateway.serve(0.5, per_s=8.0, tenant="greedy")
@@ -136,13 +136,13 @@
         server.refusal_probability = 0.06
         for action in set_ups(gateway.call()):
             sent += 1
-            gateway.stands(action, 290.0)
+            gateway.establish(action, 290.0)
     # Five seconds at 4 a second and a burst factor of 1.7 give 34, plus some depth and drift; without a limit 190.
     assert 25 <= sent <= 65
 
 
 @pytest.mark.parametrize(
-    "load", [face.Load(wait_ms=900.0), face.Load(utilisation=1.0), face.Load(queue=40.0)]
+    "load", [interface.Load(wait_ms=900.0), interface.Load(utilisation=1.0), interface.Load(queue=40.0)]
 )
 def test_a_load_report_takes_precedence_over_the_delay(load):
     gateway = Gateway()
@@ -170,7 +170,7 @@
             for server in gateway.controller.servers.values():
                 server.refusal_probability = 0.5
             for action in set_ups(gateway.call(to=i % 3)):
-                gateway.stands(action, 40.0 + i % 7)
+                gateway.establish(action, 40.0 + i % 7)
         return gateway.log
 
     assert run(5) == run(5)
@@ -182,7 +182,7 @@
     first.answer_slowly("s0", 900.0)
     assert first.controller.servers["s0"].refusal_probability == 1.0
     assert second.controller.servers["s0"].refusal_probability == 0.0
-    second.give(face.ListNews(face.NewsKind.WHOLE, (entry("s9", 9),)))
+    second.handle(interface.ServerListUpdate(interface.UpdateKind.SNAPSHOT, (entry("s9", 9),)))
     assert "s0" in first.controller.servers
 
 
@@ -198,7 +198,7 @@
             server.refusal_probability = 0.06
             for action in set_ups(gateway.call()):
                 sent += 1
-                gateway.stands(action, 300.0)
+                gateway.establish(action, 300.0)
         return sent
 
     early = serve_overloaded(10)
@@ -216,7 +216,7 @@
     for _ in range(20):
         gateway.wait(100.0)
         (sent,) = set_ups(gateway.call())
-        gateway.stands(sent, 30.0)
+        gateway.establish(sent, 30.0)
     server = gateway.controller.servers["s0"]
     assert server.refusal_probability == 0.0
 
@@ -226,14 +226,14 @@
     for i in range(240):
         gateway.wait(50.0)
         for sent in set_ups(gateway.call(to=0 if i % 8 else 1)):
-            gateway.stands(sent, 30.0)
-    gateway.give(face.ListNews(face.NewsKind.CHANGES, (entry("s0", 0, "draining"),)))
+            gateway.establish(sent, 30.0)
+    gateway.handle(interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry("s0", 0, "draining"),)))
     sent = 0
     for i in range(40):
         gateway.wait(50.0)
         for action in set_ups(gateway.call(to=0 if i % 8 else 1)):
             sent += 1
-            gateway.stands(action, 30.0)
+            gateway.establish(action, 30.0)
     # The small one has a calm rate of 2.5 a second: it gets two seconds at 1.7 times that, the burst depth, and
     # the calls that name it.
     assert 5 <= sent <= 17
@@ -244,13 +244,17 @@
     for i in range(240):
         gateway.wait(50.0)
         for sent in set_ups(gateway.call(to=0 if i % 8 else 1)):
-            gateway.stands(sent, 30.0)
-    gateway.give(face.ListNews(face.NewsKind.WHOLE, (entry("s9", 0, since=gateway.now), entry("s1", 1))))
+            gateway.establish(sent, 30.0)
+    gateway.handle(
+        interface.ServerListUpdate(
+            interface.UpdateKind.SNAPSHOT, (entry("s9", 0, since=gateway.now), entry("s1", 1))
+        )
+    )
     sent = 0
     for _ in range(40):
         for action in set_ups(gateway.wait(50.0)) + set_ups(gateway.call(to=0)):
             sent += action.server == "s9"
-            gateway.stands(action, 30.0)
+            gateway.establish(action, 30.0)
     # The calm rate is 17.5 a second; two seconds at 0.4 to 0.5 of that, times 1.2.
     assert 13 <= sent <= 25
 
@@ -260,7 +264,7 @@
     gateway.serve(20, per_s=10.0)
     sent = [action for _ in range(20) for action in set_ups(gateway.call())]
     assert len(sent) == 4  # 10 a second for 400 ms
-    gateway.stands(sent[-1], 30.0)  # the others were overtaken: lost, not waiting
+    gateway.establish(sent[-1], 30.0)  # the others were overtaken: lost, not waiting
     assert set_ups(gateway.call())
     restarted = Gateway(1)
     assert set_ups(restarted.call())
@@ -275,7 +279,7 @@
             if sent.server == "s0":
                 trials.append((gateway.now, sent))
             else:
-                gateway.stands(sent, 30.0)
+                gateway.establish(sent, 30.0)
         for when, sent in trials:
             if gateway.now == when + 1800.0:  # the callers' deadline has passed
                 gateway.end_attempt(sent, "timed_out")
@@ -283,17 +287,17 @@
     assert server.refusal_probability == 1.0
     # A hundred calls name it. The window admits a few, then some more when the last sample has expired.
     assert 2 <= len(trials) <= 15
-    logged = [action.text for _, action in gateway.log if isinstance(action, face.Log)]
+    logged = [action.text for _, action in gateway.log if isinstance(action, interface.Log)]
     assert logged[0] == "s0 is jammed"
     for _, sent in trials:
         gateway.end_attempt(sent, "timed_out", call_over=True)
     gateway.wait(5000.0)
     (trial,) = set_ups(gateway.call(to=0))
     assert trial.server == "s0"
-    gateway.stands(trial, 40.0)
+    gateway.establish(trial, 40.0)
     gateway.wait(1000.0)
     assert server.refusal_probability <= CALM_PROBABILITY
-    logged = [action.text for _, action in gateway.log if isinstance(action, face.Log)]
+    logged = [action.text for _, action in gateway.log if isinstance(action, interface.Log)]
     assert logged[-1] == "s0 is calm again"
 
 
@@ -310,18 +314,18 @@
 
 def test_a_server_without_a_free_line_gets_no_set_ups_until_its_next_report():
     gateway = Gateway(2)
-    report = face.Load(free_lines=3.0, lines=100.0)
-    gateway.give(face.ServerLooked("s0", face.Outcome.SERVED, 0.0, report))
+    report = interface.Load(free_lines=3.0, lines=100.0)
+    gateway.handle(interface.LoadReported("s0", interface.Outcome.SERVED, 0.0, report))
     (sent,) = set_ups(gateway.call(to=0))
-    (retry,) = set_ups(gateway.end_attempt(sent, "full", cause=face.Cause.NO_LINE))
+    (retry,) = set_ups(gateway.end_attempt(sent, "full", cause=interface.Cause.NO_LINE))
     assert (sent.server, retry.server) == ("s0", "s1")
-    gateway.stands(retry, 30.0, attempt=1)
+    gateway.establish(retry, 30.0, attempt=1)
     assert [action.server for action in set_ups(gateway.call(to=0))] == ["s1"]
-    gateway.give(face.ServerLooked("s0", face.Outcome.SERVED, 0.0, report))
+    gateway.handle(interface.LoadReported("s0", interface.Outcome.SERVED, 0.0, report))
     assert [action.server for action in set_ups(gateway.call(to=0))] == ["s0"]
     unreported = Gateway(2)  # a server that never reports lines stays eligible after one such answer
     (sent,) = set_ups(unreported.call(to=0))
-    unreported.end_attempt(sent, "full", cause=face.Cause.NO_LINE)
+    unreported.end_attempt(sent, "full", cause=interface.Cause.NO_LINE)
     assert [action.server for action in set_ups(unreported.call(to=0))] == ["s0"]
 
 
@@ -332,7 +336,7 @@
     (lost,) = set_ups(gateway.call(valid_for_ms=2500.0))
     gateway.wait(1500.0)
     assert server.refusal_probability == 1.0  # cannot be told from an overload yet
-    gateway.end_attempt(lost, "timed_out", taken_ms=1500.0, call_over=True)
+    gateway.end_attempt(lost, "timed_out", elapsed_ms=1500.0, call_over=True)
     gateway.controller._on_answer(gateway.now, server, 30.0, None)  # quick, so the other was lost
     assert gateway.controller.recent_losses == 1.0
     gateway.controller.recent_losses = 5.0  # as after several more losses
@@ -351,12 +355,12 @@
     # only reports of refusals and unsolicited ones were read.
     gateway = Gateway(servers=1)
     (sent,) = set_ups(gateway.call())
-    gateway.stands(sent, 30.0)
+    gateway.establish(sent, 30.0)
     (late,) = set_ups(gateway.call())
-    none_free = face.Load(free_lines=0.0, lines=9.0)
-    gateway.end_attempt(late, "full", cause=face.Cause.NO_LINE, load=none_free)
+    none_free = interface.Load(free_lines=0.0, lines=9.0)
+    gateway.end_attempt(late, "full", cause=interface.Cause.NO_LINE, load=none_free)
     assert not set_ups(gateway.call())
-    gateway.end_attempt(sent, "served", call_over=True, load=face.Load(free_lines=1.0, lines=9.0))
+    gateway.end_attempt(sent, "served", call_over=True, load=interface.Load(free_lines=1.0, lines=9.0))
     assert set_ups(gateway.call(kind=URGENT))
 
 
@@ -366,7 +370,9 @@
     rate = gateway.controller._calm_rate(gateway.controller.servers["s0"])
     reserved = rate * 4 * RESERVATION_MS * (1.0 - 1.0 / 6.0)
     free_lines = 1.0 + reserved
-    gateway.give(face.ServerLooked("s0", face.Outcome.SERVED, 0.0, face.Load(free_lines=free_lines)))
+    gateway.handle(
+        interface.LoadReported("s0", interface.Outcome.SERVED, 0.0, interface.Load(free_lines=free_lines))
+    )
     assert reserved > 0.5
     assert set_ups(gateway.call()), "one line is free beyond the reserved ones"
     assert not set_ups(gateway.call()), "the next would take a reserved line"
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -6,9 +6,8 @@
 from twisted.internet import error
 from twisted.internet.task import Clock
 
-from leadslip import core, logs
-from leadslip import interface as face
-from leadslip.checks import Tally
+from leadslip import core, interface, logs
+from leadslip.metrics import Metrics
 from leadslip.net.servers import Servers
 from tests.helpers import entry, settings
 from tests.standin_links import StandInServer
@@ -21,35 +20,37 @@
     """A proxy's engine and its connections to one stand-in server, all on one virtual clock."""
 
     def __init__(self, seed, hold_ms=4000.0, states=True, **behaviour):
-        self.time, self.tally, self.told = Clock(), Tally(), []
+        self.time, self.metrics, self.recorded = Clock(), Metrics(), []
         self.time.advance(100.0)
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.server = StandInServer(self.time, seed, hold_ms, states, **behaviour)
         self.deadlines = core.Deadlines(self, self.time)
         self.upstream = Servers(
-            self.server, self.tally, self.now_ms, 500.0, lambda call, cut: None, self.deadlines
+            self.server, self.metrics, self.now_ms, 500.0, lambda call, cut: None, self.deadlines
+        )
+        self.engine = core.Engine(
+            settings(), 1, self, self.deadlines, self.upstream, self.metrics, logs.discard
         )
-        self.engine = core.Engine(settings(), 1, self, self.deadlines, self.upstream, self.tally, logs.silent)
         self.upstream.engine = self.engine
-        self.news(face.NewsKind.WHOLE)
-        self.upstream.look()
+        self.update_servers(interface.UpdateKind.SNAPSHOT)
+        self.upstream.check_connections()
         self.ended_at_ms = {}
-        self.established = set()
+        self.established_calls = set()
         self.count = 0
         self.wait(300)
 
     def now_ms(self):
         return self.time.seconds() * 1000.0
 
-    def news(self, kind, state="ready"):
-        update = face.ListNews(kind, (entry("s0", 0, state),))
-        self.upstream.listed(update, ADDRESS)
-        self.engine.news(update)
+    def update_servers(self, kind, state="ready"):
+        update = interface.ServerListUpdate(kind, (entry("s0", 0, state),))
+        self.upstream.apply_list_update(update, ADDRESS)
+        self.engine.update_servers(update)
 
-    def stands(self, request, payload):
-        self.established.add(bytes.fromhex(request.id))
+    def established(self, request, payload):
+        self.established_calls.add(bytes.fromhex(request.id))
 
-    def over(self, request, cut):
+    def call_ended(self, request, cut):
         self.ended_at_ms[bytes.fromhex(request.id)] = self.now_ms()
 
     def call(self):
@@ -66,21 +67,21 @@
         late = {}
         for call, ended_ms in self.server.ended_ms.items():
             delay_ms = self.ended_at_ms.get(call, float("inf")) - ended_ms
-            if call in self.established and delay_ms > 1000.0:
+            if call in self.established_calls and delay_ms > 1000.0:
                 late[call.hex()] = delay_ms
         return late
 
 
 def stall(world):
     """One connection stays open but delivers nothing more; the calls set up on it go on."""
-    alive = [wire for wire in world.server.wires if not wire.bad]
+    alive = [wire for wire in world.server.wires if not wire.failed_silently]
     if len(alive) > 1:
-        world.draw.choice(alive).bad = True
+        world.rng.choice(alive).failed_silently = True
 
 
 def reset(world):
     if world.server.wires:
-        world.draw.choice(world.server.wires).end(error.ConnectionLost())
+        world.rng.choice(world.server.wires).end(error.ConnectionLost())
 
 
 @pytest.mark.parametrize("states", [True, False], ids=["states", "no-states"])
@@ -88,15 +89,15 @@
 def test_ends_are_reported_in_time_while_connections_stall_and_are_reset(seed, states):
     world = ConnectedWorld(seed, states=states)
     for step in range(300):
-        if step < 240 and world.draw.random() < 0.5:
+        if step < 240 and world.rng.random() < 0.5:
             world.call()
         if step % 20 == 19:
-            world.draw.choice((stall, reset))(world)
+            world.rng.choice((stall, reset))(world)
         world.wait(50)
     world.wait(8000)
-    assert len(world.established) > 80 and len(world.server.ended_ms) > 80
+    assert len(world.established_calls) > 80 and len(world.server.ended_ms) > 80
     assert world.late_ends() == {}
-    assert not world.engine.standing and world.server.dials < 250
+    assert not world.engine.established and world.server.dials < 250
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -107,9 +108,9 @@
         world.wait(15)
     world.wait(300)
     for wire in world.server.wires[:-1]:
-        wire.bad = True
+        wire.failed_silently = True
     world.wait(8000)
-    assert len(world.established) == 24 and world.late_ends() == {}
+    assert len(world.established_calls) == 24 and world.late_ends() == {}
 
 
 def test_a_connection_opened_before_the_loss_does_not_count_as_its_replacement():
@@ -122,8 +123,8 @@
     first, *_ = world.server.wires
     server.connect()
     world.wait(12)  # the server has accepted the new connection, but the proxy does not know this yet
-    ended_call = next(call for call, wire in world.server.standing.items() if wire is first)
-    first.bad = True
+    ended_call = next(call for call, wire in world.server.established.items() if wire is first)
+    first.failed_silently = True
     world.server.release(ended_call)
     first.protocol.abort()
     world.wait(900)
@@ -139,13 +140,13 @@
     world.wait(200)
     assert len(server.active) == 4
     least_recent = min(server.active, key=lambda link: link.last_received_ms)
-    calls = [call for call, wire in world.server.standing.items() if wire.protocol is least_recent]
+    calls = [call for call, wire in world.server.established.items() if wire.protocol is least_recent]
     server.connect()
     world.wait(25)  # the new connection is up, and delivers its first data in another 5 ms
     world.server.release(calls[0])
     world.wait(900)
     assert calls[0] in world.ended_at_ms and least_recent in server.active and len(server.active) == 5
-    assert len(world.engine.standing) == 39
+    assert len(world.engine.established) == 39
     for call in calls[1:]:
         world.server.release(call)
     world.wait(900)
@@ -167,10 +168,10 @@
     if refused:
         world.server.refuses = True
     else:
-        world.news(face.NewsKind.CHANGES, "gone")
+        world.update_servers(interface.UpdateKind.CHANGES, "gone")
     first, *_ = world.server.wires
-    calls = [call for call, wire in world.server.standing.items() if wire is first]
-    first.bad = True
+    calls = [call for call, wire in world.server.established.items() if wire is first]
+    first.failed_silently = True
     for call in calls:
         world.server.release(call)
     first.protocol.abort()
@@ -181,33 +182,33 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_late_answer_closes_no_connection_needed_for_the_ends_of_other_calls(seed):
     """Prevents a connection from being considered dead and closed because of a single late answer."""
-    world = ConnectedWorld(seed, hold_ms=1000.0, again=False, late=0.04)
+    world = ConnectedWorld(seed, hold_ms=1000.0, repeats_ends=False, late=0.04)
     for _ in range(600):
-        if world.draw.random() < 0.7:
+        if world.rng.random() < 0.7:
             world.call()
         world.wait(20)
     world.wait(4000)
     assert len(world.server.ended_ms) > 300 and world.late_ends() == {}
-    assert not world.engine.standing and world.server.dials < 12
-    assert world.tally.counts["servers.late_set_ups"] > 5, "late attempts were cancelled and retried"
+    assert not world.engine.established and world.server.dials < 12
+    assert world.metrics.counts["servers.late_set_ups"] > 5, "late attempts were cancelled and retried"
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_reset_connection_does_not_cause_working_ones_to_be_closed(seed):
     """Prevents a reconnect loop: closing an excess connection counted as a loss, which opened another one."""
-    world = ConnectedWorld(seed, hold_ms=1000.0, again=False)
+    world = ConnectedWorld(seed, hold_ms=1000.0, repeats_ends=False)
     for step in range(1200):
         world.call()
         if step in (100, 700):
             reset(world)
         world.wait(10)
     world.wait(4000)
-    assert len(world.server.ended_ms) > 1000 and not world.engine.standing
+    assert len(world.server.ended_ms) > 1000 and not world.engine.established
     assert world.late_ends() == {} and world.server.dials <= 12
 
 
 def test_an_idle_connection_is_probed_and_kept_if_it_answers():
-    world = ConnectedWorld(1, hold_ms=1e6, states=False, again=False)
+    world = ConnectedWorld(1, hold_ms=1e6, states=False, repeats_ends=False)
     for _ in range(8):
         world.call()
         world.wait(15)
@@ -216,27 +217,27 @@
     dials = world.server.dials
     world.wait(5000)
     assert world.server.wires == wires and world.server.dials == dials
-    assert world.tally.counts["servers.tests"] > 5 and len(world.engine.standing) == 8
+    assert world.metrics.counts["servers.tests"] > 5 and len(world.engine.established) == 8
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("for_ms", [3000, 6000])
 def test_after_a_server_stall_connections_are_still_open_and_ended_calls_are_reported(seed, for_ms):
     """Prevents idle connections from being closed as soon as another one was established."""
-    world = ConnectedWorld(seed, hold_ms=6000.0, again=False)
+    world = ConnectedWorld(seed, hold_ms=6000.0, repeats_ends=False)
     for _ in range(60):
         world.call()
         world.wait(15)
     world.server.hang(for_ms)
     world.wait(for_ms + 10_000)
     assert len(world.server.ended_ms) > 40 and world.late_ends() == {}
-    assert not world.engine.standing and world.server.dials < 40
+    assert not world.engine.established and world.server.dials < 40
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_ends_of_calls_after_connection_losses_are_not_lost_on_connections_the_proxy_closes(seed):
     """Prevents a reconnect loop: closing an excess connection opened another one, on which ends then arrived."""
-    world = ConnectedWorld(seed, hold_ms=8000.0, again=False)
+    world = ConnectedWorld(seed, hold_ms=8000.0, repeats_ends=False)
     for _ in range(80):
         world.call()
         world.wait(15)
@@ -245,24 +246,27 @@
         world.wait(1500)
     world.wait(15_000)
     assert len(world.server.ended_ms) > 60 and world.late_ends() == {}
-    assert not world.engine.standing and world.server.dials <= 14
+    assert not world.engine.established and world.server.dials <= 14
 
 
 def test_calls_of_a_server_process_end_when_another_process_takes_over_its_address():
     """Prevents a connection to the new process from being taken for one to the process that died."""
-    world = ConnectedWorld(1, hold_ms=1e6, again=False)
+    world = ConnectedWorld(1, hold_ms=1e6, repeats_ends=False)
     for _ in range(12):
         world.call()
         world.wait(15)
     world.wait(200)
-    world.server.standing.clear()  # it dies, and another process listens there before the server list reports it
+    # it dies, and another process listens there before the server list reports it
+    world.server.established.clear()
     for wire in list(world.server.wires):
         wire.end(error.ConnectionLost())
     world.wait(2000)
-    assert len(world.engine.standing) == 12 and world.upstream.servers["s0"].active
-    update = face.ListNews(face.NewsKind.CHANGES, (entry("s1", 0),))
-    world.upstream.listed(update, {"s1": ADDRESS["s0"]})
-    world.engine.news(update)
+    assert len(world.engine.established) == 12 and world.upstream.servers["s0"].active
+    update = interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry("s1", 0),))
+    world.upstream.apply_list_update(update, {"s1": ADDRESS["s0"]})
+    world.engine.update_servers(update)
     assert (
-        len(world.ended_at_ms) == 12 and not world.engine.standing and list(world.upstream.servers) == ["s1"]
+        len(world.ended_at_ms) == 12
+        and not world.engine.established
+        and list(world.upstream.servers) == ["s1"]
     )
