--- a/tests/test_enum.py
+++ b/tests/test_enum.py
@@ -11,11 +11,11 @@
 from twisted.internet.task import Clock
 from twisted.names import dns
 
-from leadslip import interface as face
-from leadslip.checks import Tally
+from leadslip import interface
 from leadslip.core import Deadlines, Engine
+from leadslip.metrics import Metrics
 from leadslip.net import enum
-from leadslip.net.links import MessageError
+from leadslip.net.connections import MessageError
 from leadslip.parts.enum import settings as enum_settings
 from tests.standins import HOST, Program, Resolver, ask, ask_many, query, reply
 from tests.test_links import Transport
@@ -81,7 +81,7 @@
 def test_a_reply_is_forwarded_with_its_records_and_the_id_of_the_clients_query(start, release):
     program, _ = start(replies, replies, release=release)
     for over_tcp in (False, True):
-        answer = ask(program.enum_at, NAME, 77, over_tcp)
+        answer = ask(program.enum_address, NAME, 77, over_tcp)
         assert (answer.id, answer.answer, answer.rCode) == (77, 1, dns.OK)
         assert answer.answers[0].payload.service == dns.Charstr(b"E2U+sip")
         assert answer.queries[0].name.name == NAME
@@ -108,7 +108,7 @@
     program, resolvers = start(*behaviours)
     # Two queries, so that each resolver is the first choice of one.
     for id_ in (1, 2):
-        answers = ask_many(program.enum_at, [(NAME, id_)], quiet_s=0.3)
+        answers = ask_many(program.enum_address, [(NAME, id_)], quiet_s=0.3)
         assert [(a.id, a.rCode) for a in answers] == [(id_, rcode)]
     if queries_per_request is not None:
         assert sum(len(r.queries) for r in resolvers) == 2 * queries_per_request
@@ -116,15 +116,15 @@
 
 def test_a_silent_resolver_gives_a_server_failure_at_the_overall_deadline(start):
     program, _ = start(silent, attempt_ms=5000, answer_within_ms=500)
-    assert ask(program.enum_at, NAME).rCode == dns.ESERVER
+    assert ask(program.enum_address, NAME).rCode == dns.ESERVER
 
 
 def test_a_truncated_reply_is_fetched_over_tcp_within_the_same_attempt(start):
     program, (resolver,) = start(truncated, attempt_ms=5000, answer_within_ms=6000)
-    answer = ask(program.enum_at, NAME, over_tcp=True)
+    answer = ask(program.enum_address, NAME, over_tcp=True)
     assert len(answer.answers) == 40
     assert [received.over_tcp for received in resolver.queries] == [False, True]
-    udp_answer = ask(program.enum_at, NAME)
+    udp_answer = ask(program.enum_address, NAME)
     assert (udp_answer.trunc, udp_answer.answers) == (
         1,
         [],
@@ -133,16 +133,16 @@
 
 def test_after_one_resolver_stops_the_other_answers_all_queries(start):
     program, (first, _) = start(replies, replies)
-    assert ask(program.enum_at, NAME).rCode == dns.OK
+    assert ask(program.enum_address, NAME).rCode == dns.OK
     first.die()
     for id_ in range(4):
-        assert ask(program.enum_at, NAME, id_).rCode == dns.OK
+        assert ask(program.enum_address, NAME, id_).rCode == dns.OK
 
 
 def test_concurrent_queries_get_one_reply_each(start):
     program, _ = start(replies, replies)
     queries = [(b"%d.%d.2.8.e164.arpa" % (i // 10, i % 10), i) for i in range(60)]
-    answers = ask_many(program.enum_at, queries, quiet_s=0.2)
+    answers = ask_many(program.enum_address, queries, quiet_s=0.2)
     assert all(a.rCode == dns.OK for a in answers)
     assert sorted(a.id for a in answers) == list(range(60))
 
@@ -161,7 +161,7 @@
     program, (resolver,) = start(replies)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as client:
         client.settimeout(10)
-        client.connect(program.enum_at)
+        client.connect(program.enum_address)
         client.send(data)
         answer = client.recv(512)
     assert answer[:2] == data[:2] and answer[3] & 15 == rcode and answer[2] & 0x80
@@ -170,29 +170,29 @@
 
 def test_a_malformed_message_closes_only_its_own_connection(start):
     program, _ = start(replies)
-    with socket.create_connection(program.enum_at, timeout=10) as client:
+    with socket.create_connection(program.enum_address, timeout=10) as client:
         client.sendall(struct.pack("!H", 9) + b"\xff" * 9)
         with pytest.raises(ConnectionResetError):
             if not client.recv(1):
                 raise ConnectionResetError
-    assert ask(program.enum_at, NAME, over_tcp=True).rCode == dns.OK
+    assert ask(program.enum_address, NAME, over_tcp=True).rCode == dns.OK
 
 
 class SilentUpstream:
     """An engine with an upstream side that never replies, and a clock that the test advances."""
 
     def __init__(self):
-        self.clock, self.tally = Clock(), Tally()
+        self.clock, self.metrics = Clock(), Metrics()
         conf = enum_settings.settings(
             {"enabled": True, "listen": "127.0.0.1:1", "resolvers": ["127.0.0.1:2"]}
         )
         self.deadlines = Deadlines(self, self.clock)
-        self.front = enum.EnumFront(conf, self.tally, self.deadlines)
-        self.front.engine = Engine(
-            conf.settings, 1, self, self.deadlines, self, self.tally, str, attempt_ms=400.0
+        self.downstream = enum.EnumServer(conf, self.metrics, self.deadlines)
+        self.downstream.engine = Engine(
+            conf.settings, 1, self, self.deadlines, self, self.metrics, str, max_attempt_ms=400.0
         )
-        resolvers = enum.Resolvers(self.clock, conf, self.tally, self.deadlines)
-        resolvers.engine = self.front.engine
+        resolvers = enum.Resolvers(self.clock, conf, self.metrics, self.deadlines)
+        resolvers.engine = self.downstream.engine
         (self.resolver,) = resolvers.resolvers.values()
 
     def now_ms(self):
@@ -207,10 +207,10 @@
     damaged[position % len(damaged)] = byte
     for data in (junk, query(NAME)[:position], bytes(damaged)):
         sent = []
-        world.front.transport = None
-        world.front.datagramReceived(data, ("127.0.0.1", 9))
+        world.downstream.transport = None
+        world.downstream.datagramReceived(data, ("127.0.0.1", 9))
         try:
-            world.front.handle_query(data, sent.append, "client", None)
+            world.downstream.handle_query(data, sent.append, "client", None)
         except MessageError:
             assert not sent
         world.resolver.datagramReceived(data, ("127.0.0.1", 2))
@@ -222,12 +222,14 @@
     resolver = world.resolver
     resolver.upstream.reactor = SimpleNamespace(connectTCP=lambda *args, **kwargs: connects.append(1))
     resolver.transport = SimpleNamespace(write=lambda data: None)
-    world.send, world.give_up = resolver.send, resolver.abandon
-    entry = face.ListEntry(resolver.name, 0, face.ServerState.READY)
-    world.front.engine.news(face.ListNews(face.NewsKind.WHOLE, (entry,)))
+    world.send, world.cancel = resolver.send, resolver.abandon
+    entry = interface.ListEntry(resolver.name, 0, interface.ServerState.READY)
+    world.downstream.engine.update_servers(
+        interface.ServerListUpdate(interface.UpdateKind.SNAPSHOT, (entry,))
+    )
 
     def ask_truncated(name):
-        world.front.handle_query(query(name), sent.append, name, None)
+        world.downstream.handle_query(query(name), sent.append, name, None)
         received = dns.Message(list(resolver.pending)[-1])
         received.queries = [dns.Query(name, dns.NAPTR)]
         received.over_tcp = False
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -16,7 +16,7 @@
 INTERNAL = {
     "MessageError",  # a malformed message of a peer, refused and counted
     "WireError",  # an invalid datagram of a member, refused and counted
-    "BrokenError",  # the model check has found a defect in the program
+    "ViolationError",  # the model check has found a defect in the program
     "TypeError",  # an action without a line in the simulator's protocol; does not occur in a program that starts
     "CannotListenError",  # converted to ListenError in __main__, or another port is tried
     "CorruptError",  # converted to StoreError where it is raised
--- a/tests/test_filters.py
+++ b/tests/test_filters.py
@@ -2,9 +2,8 @@
 
 import pytest
 
-from leadslip import core
-from leadslip import interface as face
-from leadslip.filters import Refused
+from leadslip import core, interface
+from leadslip.filters import Refusal
 from tests.test_core import World
 
 
@@ -25,7 +24,7 @@
             self.change(request)
         return self.refusal
 
-    def stood(self, request, now_ms):
+    def established(self, request, now_ms):
         self._note("stood", request)
 
     def ended(self, request, now_ms):
@@ -42,8 +41,8 @@
     notes = []
     world = world_with(RecordingFilter("a", notes), RecordingFilter("b", notes))
     world.offer("stands")
-    world.engine.stood(world.sent[-1], b"sdp")
-    world.engine.ended(world.sent[-1], face.Outcome.SERVED)
+    world.engine.on_established(world.sent[-1], b"sdp")
+    world.engine.on_attempt_ended(world.sent[-1], interface.Outcome.SERVED)
     world.engine.cancel(world.offer("left"))
     world.offer("late", left_ms=50.0)
     world.wait(60)
@@ -59,7 +58,7 @@
     notes = []
     world = world_with(
         RecordingFilter("a", notes),
-        RecordingFilter("b", notes, refusal=Refused(9e9)),
+        RecordingFilter("b", notes, refusal=Refusal(9e9)),
         RecordingFilter("c", notes),
     )
     refusals = []
@@ -67,21 +66,21 @@
     world.offer("x")
     assert refusals == [("x", 2000.0)] and not world.sent, "with the pause limited to max_pause_ms"
     assert notes == [("a", "admit", "x"), ("b", "admit", "x"), ("a", "ended", "x")]
-    assert world.tally.counts["filters.b.refused"] == 1 and not world.engine.open
+    assert world.metrics.counts["filters.b.refused"] == 1 and not world.engine.open
 
 
 def test_a_filter_may_set_the_destination_and_shorten_times_but_not_extend_them():
     def change(request):
-        request.destination, request.attempt_ms = 1, 100.0
+        request.destination, request.max_attempt_ms = 1, 100.0
         request.valid_until_ms += 60_000.0
 
     world = world_with(RecordingFilter("a", [], change=change))
     request = world.offer("x", left_ms=800.0)
     assert world.sent[0].server == "s1" and request.valid_until_ms == world.now_ms() + 800.0
     world.wait(110)
-    assert world.told[0] == ("give up", "x"), "its attempt timed out after 100 ms"
+    assert world.recorded[0] == ("give up", "x"), "its attempt timed out after 100 ms"
     world.wait(700)
-    finals = [answer for answer, *_ in world.told if answer in ("failed", "refused")]
+    finals = [answer for answer, *_ in world.recorded if answer in ("failed", "refused")]
     assert len(finals) == 1, "answered once, within the caller's deadline"
 
 
@@ -91,10 +90,10 @@
     world.engine.chain.log = lambda event, **fields: logged.append((event, fields["filter"]))
     for id_ in ("x", "y"):
         world.offer(id_)
-        world.engine.stood(world.sent[-1], b"sdp")
-        world.engine.ended(world.sent[-1], face.Outcome.SERVED)
-    assert [answer for answer, *_ in world.told] == ["stands", "over"] * 2
-    assert world.tally.counts["filters.bad.raised"] == 6 and logged == [("filter.raised", "bad")]
+        world.engine.on_established(world.sent[-1], b"sdp")
+        world.engine.on_attempt_ended(world.sent[-1], interface.Outcome.SERVED)
+    assert [answer for answer, *_ in world.recorded] == ["stands", "over"] * 2
+    assert world.metrics.counts["filters.bad.raised"] == 6 and logged == [("filter.raised", "bad")]
 
 
 def test_calls_end_at_the_filters_that_admitted_them_after_the_chain_was_replaced():
@@ -104,8 +103,8 @@
     world.engine.chain.replace([RecordingFilter("new", notes)])
     world.offer("y")
     for attempt in world.sent:
-        world.engine.stood(attempt, b"sdp")
-        world.engine.ended(attempt, face.Outcome.SERVED)
+        world.engine.on_established(attempt, b"sdp")
+        world.engine.on_attempt_ended(attempt, interface.Outcome.SERVED)
     assert [note for note in notes if note[2] == "x"] == [
         ("old", method, "x") for method in ("admit", "stood", "ended")
     ]
@@ -130,9 +129,9 @@
             notes.append((self.name, answer))
 
     world = World()
-    world.engine.watcher = core.Observers(RecordingObserver("a"), RecordingObserver("b"))
+    world.engine.observer = core.Observers(RecordingObserver("a"), RecordingObserver("b"))
     world.offer("x")
-    world.engine.stood(world.sent[0], b"sdp")
-    world.engine.ended(world.sent[0], face.Outcome.SERVED)
-    served = face.Outcome.SERVED
+    world.engine.on_established(world.sent[0], b"sdp")
+    world.engine.on_attempt_ended(world.sent[0], interface.Outcome.SERVED)
+    served = interface.Outcome.SERVED
     assert notes == [("a", "stands"), ("b", "stands"), ("a", served), ("b", served)]
--- a/tests/test_fleet_agreed.py
+++ b/tests/test_fleet_agreed.py
@@ -10,10 +10,10 @@
 
 
 def assert_converged(lab, timeout_ms=20_000.0):
-    assert lab.fleet.until(lab.same, timeout_ms) < timeout_ms, [
-        (name, host.agreement.told(host.now_ms)) for name, host in lab.fleet.hosts.items()
+    assert lab.fleet.until(lab.converged, timeout_ms) < timeout_ms, [
+        (name, host.agreement.status(host.now_ms)) for name, host in lab.fleet.hosts.items()
     ]
-    assert lab.wrong == [] and lab.lost() == []
+    assert lab.violations == [] and lab.lost_changes() == []
 
 
 def change_and_converge(lab, name, document, contents, id_):
@@ -35,16 +35,16 @@
     change_and_converge(lab, "p05", "bars", {"prefixes": ["900"]}, "bar")
     assert lab.acknowledged == {"first": 1, "bar": 2} and lab.refused == []
     assert all(
-        host.agreement.in_force(host.now_ms).documents["bars"].prefixes == ["900"]
+        host.agreement.rules_in_effect(host.now_ms).documents["bars"].prefixes == ["900"]
         for host in lab.fleet.hosts.values()
     )
-    assert lab.fleet.tally.counts["agreement.founded"] == 3
+    assert lab.fleet.metrics.counts["agreement.founded"] == 3
 
 
 def test_there_is_no_bootstrap_while_a_voter_is_missing():
     lab = Agreed(2, 2)
     lab.fleet.run(10_000.0)
-    assert not lab.led() and not lab.fleet.tally.counts.get("agreement.founded")
+    assert not lab.leader_name() and not lab.fleet.metrics.counts.get("agreement.founded")
 
 
 def test_a_refusal_and_a_conflict_reach_the_operator_at_any_member():
@@ -67,7 +67,7 @@
     lab.change("p03", "bars", {"prefixes": ["911"]}, "meanwhile")
     lab.fleet.run(lab.in_force_ms + 200.0)
     isolated_host = lab.fleet.hosts["p06"]
-    rules = isolated_host.agreement.in_force(isolated_host.now_ms)
+    rules = isolated_host.agreement.rules_in_effect(isolated_host.now_ms)
     assert not rules.agreed and rules.documents["bars"].prefixes == ["9"]
     lab.change("p06", "bars", {"prefixes": ["912"]}, "alone")
     lab.fleet.run(5000.0)
@@ -91,15 +91,15 @@
     source = next(
         name for name, host in lab.fleet.hosts.items() if host.view.run == learner.agreement.fetch.run
     )
-    if source != lab.led():
+    if source != lab.leader_name():
         lab.fleet.kill(source)
     assert_converged(lab)
-    assert len(learner.agreement.held.bodies["isolated"]) > 100_000
+    assert len(learner.agreement.current.bodies["isolated"]) > 100_000
 
 
 def test_a_voter_that_lost_its_disk_votes_again_once_its_new_id_is_in_the_list():
     lab = bootstrapped(6)
-    name = next(voter for voter in lab.voters if voter != lab.led())
+    name = next(voter for voter in lab.voters if voter != lab.leader_name())
     old_id = lab.disks[name][0]
     lab.fleet.kill(name)
     lab.fleet.run(8000.0)
@@ -124,14 +124,14 @@
 
 def test_a_restored_old_copy_of_a_disk_stops_its_voter_with_an_error():
     lab = bootstrapped(7)
-    name = next(name for name in lab.voters if name != lab.led())
+    name = next(name for name in lab.voters if name != lab.leader_name())
     id_, starts, disk = lab.disks[name]
     lab.fleet.kill(name)
     lab.disks[name] = id_, starts - 1, disk
     host = lab.start(name)
     lab.fleet.run(5000.0)
     assert host.agreement.raft is None and "older copy" in host.agreement.stop_reason
-    assert [fields["code"] for _, event, fields in lab.told if event == "agreement.stopped"] == [
+    assert [fields["code"] for _, event, fields in lab.logged if event == "agreement.stopped"] == [
         "agreement.voter-stopped"
     ]
 
@@ -139,23 +139,23 @@
 def test_a_diverging_replica_is_quarantined_and_fetched_anew():
     lab = bootstrapped(8)
     host = lab.fleet.hosts["p06"]
-    contents = host.agreement.held
+    contents = host.agreement.current
     diverging = type(contents).of(contents.revision, {"isolated": b'{"most_tries":3}'})
-    host.agreement.held = host.agreement.newest = diverging
+    host.agreement.current = host.agreement.newest = diverging
     lab.fleet.run(6000.0)
-    assert [fields["documents"] for _, event, fields in lab.told if event == "agreement.quarantined"] == [
+    assert [fields["documents"] for _, event, fields in lab.logged if event == "agreement.quarantined"] == [
         "isolated"
     ]
-    lab.wrong.clear()
+    lab.violations.clear()
     assert_converged(lab)
-    assert host.agreement.held.mark == contents.mark
+    assert host.agreement.current.mark == contents.mark
 
 
 def test_a_voter_that_diverges_from_its_leader_stops():
     lab = bootstrapped(9)
-    name = next(name for name in lab.voters if name != lab.led())
+    name = next(name for name in lab.voters if name != lab.leader_name())
     agreement = lab.fleet.hosts[name].agreement
-    agreement.held = agreement.newest = type(agreement.held).of(agreement.held.revision, {})
+    agreement.current = agreement.newest = type(agreement.current).of(agreement.current.revision, {})
     lab.fleet.run(6000.0)
     assert "differs from the leader's" in agreement.stop_reason and agreement.raft is None
 
@@ -180,7 +180,7 @@
                 lab.fleet.run(rng.uniform(100.0, 4000.0))
                 lab.fleet.heal()
             case "loss":
-                lab.fleet.network.links.lost = rng.choice((0.0, 0.1, 0.4))
+                lab.fleet.network.conditions.loss_rate = rng.choice((0.0, 0.1, 0.4))
             case "change":
                 name = rng.choice(
                     [name for name, host in lab.fleet.hosts.items() if not host.stalled] or [""]
@@ -188,6 +188,6 @@
                 if name:
                     lab.change(name, "bars", {"prefixes": [f"9{i:02d}"]}, f"change {i}")
         lab.fleet.run(rng.uniform(0.0, 600.0))
-    lab.fleet.network.links.lost = 0.0
+    lab.fleet.network.conditions.loss_rate = 0.0
     assert_converged(lab, 30_000.0)
     assert len(lab.acknowledged) >= 2
--- a/tests/test_fleet_agreed_processes.py
+++ b/tests/test_fleet_agreed_processes.py
@@ -7,7 +7,7 @@
 from leadslip.cli.drill import run_scenario
 from leadslip.config import MalformedError
 from leadslip.drill.scenario import Fault, Scenario
-from leadslip.parts import Around
+from leadslip.parts import SettingsContext
 from leadslip.parts.agreement import settings as agreement_settings
 from tests.standins import HOST, Program
 
@@ -69,9 +69,9 @@
 )
 def test_invalid_settings_name_the_faulty_key(change, key):
     valid = {"enabled": True, "voters": ["a", "b", "c"], "disk": "a.db"}
-    around = Around(settings={"fleet": True})
-    assert agreement_settings.settings(valid, around).in_force_ms == 2000.0
+    context = SettingsContext(settings={"fleet": True})
+    assert agreement_settings.settings(valid, context).in_force_ms == 2000.0
     with pytest.raises(MalformedError, match=key):
-        agreement_settings.settings(valid | change, around)
+        agreement_settings.settings(valid | change, context)
     with pytest.raises(MalformedError, match="needs the fleet"):
-        agreement_settings.settings(valid, Around())
+        agreement_settings.settings(valid, SettingsContext())
--- a/tests/test_fleet_disk.py
+++ b/tests/test_fleet_disk.py
@@ -19,7 +19,7 @@
     Save(2, 1, "me", 0, (entry(1), entry(2), entry(3))),
     Save(3, 2, "", 2, (entry(3, 2, b"other"), entry(4, 2))),
     Save(4, 2, "you", 4, (), Snapshot(3, 2, ["me", "you"], b"all of it")),
-    Save(5, 3, "you", 0, (), Snapshot(9, 3, ["you"], b"another"), whole=True),
+    Save(5, 3, "you", 0, (), Snapshot(9, 3, ["you"], b"another"), replaces_log=True),
     Save(6, 3, "you", 9, (entry(10, 3),)),
 ]
 
--- a/tests/test_fleet_filter.py
+++ b/tests/test_fleet_filter.py
@@ -2,8 +2,7 @@
 
 import json
 
-from leadslip import core
-from leadslip import interface as face
+from leadslip import core, interface
 from leadslip.fleet.agreement.documents import Isolated
 from leadslip.fleet.agreement.filter import AgreedRules
 from leadslip.fleet.agreement.member import RevisionContents, Rules
@@ -30,19 +29,19 @@
         filter_ = AgreedRules(self, self, self, lambda **fields: self.reports.append(fields))
         self.engine.chain.replace([filter_])
 
-    def in_force(self, now_ms):
+    def rules_in_effect(self, now_ms):
         return self.rules
 
     def settings(self):
         return self.own_settings
 
-    def adopt(self, settings):
-        self.engine.adopt(settings, self.engine.most_held)
+    def apply_settings(self, settings):
+        self.engine.apply_settings(settings, self.engine.max_open_requests)
 
-    def hold(self, servers):
-        self.engine.hold(servers)
+    def drain_servers(self, servers):
+        self.engine.drain_servers(servers)
 
-    def keep(self, lines):
+    def set_reserved_lines(self, lines):
         self.reserved_lines.append(lines)
 
     def offer_call(self, id_, destination=0, number=""):
@@ -60,7 +59,7 @@
     world.offer_call("b", number="9001")
     world.offer_call("c", destination=7)
     world.offer_call("d", number="8")
-    assert world.told == [("refused", "b"), ("refused", "c")] and len(world.sent) == 2
+    assert world.recorded == [("refused", "b"), ("refused", "c")] and len(world.sent) == 2
 
 
 def test_a_drained_server_gets_no_set_up_until_it_is_back_in_rotation():
@@ -69,8 +68,8 @@
     for i in range(5):
         world.offer_call(f"a{i}")
     assert {attempt.server for attempt in world.sent} == {"s1"}
-    entry = face.ListEntry("s0", 0, face.ServerState.READY)
-    world.engine.news(face.ListNews(face.NewsKind.CHANGES, (entry,)))
+    entry = interface.ListEntry("s0", 0, interface.ServerState.READY)
+    world.engine.update_servers(interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry,)))
     world.offer_call("told anew")
     assert {attempt.server for attempt in world.sent} == {"s1"}, "a server list update does not end the drain"
     world.rules = BASE
@@ -85,10 +84,10 @@
     world.rules = rules(2, classes={"classes": [agreed_class], "most_tries": 1}, reserve={"lines": {"g": 4}})
     request = world.offer_call("a")
     call_class = next(call_class for call_class in world.engine.settings.classes if call_class.name == PLAIN)
-    assert (call_class.worth, call_class.deadline_ms, request.most_tries) == (9.0, 900.0, 1)
+    assert (call_class.worth, call_class.deadline_ms, request.max_attempts) == (9.0, 900.0, 1)
     assert world.engine.settings.max_attempts == 1 and world.reserved_lines[-1] == {"g": 4}
     world.rules = Rules.fallback(Isolated(most_tries=2), 2)
-    assert world.offer_call("b").most_tries == min(2, world.own_settings.max_attempts)
+    assert world.offer_call("b").max_attempts == min(2, world.own_settings.max_attempts)
     world.rules = BASE
     world.offer_call("c")
     assert world.engine.settings == world.own_settings and world.reserved_lines[-1] == {}
--- a/tests/test_fleet_lab.py
+++ b/tests/test_fleet_lab.py
@@ -9,7 +9,7 @@
 
 from leadslip.cli import main
 from leadslip.drill import scenario
-from leadslip.lab.play import Play
+from leadslip.lab.simulation import Simulation
 from tests.standins import ROOT
 
 FAST_SCENARIOS = ["halves", "bridge", "crashes", "stalls", "upgrade", "leaves", "late", "spoilt", "mixed"]
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("name", FAST_SCENARIOS)
 def test_scenarios_pass_with_another_fleet_size(name):
-    result = Play(scenario.load(name), 10, seed=3).run()
+    result = Simulation(scenario.load(name), 10, seed=3).run()
     assert result["held"], result["breaches"]
     assert result["figures"]["settled_ms"] < 6000.0 and result["joined_ms"] < 4000.0
 
--- a/tests/test_fleet_model.py
+++ b/tests/test_fleet_model.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from leadslip.drill.broken import Deaf, ForgivingTable
+from leadslip.drill.faulty import Deaf, ForgivingTable
 from leadslip.fleet.view.view import View
-from leadslip.lab.model import BrokenError, Model
+from leadslip.lab.model import Model, ViolationError
 
 
 def test_all_interleavings_to_a_depth_keep_the_invariants():
@@ -32,5 +32,5 @@
     [(Deaf, "convergence"), (AcceptsLateRefutation, "V3"), (RefutesWithoutIncarnation, "convergence")],
 )
 def test_a_fault_in_the_refutation_is_detected(view_class, invariant):
-    with pytest.raises(BrokenError, match=invariant):
+    with pytest.raises(ViolationError, match=invariant):
         Model(view_class).explore(depth=8, most_states=200_000)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,8 +16,8 @@
 from leadslip.cli.drill import run_scenario
 from leadslip.config import MalformedError
 from leadslip.drill import check, scenario
-from leadslip.drill.scenario import Act, Fault, Scenario
-from leadslip.parts import Around
+from leadslip.drill.scenario import Fault, Scenario, ScheduledAction
+from leadslip.parts import SettingsContext
 from leadslip.parts.fleet import settings as fleet_settings
 from tests.standins import HOST, ROOT, Program
 
@@ -31,7 +31,7 @@
 
 def test_a_platform_proxy_imports_no_fleet_module(tmp_path):
     script = (
-        "import sys, leadslip.__main__, leadslip.parts as p; [p.kind(n) for n in p.NAMES];"
+        "import sys, leadslip.__main__, leadslip.parts as p; [p.settings_class(n) for n in p.NAMES];"
         "print([n for n in sys.modules if n.startswith(('leadslip.fleet', 'leadslip.net.peers', 'leadslip.drill',"
         "'leadslip.lab', 'msgspec'))])"
     )
@@ -151,10 +151,10 @@
     good = call | {"answers": [[1100.0, 200]]}
     twice = call | {"answers": [[1100.0, 200], [1200.0, 200]]}
     never, late = call | {"answers": []}, call | {"answers": [[9000.0, 200]]}
-    breaches, judged = check.unanswered([good, twice, never, late], [])
+    breaches, judged = check.check_answers([good, twice, never, late], [])
     assert judged == 4 and len(breaches) == 3
     killed = [{"do": "kill", "who": ["n00"], "unix_ms": 900.0, "mono_ms": 0.0}]
-    assert check.unanswered([never], killed) == ([], 0)
+    assert check.check_answers([never], killed) == ([], 0)
 
 
 def test_a_schedule_depends_on_its_seed_only_and_can_be_shrunk():
@@ -163,9 +163,9 @@
     assert acts == scenario.draw_schedule(mixed, 5) != scenario.draw_schedule(mixed, 6)
     assert [act.at_s for act in acts] == sorted(act.at_s for act in acts)
     failing_act = next(act for act in acts if act.do == "stop")
-    smallest = scenario.shrunk(acts, lambda subset: failing_act in subset)
+    smallest = scenario.minimized(acts, lambda subset: failing_act in subset)
     assert [act.do for act in smallest] == ["stop", "go on"]
-    assert scenario.shrunk(acts, lambda subset: subset == acts) == acts
+    assert scenario.minimized(acts, lambda subset: subset == acts) == acts
 
 
 def test_every_bundled_scenario_is_valid_and_listed(capsys):
@@ -174,7 +174,7 @@
     with pytest.raises(SystemExit):
         main(["drill", "list"])
     listed = capsys.readouterr().out
-    stems = [path.stem for path in scenario.HERE.glob("*.toml")]
+    stems = [path.stem for path in scenario.SCENARIO_DIR.glob("*.toml")]
     assert len(stems) >= 14 and all(stem in listed for stem in stems)
 
 
@@ -208,7 +208,7 @@
 
     names = scenario.names(6)
     for parts, path_count in (("halves", 18), ("one", 10), ("three", 24), ("bridge", 12), ("ring", 18)):
-        blocked = scenario.cut_ways(random.Random(1), names, parts)
+        blocked = scenario.partition_paths(random.Random(1), names, parts)
         assert len(blocked) == len(set(blocked)) == path_count, parts
         assert {(b, a) for a, b in blocked} == set(blocked)
 
@@ -227,14 +227,14 @@
 def test_a_fleet_settings_error_names_the_faulty_key(tmp_path, change, key):
     (tmp_path / "fleet.key").write_text("# first\n" + "ab" * 32 + "\n" + "cd" * 16 + "\n")
     good = {"enabled": True, "listen": "127.0.0.1:7946", "key_file": str(tmp_path / "fleet.key"), "seeds": []}
-    conf = fleet_settings.settings(good, Around(running=True))
+    conf = fleet_settings.settings(good, SettingsContext(running=True))
     assert conf.keys == (b"\xab" * 32, b"\xcd" * 16) and conf.advertise == ("127.0.0.1", 7946)
     with pytest.raises(MalformedError, match=key):
-        fleet_settings.settings(good | change, Around(running=True))
+        fleet_settings.settings(good | change, SettingsContext(running=True))
     for keys in ("", "ab\n", "zz" * 16, "ab" * 16 + "\n" + "ab" * 16):
         (tmp_path / "fleet.key").write_text(keys)
         with pytest.raises(MalformedError, match="fleet.key_file"):
-            fleet_settings.settings(good, Around(running=True))
+            fleet_settings.settings(good, SettingsContext(running=True))
 
 
 def test_scheduled_actions_round_trip_through_json(tmp_path):
@@ -242,4 +242,4 @@
 
     acts = scenario.draw_schedule(scenario.load("bridge"), 3)
     raw = json.loads(msgspec.json.encode(acts))
-    assert [msgspec.convert(item, Act) for item in raw] == acts
+    assert [msgspec.convert(item, ScheduledAction) for item in raw] == acts
--- a/tests/test_fleet_raft.py
+++ b/tests/test_fleet_raft.py
@@ -4,45 +4,45 @@
 
 import pytest
 
+from leadslip.fleet.agreement.freshness import CLOCK_DRIFT, Freshness
 from leadslip.fleet.agreement.raft import Raft, RaftError, Role
-from leadslip.fleet.agreement.vouch import CLOCK_DRIFT, Freshness
 from leadslip.lab.voters import Voters
 
 
 def assert_converged(lab, timeout_ms=10_000.0):
-    elapsed_ms = lab.until(lambda: lab.agreed() and not lab.missing(), timeout_ms)
+    elapsed_ms = lab.until(lambda: lab.converged() and not lab.lost_changes(), timeout_ms)
     assert elapsed_ms < timeout_ms, (
         "there is a leader, and all have the same state with all acknowledged entries"
     )
-    assert lab.wrong == []
+    assert lab.violations == []
 
 
 def test_a_leader_is_elected_and_its_entries_are_committed_by_all():
     lab = Voters(1)
     assert_converged(lab)
     for i in range(20):
-        assert lab.put(b"%d" % i)
+        assert lab.propose(b"%d" % i)
         lab.run(20.0)
     lab.run(500.0)
     assert {tuple(voter.state) for voter in lab.voters.values()} == {tuple(b"%d" % i for i in range(20))}
-    assert len(lab.acknowledged) == 20 and lab.wrong == []
+    assert len(lab.acknowledged) == 20 and lab.violations == []
 
 
 def test_a_partitioned_leader_steps_down_and_its_uncommitted_entries_are_dropped():
     lab = Voters(2)
     assert_converged(lab)
     old_leader = lab.leader()
-    lab.part([old_leader.id], [id_ for id_ in lab.ids if id_ != old_leader.id])
+    lab.partition([old_leader.id], [id_ for id_ in lab.ids if id_ != old_leader.id])
     old_leader.act(lambda: old_leader.raft.propose(lab.now_ms, b"alone"))
     assert (
         lab.until(lambda: old_leader.raft.role is not Role.LEADER, 5000.0)
         <= 2 * lab.pace.election_timeout_ms + 200.0
     )
     assert lab.until(lambda: lab.leader() is not None, 5000.0) < 3000.0
-    lab.put(b"together")
+    lab.propose(b"together")
     lab.run(500.0)
     assert old_leader.raft.confirmed(lab.now_ms) is None
-    lab.cut = set()
+    lab.blocked = set()
     assert_converged(lab)
     assert old_leader.state == [b"together"]
 
@@ -52,10 +52,10 @@
     assert_converged(lab)
     leader = lab.leader()
     isolated_id = next(id_ for id_ in lab.ids if id_ != leader.id)
-    lab.part([isolated_id], [id_ for id_ in lab.ids if id_ != isolated_id])
+    lab.partition([isolated_id], [id_ for id_ in lab.ids if id_ != isolated_id])
     lab.run(20_000.0)
     term = leader.raft.term
-    lab.cut = set()
+    lab.blocked = set()
     lab.run(5000.0)
     assert lab.leader() is leader and leader.raft.term == term, (
         "pre-vote keeps the partitioned voter from raising the term"
@@ -85,15 +85,15 @@
             stopped.add(id_)
         elif action == 4 and stopped:
             id_ = rng.choice(sorted(stopped))
-            lab.go_on(id_)
+            lab.resume(id_)
             stopped.discard(id_)
         elif action == 5:
             split = rng.randrange(1, len(lab.ids))
-            lab.part(lab.ids[:split], lab.ids[split:])
+            lab.partition(lab.ids[:split], lab.ids[split:])
         elif action == 6:
-            lab.cut = set()
+            lab.blocked = set()
         elif action == 7:
-            lab.lost = rng.choice((0.0, 0.1, 0.3))
+            lab.loss_rate = rng.choice((0.0, 0.1, 0.3))
         elif action == 8 and id_ not in down | stopped:
             lab.voters[id_].act(lab.voters[id_].compact)
         elif action == 9 and lab.leader() is not None:
@@ -105,14 +105,14 @@
                     )
                 )
         else:
-            lab.put(b"%d" % step)
-    lab.cut, lab.lost = set(), 0.0
+            lab.propose(b"%d" % step)
+    lab.blocked, lab.loss_rate = set(), 0.0
     for id_ in down:
         lab.start(id_)
     for id_ in stopped:
-        lab.go_on(id_)
+        lab.resume(id_)
     assert_converged(lab, 30_000.0)
-    lab.put(b"last")
+    lab.propose(b"last")
     lab.run(2000.0)
     assert_converged(lab)
     assert len(lab.acknowledged) > 20 and lab.leader().state[-1] == b"last"
@@ -138,15 +138,15 @@
     assert lab.until(lambda: lab.leader() is not None, 10_000.0) < 10_000.0
     lab.run(300.0)
     old_leader = lab.leader()
-    lab.part([old_leader.id], [id_ for id_ in lab.ids if id_ != old_leader.id])
-    lab.put(b"alone")
+    lab.partition([old_leader.id], [id_ for id_ in lab.ids if id_ != old_leader.id])
+    lab.propose(b"alone")
     lab.run(4000.0)
-    lab.put(b"together")
+    lab.propose(b"together")
     lab.run(500.0)
-    assert any("where" in violation for violation in lab.wrong), (
+    assert any("where" in violation for violation in lab.violations), (
         "two voters commit different entries at one index"
     )
-    assert b"alone" in lab.missing(), "an acknowledged entry is missing at the other voters"
+    assert b"alone" in lab.lost_changes(), "an acknowledged entry is missing at the other voters"
 
 
 def test_voters_change_one_at_a_time_and_a_removed_leader_steps_down():
@@ -163,9 +163,9 @@
     assert lab.until(lambda: leader.raft.role is not Role.LEADER, 5000.0) < 2000.0
     lab.crash(leader.id)
     assert lab.until(lambda: lab.leader() is not None, 10_000.0) < 5000.0
-    lab.put(b"by two")
+    lab.propose(b"by two")
     lab.run(1000.0)
-    assert lab.leader().state == [b"by two"] and lab.wrong == []
+    assert lab.leader().state == [b"by two"] and lab.violations == []
     assert sorted(lab.leader().raft.voters) == sorted(others)
 
 
@@ -175,14 +175,14 @@
     lagging = next(id_ for id_ in lab.ids if id_ != lab.leader().id)
     lab.crash(lagging)
     for i in range(50):
-        lab.put(b"%d" % i)
+        lab.propose(b"%d" % i)
         lab.run(30.0)
     for voter in lab.voters.values():
         voter.act(voter.compact)
     lab.run(200.0)
     lab.start(lagging)
     assert_converged(lab)
-    assert lab.tally.counts["agreement.installed"] == 1 and len(lab.voters[lagging].state) == 50
+    assert lab.metrics.counts["agreement.installed"] == 1 and len(lab.voters[lagging].state) == 50
 
 
 def test_a_revision_is_fresh_only_for_the_limit_after_it_was_known_to_be_the_newest():
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from leadslip.fleet.replicas.copy import BUCKETS, Record, Table, bucket_of
-from leadslip.fleet.replicas.member import LEARNED, STANDS, Replicas
-from leadslip.fleet.replicas.place import holders_of
+from leadslip.fleet.replicas.member import ESTABLISHED, LEARNED, Replicas
+from leadslip.fleet.replicas.placement import holders_of
+from leadslip.fleet.replicas.table import BUCKETS, Record, Table, bucket_of
 from leadslip.fleet.view.members import Member
 from leadslip.lab.replicated import Replicated
 
@@ -21,7 +21,7 @@
     """An owner's table, its log, and the content of the table after each change."""
     owner, log, after = Table(fresh=True), [], []
     for number, (key, established) in enumerate(changes, 1):
-        record = Record(number, STANDS, f"c{key}", f"s{number}".encode() if established else None)
+        record = Record(number, ESTABLISHED, f"c{key}", f"s{number}".encode() if established else None)
         owner.apply([record])
         log.append(record)
         after.append({k: v for b in owner.buckets for k, v in b.records.items()})
@@ -54,9 +54,9 @@
             replica.merge(*content)
             if not replica.missing_buckets():
                 replica.start_applying()
-        elif replica.whole():
+        elif replica.is_complete():
             replica.apply(content)
-        if replica.whole() and replica.applied:
+        if replica.is_complete() and replica.applied:
             known = [bucket.sequence <= replica.applied for bucket in replica.buckets]
             actual = {k: v for b in replica.buckets for k, v in b.records.items() if known[bucket_of(*k)]}
             expected = {k: v for k, v in after[replica.applied - 1].items() if known[bucket_of(*k)]}
@@ -87,8 +87,10 @@
     _, log, _ = history([(1, True), (2, True), (1, False)])
     replica = Table(fresh=True)
     assert replica.apply(log[:1]) and not replica.apply(log[2:]) and replica.applied == 1
-    assert replica.apply(log) and replica.get(STANDS, "c1") is None
-    assert replica.apply(log[:2]) and replica.get(STANDS, "c1") is None, "repeated changes have no effect"
+    assert replica.apply(log) and replica.get(ESTABLISHED, "c1") is None
+    assert replica.apply(log[:2]) and replica.get(ESTABLISHED, "c1") is None, (
+        "repeated changes have no effect"
+    )
 
 
 def member(name, zone):
@@ -115,13 +117,13 @@
 def test_every_table_has_two_equal_replicas_in_two_zones():
     lab = Replicated(1, 8)
     lab.fleet.run(4000.0)
-    assert lab.quiet() < 2000.0
-    assert lab.risen() == [] and lab.calls > 60
+    assert lab.settle_replicas() < 2000.0
+    assert lab.resurrected_calls() == [] and lab.calls > 60
 
 
 def killed(lab, name, for_ms=3000.0):
     """Kill a member; returns the calls that were established there."""
-    calls = dict(lab.standing[name])
+    calls = dict(lab.established[name])
     lab.kill(name)
     lab.fleet.run(for_ms)
     return calls
@@ -132,19 +134,19 @@
     owner = lab.fleet.hosts["p03"].replicas
     owner.put(LEARNED, "rates", b"r")
     lab.fleet.run(3000.0)
-    lab.quiet()
+    lab.settle_replicas()
     calls = killed(lab, "p03")
     host = lab.start("p03")
     assert host.replicas.behind(host.now_ms)
     lab.rate = 0.0
     assert lab.fleet.until(lambda: not host.replicas.behind(host.now_ms), 8000.0) < 3000.0
-    assert {key: state.decode() for key, state in host.back[STANDS].items()} == calls and calls
+    assert {key: state.decode() for key, state in host.back[ESTABLISHED].items()} == calls and calls
     assert host.back[LEARNED] == {"rates": b"r"}
-    assert lab.quiet() < 4000.0
+    assert lab.settle_replicas() < 4000.0
     assert not [
         replica
         for other in lab.fleet.hosts.values()
-        for replica in other.replicas.held.values()
+        for replica in other.replicas.held_replicas.values()
         if replica.gone_ms < 9e9
     ]
 
@@ -152,7 +154,7 @@
 def test_any_proxy_locates_a_call_of_a_killed_proxy_but_not_a_call_that_no_member_knows():
     lab = Replicated(3, 8)
     lab.fleet.run(3000.0)
-    lab.quiet()
+    lab.settle_replicas()
     calls = killed(lab, "p02")
     found = {}
     for i, call in enumerate([*calls, "f" * 16]):
@@ -167,16 +169,18 @@
     lab = Replicated(4, 6)
     lab.rate = 0.0
     for _ in range(3000):
-        lab.begin("p01")
+        lab.begin_call("p01")
     lab.fleet.run(300.0)
     run = lab.fleet.hosts["p01"].view.run
-    behind = next(host for host in lab.fleet.hosts.values() if run in host.replicas.held)
-    lab.fleet.until(lambda: 0 < len(behind.replicas.held[run].table.missing_buckets()) < BUCKETS, 4000.0)
+    behind = next(host for host in lab.fleet.hosts.values() if run in host.replicas.held_replicas)
+    lab.fleet.until(
+        lambda: 0 < len(behind.replicas.held_replicas[run].table.missing_buckets()) < BUCKETS, 4000.0
+    )
     others = [name for name in lab.names if name != behind.name]
     lab.fleet.partition([behind.name], others)
     lab.fleet.run(800.0)
     lab.fleet.heal()
-    assert lab.quiet(20_000.0) < 20_000.0
+    assert lab.settle_replicas(20_000.0) < 20_000.0
 
 
 def test_two_live_processes_of_one_name_are_two_owners():
@@ -203,7 +207,7 @@
                 lab.fleet.run(rng.uniform(0.0, 3000.0))
                 lab.start(name)
                 # Until recovery no holder may be killed.
-                lab.fleet.until(lambda name=name: lab.knows(name), 6000.0)
+                lab.fleet.until(lambda name=name: lab.has_all_calls(name), 6000.0)
             case "stall":
                 lab.fleet.hosts[rng.choice(list(lab.fleet.hosts))].stall(rng.uniform(300.0, 10_000.0))
             case "halves":
@@ -212,20 +216,20 @@
                 lab.fleet.run(rng.uniform(200.0, 6000.0))
                 lab.fleet.heal()
             case "loss":
-                lab.fleet.network.links.lost = rng.choice((0.0, 0.05, 0.3))
+                lab.fleet.network.conditions.loss_rate = rng.choice((0.0, 0.05, 0.3))
             case "twice":
-                lab.fleet.network.links.twice = rng.choice((0.0, 0.3))
+                lab.fleet.network.conditions.duplicate_rate = rng.choice((0.0, 0.3))
         lab.fleet.run(rng.uniform(0.0, 1500.0))
-    lab.fleet.network.links.lost = 0.0
-    assert lab.fleet.until(lab.fleet.agreed, 30_000.0) < 30_000.0
-    assert lab.quiet(30_000.0) < 30_000.0
-    assert not [event for event in lab.told if event[0] == "replicas.differs"]
-    assert lab.fleet.until(lambda: all(map(lab.knows, lab.names)), 5000.0) < 5000.0, (
+    lab.fleet.network.conditions.loss_rate = 0.0
+    assert lab.fleet.until(lab.fleet.converged, 30_000.0) < 30_000.0
+    assert lab.settle_replicas(30_000.0) < 30_000.0
+    assert not [event for event in lab.logged if event[0] == "replicas.differs"]
+    assert lab.fleet.until(lambda: all(map(lab.has_all_calls, lab.names)), 5000.0) < 5000.0, (
         "every established call is known to its owner"
     )
     lab.rate = 0.0
     lab.fleet.run(12_000.0)
-    assert lab.quiet(5000.0) < 5000.0 and lab.risen() == []
+    assert lab.settle_replicas(5000.0) < 5000.0 and lab.resurrected_calls() == []
 
 
 class DropsEnds(Replicas):
@@ -239,5 +243,5 @@
 def test_an_end_that_is_not_replicated_is_detected():
     lab = Replicated(9, 6, kind=DropsEnds)
     lab.fleet.run(4000.0)
-    lab.quiet()
-    assert lab.risen(), "a breach of R1 is reported"
+    lab.settle_replicas()
+    assert lab.resurrected_calls(), "a breach of R1 is reported"
--- a/tests/test_fleet_replicas_processes.py
+++ b/tests/test_fleet_replicas_processes.py
@@ -5,7 +5,7 @@
 import pytest
 
 from leadslip.config import MalformedError
-from leadslip.parts import Around
+from leadslip.parts import SettingsContext
 from leadslip.parts.replicas import settings as replicas_settings
 from tests.standins import HOST, Caller, Program, SetupServer, wait_for
 
@@ -53,17 +53,17 @@
         start = ""
         while start != "SIP/2.0 200 OK":
             caller.invite(call)
-            start = caller.hear()[0]
+            start = caller.receive()[0]
             while start.startswith("SIP/2.0 1"):
-                start = caller.hear()[0]
+                start = caller.receive()[0]
 
 
 def released(program, calls=CALLS):
     """A proxy's answers to the release of each call."""
     caller, answers = Caller(program), []
     for call in calls:
-        caller.say("BYE", call)
-        answers.append(caller.hear()[0])
+        caller.send("BYE", call)
+        answers.append(caller.receive()[0])
     return answers
 
 
@@ -86,7 +86,7 @@
     wait_for(lambda: replicas(restarted)["own"]["records"] >= len(CALLS))
     wait_for(lambda: not replicas(restarted)["behind"])
     assert released(restarted) == ["SIP/2.0 200 OK"] * len(CALLS)
-    wait_for(lambda: sum(kind == 12 for kind, *_ in server.heard) >= len(CALLS))
+    wait_for(lambda: sum(kind == 12 for kind, *_ in server.received) >= len(CALLS))
     establish(third, LATER_CALLS)
     wait_for(lambda: replicated(third))
     third.process.kill()
@@ -110,10 +110,10 @@
 
 
 def test_settings_errors_of_replicas_name_the_key():
-    around = Around(settings={"fleet": True})
-    assert replicas_settings.settings({"enabled": True}, around).copies == 2
+    context = SettingsContext(settings={"fleet": True})
+    assert replicas_settings.settings({"enabled": True}, context).copies == 2
     for change, key in (({"copies": 0}, "replicas.copies"), ({"odd": 1}, "replicas.odd")):
         with pytest.raises(MalformedError, match=key):
-            replicas_settings.settings({"enabled": True} | change, around)
+            replicas_settings.settings({"enabled": True} | change, context)
     with pytest.raises(MalformedError, match="needs the fleet"):
-        replicas_settings.settings({"enabled": True}, Around())
+        replicas_settings.settings({"enabled": True}, SettingsContext())
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -7,15 +7,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from leadslip.checks import Tally
-from leadslip.drill.broken import Former
+from leadslip.drill.faulty import PreviousVersion
 from leadslip.fleet import wire
 from leadslip.fleet.view import members as members_module
-from leadslip.fleet.view.allowance import Allowance
-from leadslip.fleet.view.members import GENERATION_MASK, State, Table, draw_run, process_of, ranked
+from leadslip.fleet.view.members import GENERATION_MASK, State, Table, draw_run, process_of, rendezvous_order
 from leadslip.fleet.view.suspicion import MAX_TIMEOUT_FACTOR, Suspicion, min_timeout_ms
+from leadslip.fleet.view.token_bucket import TokenBucket
 from leadslip.fleet.view.view import Datagram, View
 from leadslip.lab.fleet import Fleet
+from leadslip.metrics import Metrics
 
 fixed = settings(derandomize=True, max_examples=200, deadline=None)
 RUNS = [draw_run(random.Random(i)) for i in range(3)]
@@ -23,7 +23,7 @@
 
 def record_of(edition, **fields):
     """Builds a record whose metadata contains its edition, as metadata of one edition is always the same."""
-    return wire.Full(**fields, edition=edition, facts={"edition": edition})
+    return wire.MemberRecord(**fields, edition=edition, facts={"edition": edition})
 
 
 member_records = st.builds(
@@ -39,17 +39,17 @@
 
 
 def table_of(records):
-    table = Table(100, Tally())
+    table = Table(100, Metrics())
     for record in records:
-        table.take(record, 0.0)
+        table.merge(record, 0.0)
     return table
 
 
 @fixed
 @given(st.lists(member_records, max_size=12), st.randoms(use_true_random=False))
-def test_merge_does_not_depend_on_order_or_repetition(records, draw):
+def test_merge_does_not_depend_on_order_or_repetition(records, rng):
     shuffled = records + records[: len(records) // 2]
-    draw.shuffle(shuffled)
+    rng.shuffle(shuffled)
     first, second = table_of(records), table_of(shuffled)
     assert {member.precedence() for member in first} == {member.precedence() for member in second}
     assert first.live_digest == second.live_digest and first.buckets == second.buckets
@@ -59,9 +59,9 @@
 @fixed
 @given(st.lists(member_records, max_size=20))
 def test_an_ended_run_never_becomes_live_again(records):
-    table, ended_runs = Table(100, Tally()), set()
+    table, ended_runs = Table(100, Metrics()), set()
     for record in records:
-        table.take(record, 0.0)
+        table.merge(record, 0.0)
         for member in table:
             if not member.live:
                 ended_runs.add(member.run)
@@ -74,15 +74,15 @@
 
 
 def test_the_table_is_bounded_and_evicts_ended_members():
-    tally = Tally()
-    table, draw = Table(10, tally), random.Random(1)
+    metrics = Metrics()
+    table, rng = Table(10, metrics), random.Random(1)
     for i in range(30):
-        table.take(wire.Full(draw_run(draw), 0, 0, 0, f"n{i}", f"a:{i}"), 0.0)
-    assert len(table) == 10 and tally.counts["fleet.over_most_members"] == 20
+        table.merge(wire.MemberRecord(draw_run(rng), 0, 0, 0, f"n{i}", f"a:{i}"), 0.0)
+    assert len(table) == 10 and metrics.counts["fleet.over_most_members"] == 20
     for member in list(table):
-        table.hear(wire.Short(member.run, State.DEAD, 0), 1000.0)
+        table.apply_update(wire.MemberUpdate(member.run, State.DEAD, 0), 1000.0)
     for i in range(30):
-        table.take(wire.Full(draw_run(draw), int(State.LEFT), 0, i, f"m{i}", f"b:{i}"), 2000.0)
+        table.merge(wire.MemberRecord(draw_run(rng), int(State.LEFT), 0, i, f"m{i}", f"b:{i}"), 2000.0)
     table.evict_ended(3000.0)
     assert len(table) == 0 and len(table.by_process) == 10
     table.evict_ended(3000.0 + members_module.RETENTION_MS)
@@ -90,8 +90,8 @@
 
 
 def test_records_beyond_the_limits_are_ignored():
-    tally = Tally()
-    table, good = Table(10, tally), wire.Full(RUNS[0], 0, 0, 0, "n", "a:1")
+    metrics = Metrics()
+    table, good = Table(10, metrics), wire.MemberRecord(RUNS[0], 0, 0, 0, "n", "a:1")
     changes = (
         {"run": 5},
         {"state": 4},
@@ -105,56 +105,58 @@
     )
     for change in changes:
         fields = {key: getattr(good, key) for key in good.__struct_fields__} | change
-        assert table.take(wire.Full(**fields), 0.0) is None
-    assert tally.counts["fleet.unsound"] == len(changes) and table.take(good, 0.0) is not None
+        assert table.merge(wire.MemberRecord(**fields), 0.0) is None
+    assert metrics.counts["fleet.unsound"] == len(changes) and table.merge(good, 0.0) is not None
 
 
 def test_rendezvous_hashing_is_stable_and_spreads_keys():
     members = list(
-        table_of([wire.Full(draw_run(random.Random(i)), 0, 0, 0, f"n{i}", f"a:{i}") for i in range(20)])
+        table_of(
+            [wire.MemberRecord(draw_run(random.Random(i)), 0, 0, 0, f"n{i}", f"a:{i}") for i in range(20)]
+        )
     )
-    owners = [ranked(b"%d" % key, members)[0] for key in range(400)]
+    owners = [rendezvous_order(b"%d" % key, members)[0] for key in range(400)]
     assert {owner.name for owner in owners} == {member.name for member in members}
     removed = members[3]
     remaining = [member for member in members if member is not removed]
     for key, owner in enumerate(owners):
         if owner is not removed:
-            assert ranked(b"%d" % key, remaining)[0] is owner
+            assert rendezvous_order(b"%d" % key, remaining)[0] is owner
 
 
 def test_confirmations_shorten_a_suspicion_down_to_the_minimum():
     suspicion = Suspicion(RUNS[0], 0, 0.0, 200, 1)
-    due_times = [suspicion.due_ms()]
+    due_times = [suspicion.expires_ms()]
     for suspected_by in (2, 2, 3, 4, 5):
         suspicion.confirm(suspected_by)
-        due_times.append(suspicion.due_ms())
+        due_times.append(suspicion.expires_ms())
     assert due_times == sorted(due_times, reverse=True) and len(set(due_times)) == 4
     assert due_times[0] == MAX_TIMEOUT_FACTOR * min_timeout_ms(200) and due_times[-1] == pytest.approx(
         min_timeout_ms(200)
     )
-    assert Suspicion(RUNS[0], 0, 0.0, 2, 1).due_ms() == min_timeout_ms(2), "no other member can confirm"
+    assert Suspicion(RUNS[0], 0, 0.0, 2, 1).expires_ms() == min_timeout_ms(2), "no other member can confirm"
 
 
 @pytest.fixture
 def fleet():
     fleet = Fleet(7)
     fleet.grow(16)
-    assert fleet.agreed()
+    assert fleet.converged()
     return fleet
 
 
 def test_a_join_a_crash_and_a_leave_are_known_to_all_in_time(fleet):
     joined = fleet.add("late")
-    assert fleet.until(lambda: fleet.known(joined.view.run), 5000.0) < 2000.0
+    assert fleet.until(lambda: fleet.alive_everywhere(joined.view.run), 5000.0) < 2000.0
     killed_run = fleet.kill("p0003").view.run
-    assert fleet.until(lambda: fleet.known_gone(killed_run), 10_000.0) < 4000.0
+    assert fleet.until(lambda: fleet.gone_everywhere(killed_run), 10_000.0) < 4000.0
     leaving = fleet.hosts["p0004"]
-    suspected = fleet.tally.counts["fleet.suspected"]
+    suspected = fleet.metrics.counts["fleet.suspected"]
     fleet.leave("p0004")
-    assert fleet.until(lambda: fleet.known_gone(leaving.view.run), 5000.0) < 700.0
+    assert fleet.until(lambda: fleet.gone_everywhere(leaving.view.run), 5000.0) < 700.0
     fleet.run(3000.0)
-    assert fleet.tally.counts["fleet.suspected"] == suspected, "a member that leaves is not suspected"
-    assert fleet.wrongly() == [] and fleet.agreed()
+    assert fleet.metrics.counts["fleet.suspected"] == suspected, "a member that leaves is not suspected"
+    assert fleet.false_removals() == [] and fleet.converged()
 
 
 @pytest.mark.parametrize("for_ms", [1000.0, 15_000.0, 120_000.0])
@@ -167,7 +169,7 @@
         side_sizes = {len(host.view.members()) for host in fleet.hosts.values()}
         assert side_sizes == {6, 10}
     fleet.heal()
-    assert fleet.until(fleet.agreed, 20_000.0) < 5000.0
+    assert fleet.until(fleet.converged, 20_000.0) < 5000.0
     if for_ms > 5000.0:
         assert all(host.view.run != runs[name] for name, host in fleet.hosts.items()), (
             "each continues as a new generation"
@@ -177,14 +179,14 @@
 def test_a_paused_process_declared_dead_continues_as_a_new_run(fleet):
     host = fleet.hosts["p0005"]
     run, new_runs = host.view.run, []
-    host.view.reborn.append(new_runs.append)
+    host.view.generation_listeners.append(new_runs.append)
     host.stall(8000.0)
     fleet.run(7900.0)
-    assert any(end[2] == run for end in fleet.ends), "others have declared it dead meanwhile"
+    assert any(end[2] == run for end in fleet.removals), "others have declared it dead meanwhile"
     fleet.run(1000.0)
     assert new_runs == [host.view.run] and host.view.run == run + 1
-    assert fleet.until(fleet.agreed, 10_000.0) < 3000.0
-    assert all(other.view.table.standing(run) == State.DEAD for other in fleet.hosts.values())
+    assert fleet.until(fleet.converged, 10_000.0) < 3000.0
+    assert all(other.view.table.status(run) == State.DEAD for other in fleet.hosts.values())
 
 
 def test_a_process_that_is_often_paused_has_nobody_declared_dead():
@@ -193,28 +195,28 @@
     for _ in range(30):
         fleet.hosts["p0001"].stall(900.0)
         fleet.run(1500.0)
-    assert fleet.ends == []
+    assert fleet.removals == []
 
 
 def test_packet_loss_and_short_pauses_remove_nobody():
     fleet = Fleet(13)
     fleet.grow(24)
-    fleet.network.links.lost = 0.10
+    fleet.network.conditions.loss_rate = 0.10
     paused = []
     for _ in range(60):
-        paused = fleet.draw.sample([host for host in fleet.hosts.values() if host not in paused], 2)
+        paused = fleet.rng.sample([host for host in fleet.hosts.values() if host not in paused], 2)
         for host in paused:
             host.stall(1000.0)
         fleet.run(1000.0)
-    assert fleet.ends == [] and fleet.tally.counts["fleet.refuted"] > 0
+    assert fleet.removals == [] and fleet.metrics.counts["fleet.refuted"] > 0
 
 
 def test_a_path_blocked_in_one_direction_is_reported_and_removes_nobody(fleet):
     blocked = ("p0001:7946", "p0002:7946")
-    fleet.network.links.cut = lambda source, target: (source, target) == blocked
+    fleet.network.conditions.blocked = lambda source, target: (source, target) == blocked
     fleet.run(30_000.0)
     first, second = fleet.hosts["p0001"].view, fleet.hosts["p0002"].view
-    assert fleet.ends == [] and fleet.agreed()
+    assert fleet.removals == [] and fleet.converged()
     assert first.is_relayed_only(second.run) and second.is_relayed_only(first.run)
     assert not first.is_relayed_only(fleet.hosts["p0003"].view.run)
     fleet.heal()
@@ -226,28 +228,33 @@
     names = sorted(fleet.hosts)
     side = {f"{name}:7946": i < 8 for i, name in enumerate(names)}
     bridge = f"{names[-1]}:7946"
-    fleet.network.links.cut = lambda a, b: bridge not in (a, b) and side[a] != side[b]
+    fleet.network.conditions.blocked = lambda a, b: bridge not in (a, b) and side[a] != side[b]
     fleet.run(20_000.0)
-    ends = len(fleet.ends)
+    ends = len(fleet.removals)
     fleet.run(60_000.0)
-    assert len(fleet.ends) == ends and fleet.agreed(), "no member is removed once the bridge is used as relay"
+    assert len(fleet.removals) == ends and fleet.converged(), (
+        "no member is removed once the bridge is used as relay"
+    )
     fleet.heal()
-    assert fleet.until(fleet.agreed, 20_000.0) < 5000.0
+    assert fleet.until(fleet.converged, 20_000.0) < 5000.0
 
 
 def test_a_proxy_restarted_without_state_replaces_its_predecessor(fleet):
     before = fleet.kill("p0006").view.run
     host = fleet.add("p0006")
-    assert fleet.until(lambda: fleet.known_gone(before) and fleet.known(host.view.run), 10_000.0) < 2500.0
-    assert fleet.until(fleet.agreed, 5000.0) < 2000.0
+    assert (
+        fleet.until(lambda: fleet.gone_everywhere(before) and fleet.alive_everywhere(host.view.run), 10_000.0)
+        < 2500.0
+    )
+    assert fleet.until(fleet.converged, 5000.0) < 2000.0
 
 
 def test_two_runs_of_one_name_are_two_members(fleet):
     twin = fleet.add("p0007x")
     twin.view.me = replace(twin.view.me, name="p0007")
     twin.view.incarnation += 1
-    twin.view._tell_self(fleet.clock.now_ms)
-    assert fleet.until(fleet.agreed, 5000.0) < 3000.0
+    twin.view._publish_self(fleet.clock.now_ms)
+    assert fleet.until(fleet.converged, 5000.0) < 3000.0
     namesakes = [member for member in fleet.hosts["p0000"].view.members() if member.name == "p0007"]
     assert len(namesakes) == 2 and len({process_of(member.run) for member in namesakes}) == 2
 
@@ -270,10 +277,10 @@
     fleet.partition([sender.name], [name for name in names if name != sender.name])
     sender.view.change_facts(fleet.clock.now_ms, {"service": "out"})
     sender.view.gossip_queue.drop(sender.view.run)
-    later = wire.Short(sender.view.run, int(State.ALIVE), sender.view.incarnation)
-    receiver.view.table.hear(later, fleet.clock.now_ms)
+    later = wire.MemberUpdate(sender.view.run, int(State.ALIVE), sender.view.incarnation)
+    receiver.view.table.apply_update(later, fleet.clock.now_ms)
     fleet.heal()
-    assert fleet.until(fleet.agreed, 10_000.0) < 10_000.0
+    assert fleet.until(fleet.converged, 10_000.0) < 10_000.0
     entries = [host.view.table.get(sender.view.run) for host in fleet.hosts.values()]
     assert all(entry.facts == {"service": "out"} and entry.edition == 1 for entry in entries)
 
@@ -281,9 +288,9 @@
 def test_members_of_two_wire_versions_use_the_older_and_converge():
     fleet = Fleet(4)
     for i in range(8):
-        fleet.add(f"p{i}", kind=Former if i % 2 else View, drift_ppm=500.0 if i % 3 else -500.0)
+        fleet.add(f"p{i}", kind=PreviousVersion if i % 2 else View, drift_ppm=500.0 if i % 3 else -500.0)
         fleet.run(10.0)
-    assert fleet.until(fleet.agreed, 10_000.0) < 10_000.0
+    assert fleet.until(fleet.converged, 10_000.0) < 10_000.0
     new, previous = fleet.hosts["p0"].view, fleet.hosts["p1"].view
     assert (
         new.version_for(fleet.hosts["p2"].view.run) == wire.VERSION and new.version_for(0) == wire.MIN_VERSION
@@ -292,23 +299,23 @@
     # Members of the previous version receive a later incarnation first and can't tell that the metadata has changed.
     new.change_facts(fleet.clock.now_ms, {"service": "out"})
     new.gossip_queue.drop(new.run)
-    later = wire.Short(new.run, int(State.ALIVE), new.incarnation)
+    later = wire.MemberUpdate(new.run, int(State.ALIVE), new.incarnation)
     for host in fleet.hosts.values():
         if host.view is not new:
-            host.view.table.hear(later, fleet.clock.now_ms)
-    assert fleet.until(fleet.agreed, 20_000.0) < 20_000.0
+            host.view.table.apply_update(later, fleet.clock.now_ms)
+    assert fleet.until(fleet.converged, 20_000.0) < 20_000.0
     assert all(host.view.table.get(new.run).facts == {"service": "out"} for host in fleet.hosts.values())
-    assert not fleet.tally.counts["fleet.refused.version"] and not fleet.ends
+    assert not fleet.metrics.counts["fleet.refused.version"] and not fleet.removals
 
 
 def test_a_token_bucket_refills_up_to_its_capacity():
-    bucket = Allowance(0.5, 10.0)
+    bucket = TokenBucket(0.5, 10.0)
     bucket.spend(14.0)
     assert (
-        bucket.now(0.0) == -4.0
-        and bucket.now(8.0) == 0.0
-        and bucket.now(20.0) == 6.0
-        and bucket.now(1000.0) == 10.0
+        bucket.available(0.0) == -4.0
+        and bucket.available(8.0) == 0.0
+        and bucket.available(20.0) == 6.0
+        and bucket.available(1000.0) == 10.0
     )
 
 
@@ -333,17 +340,17 @@
 def test_a_replayed_message_changes_nothing(fleet):
     view = fleet.hosts["p0001"].view
     other = fleet.hosts["p0002"].view
-    ping = wire.Ping(next(other.counts), other.run, view.run, 1, other.me.address, 16, 0)
+    ping = wire.Ping(next(other.message_counter), other.run, view.run, 1, other.me.address, 16, 0)
     view.received(fleet.clock.now_ms, ping)
-    assert sum(isinstance(item, Datagram) for item in view.out) == 1
-    view.out.clear()
+    assert sum(isinstance(item, Datagram) for item in view.outbox) == 1
+    view.outbox.clear()
     view.received(fleet.clock.now_ms, ping)
-    assert view.out == [] and fleet.tally.counts["fleet.replayed"] == 1
+    assert view.outbox == [] and fleet.metrics.counts["fleet.replayed"] == 1
     for_another = wire.Gossip(
-        10**6, other.run, RUNS[0], [wire.Short(fleet.hosts["p0003"].view.run, 2, 9)], []
+        10**6, other.run, RUNS[0], [wire.MemberUpdate(fleet.hosts["p0003"].view.run, 2, 9)], []
     )
     view.received(fleet.clock.now_ms, for_another)
-    assert view.table.standing(fleet.hosts["p0003"].view.run) == State.ALIVE
+    assert view.table.status(fleet.hosts["p0003"].view.run) == State.ALIVE
 
 
 def test_a_run_without_generations_left_draws_a_new_process_number():
@@ -351,7 +358,7 @@
     fleet.grow(2)
     view = fleet.hosts["p0000"].view
     run = view.run
-    view._reborn(fleet.clock.now_ms, run | GENERATION_MASK)
+    view._start_generation(fleet.clock.now_ms, run | GENERATION_MASK)
     assert process_of(view.run) != process_of(run) and view.run & GENERATION_MASK == 0
 
 
@@ -359,13 +366,13 @@
     def simulate(seed):
         fleet = Fleet(seed)
         fleet.grow(8)
-        fleet.network.links.lost = 0.2
+        fleet.network.conditions.loss_rate = 0.2
         fleet.kill("p0002")
         fleet.run(20_000.0)
         return (
             fleet.traffic(),
             [host.view.digest() for host in fleet.hosts.values()],
-            dict(fleet.tally.counts),
+            dict(fleet.metrics.counts),
         )
 
     assert simulate(5) == simulate(5) != simulate(6)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 from twisted.internet.testing import StringTransport
 
-from leadslip import interface as face
-from leadslip.checks import Tally
+from leadslip import interface
+from leadslip.metrics import Metrics
 from leadslip.net import enum
 from leadslip.net.board import EventStream
 from leadslip.net.clients import Clients
-from leadslip.net.links import MAX_MESSAGE_BYTES
+from leadslip.net.connections import MAX_MESSAGE_BYTES
 from leadslip.net.servers import Server, ServerConnection, Servers
 from leadslip.readiness import Readiness
 from tests.standins import binary, notice
@@ -75,7 +75,7 @@
 
 def caller():
     world = World()
-    clients = Clients(world.engine, world.tally, 10, Readiness(listening=True))
+    clients = Clients(world.engine, world.metrics, 10, Readiness(listening=True))
     link = clients.buildProtocol(None)
     link.makeConnection(Transport())
     return world, link
@@ -91,11 +91,11 @@
 def server_link():
     world = World()
     servers = Servers(
-        FakeReactor(), world.tally, world.now_ms, 500.0, lambda call, cause: None, world.deadlines
+        FakeReactor(), world.metrics, world.now_ms, 500.0, lambda call, cause: None, world.deadlines
     )
-    world.engine.far_side, servers.engine = servers, world.engine
-    server = servers.servers["s0"] = Server(servers, "s0", ("127.0.0.1", 1), face.ServerState.READY, 0.0)
-    servers.look()
+    world.engine.upstream, servers.engine = servers, world.engine
+    server = servers.servers["s0"] = Server(servers, "s0", ("127.0.0.1", 1), interface.ServerState.READY, 0.0)
+    servers.check_connections()
     return world, up(server)
 
 
@@ -139,7 +139,7 @@
     feed(
         link, messages + binary(9, call, (63, b"\0sdp")) + binary(12, call, (61, b"\x10"), (99, b"odd")), cuts
     )
-    assert world.told == [("stands", ID, b"\0sdp"), ("over", ID, False)]
+    assert world.recorded == [("stands", ID, b"\0sdp"), ("over", ID, False)]
     assert world.engine.controller.servers["s0"].free_lines == 4.0
 
 
@@ -173,10 +173,10 @@
         broken = bytearray(valid)
         broken[position % len(valid) : position % len(valid) + len(replacement)] = replacement
         feed(link, (b"" if message_first else garbage) + bytes(broken) + garbage, [position])
-        closed = world.tally.counts["clients.malformed"] + world.tally.counts["servers.malformed"]
+        closed = world.metrics.counts["clients.malformed"] + world.metrics.counts["servers.malformed"]
         assert closed <= 1 and link.transport.disconnecting is bool(closed)
         other_world, other = make()
-        assert not other.transport.disconnecting and not other_world.tally.counts["broken"]
+        assert not other.transport.disconnecting and not other_world.metrics.counts["broken"]
 
 
 @pytest.mark.parametrize(
@@ -202,35 +202,37 @@
     world, link = caller()
     link.dataReceived(INVITE)
     link.dataReceived(data)
-    assert link.transport.disconnecting and world.tally.counts["clients.malformed"] == 1
+    assert link.transport.disconnecting and world.metrics.counts["clients.malformed"] == 1
     assert len(world.sent) == 1, "no request of a read with a malformed message is sent"
     link.connectionLost()
     world.wait(2000)
-    assert world.told == [("give up", ID)], "its open calls are cancelled, and get no answer"
+    assert world.recorded == [("give up", ID)], "its open calls are cancelled, and get no answer"
 
 
 def test_a_set_up_cancelled_in_the_same_read_is_never_sent():
     world, link = caller()
     link.dataReceived(INVITE + sip(b"CANCEL"))
-    assert not world.sent and link.transport.value().startswith(b"SIP/2.0 200 OK") and not link.busy()
+    assert (
+        not world.sent and link.transport.value().startswith(b"SIP/2.0 200 OK") and not link.awaits_answer()
+    )
 
 
 def test_a_caller_can_not_cancel_the_set_up_of_another_and_unknown_calls_get_481():
     world, link = caller()
     link.dataReceived(INVITE)
-    other = link.front.buildProtocol(None)
+    other = link.downstream.buildProtocol(None)
     other.makeConnection(Transport())
     other.dataReceived(sip(b"CANCEL") + sip(b"BYE", "0" * 16))
     assert other.transport.value().count(b"SIP/2.0 481 ") == 2
-    world.engine.stood(world.sent[0], b"sdp")
-    assert world.told == [] and b"SIP/2.0 200 OK" in link.transport.value()
+    world.engine.on_established(world.sent[0], b"sdp")
+    assert world.recorded == [] and b"SIP/2.0 200 OK" in link.transport.value()
     other.dataReceived(sip(b"BYE"))
-    assert world.told == [("release", ID)], "an established call may be released on any connection"
+    assert world.recorded == [("release", ID)], "an established call may be released on any connection"
 
 
 def enum_listener():
     world = World()
-    links = enum.EnumLinks(enum.EnumFront(None, world.tally, world.deadlines), 10)
+    links = enum.EnumConnections(enum.EnumServer(None, world.metrics, world.deadlines), 10)
 
     def make():
         link = links.buildProtocol(None)
@@ -245,7 +247,7 @@
     world, link = caller()
 
     def make():
-        connection = link.front.buildProtocol(None)
+        connection = link.downstream.buildProtocol(None)
         if connection is not None:
             connection.makeConnection(Transport())
         return connection
@@ -305,7 +307,7 @@
 def test_a_malformed_message_from_a_server_is_counted_and_closes_that_connection(data):
     world, link = server_link()
     link.dataReceived(data)
-    assert link.transport.disconnecting and world.tally.counts["servers.malformed"] == 1
+    assert link.transport.disconnecting and world.metrics.counts["servers.malformed"] == 1
 
 
 @pytest.mark.parametrize("tail", [b"\0\x40\x09", b"\x30"])
@@ -318,11 +320,11 @@
         world.wait(100)
         link.dataReceived(b"x")
     world.wait(100)
-    assert link.transport.disconnecting and world.tally.counts["attempts.cut"] == 1
+    assert link.transport.disconnecting and world.metrics.counts["attempts.cut"] == 1
     assert len(link.server.upstream.reactor) == 1, "another is opened at once"
     world.wait(300)
     again = up(link.server)
-    assert world.tally.counts["attempts.cut"] == 1 and not again.transport.disconnecting
+    assert world.metrics.counts["attempts.cut"] == 1 and not again.transport.disconnecting
 
 
 def test_an_open_but_dead_connection_is_replaced():
@@ -342,8 +344,8 @@
     ), "a late answer looks the same: the connection is tested first"
     newer.dataReceived(binary(43, bytes(8), (51, b"x0:5;x1:5")))
     world.wait(100)
-    assert link.transport.disconnecting and world.tally.counts["attempts.cut"] == 1
-    assert world.told == [("stands", second, b"sdp")]
+    assert link.transport.disconnecting and world.metrics.counts["attempts.cut"] == 1
+    assert world.recorded == [("stands", second, b"sdp")]
 
 
 def test_a_call_released_normally_before_its_answer_was_established_and_is_not_retried():
@@ -351,11 +353,11 @@
     world.offer(ID)
     call = bytes.fromhex(ID)
     link.dataReceived(binary(12, call, (61, b"\x10")))
-    assert world.told == [("failed", ID)]
+    assert world.recorded == [("failed", ID)]
     link.dataReceived(binary(9, call, (63, b"late")) + binary(12, call, (61, b"\x10")))
     world.wait(2000)
-    assert world.told == [("failed", ID)] and len(world.engine.far_side.servers) == 1
-    assert sent(link) == 1 and world.tally.counts["attempts.cut"] == 1
+    assert world.recorded == [("failed", ID)] and len(world.engine.upstream.servers) == 1
+    assert sent(link) == 1 and world.metrics.counts["attempts.cut"] == 1
 
 
 def test_a_corrupt_message_ends_only_the_set_ups_in_progress_on_its_connection():
@@ -368,9 +370,9 @@
         world.offer(f"{i:016x}")
     assert (sent(link), sent(other)) == (2, 2)
     link.dataReceived(b"\xff\xff\xff")
-    assert world.tally.counts["attempts.cut"] == 2
+    assert world.metrics.counts["attempts.cut"] == 2
     other.dataReceived(binary(9, bytes(7) + b"\2", (63, b"sdp")))
-    assert world.told == [("stands", f"{2:016x}", b"sdp")]
+    assert world.recorded == [("stands", f"{2:016x}", b"sdp")]
 
 
 @pytest.mark.parametrize("reconnects", [True, False])
@@ -382,16 +384,16 @@
         world.wait(500)
         if link.server.connecting:
             link.server.connect_failed(refused=False)
-    assert link.transport.disconnecting and world.told == [("stands", ID, b"sdp")]
+    assert link.transport.disconnecting and world.recorded == [("stands", ID, b"sdp")]
     if reconnects:
         up(link.server).dataReceived(binary(12, bytes.fromhex(ID), (61, b"\x10")))
-        assert world.told[1:] == [("over", ID, False)]
+        assert world.recorded[1:] == [("over", ID, False)]
         return
     for _ in range(7):
         world.wait(500)
         if link.server.connecting:
             link.server.connect_failed(refused=False)
-    assert world.told[1:] == [("over", ID, True)]
+    assert world.recorded[1:] == [("over", ID, True)]
 
 
 def test_a_connection_over_the_maximum_closes_an_idle_one_and_none_is_opened_for_it():
@@ -417,7 +419,7 @@
         assert not other.transport.disconnecting
     world.wait(400)
     assert link.transport.disconnecting and not other.transport.disconnecting
-    assert world.told == [("stands", ID, b"sdp")], "its calls go on"
+    assert world.recorded == [("stands", ID, b"sdp")], "its calls go on"
 
 
 def test_a_connection_reset_right_after_opening_loses_no_set_up():
@@ -427,7 +429,7 @@
     reset = ServerConnection(link.server)
     reset.makeConnection(Transport())
     reset.connectionLost()
-    assert not world.tally.counts["attempts.cut"] and len(link.server.upstream.reactor) == 2
+    assert not world.metrics.counts["attempts.cut"] and len(link.server.upstream.reactor) == 2
     assert sent(up(link.server)) == 1
 
 
@@ -438,32 +440,34 @@
     link.connectionLost()
     link.server.connect_failed(refused=False)
     world.engine.hang_up(request)
-    assert world.told == [("stands", ID, b"sdp")], "a connect that times out does not prove the calls lost"
+    assert world.recorded == [("stands", ID, b"sdp")], (
+        "a connect that times out does not prove the calls lost"
+    )
     assert binary(12, bytes.fromhex(ID), (61, b"\x10")) in up(link.server).transport.value()
 
 
 def test_a_peer_that_stops_reading_is_disconnected():
     world, link = caller()
     link.pauseProducing()
-    assert link.say(b"x")
+    assert link.send(b"x")
     world.wait(2001)
-    assert not link.say(b"y") and link.transport.disconnecting
-    assert isinstance(world.tally, Tally) and world.tally.counts["clients.stalled"] == 1
+    assert not link.send(b"y") and link.transport.disconnecting
+    assert isinstance(world.metrics, Metrics) and world.metrics.counts["clients.stalled"] == 1
 
 
 def test_the_release_of_a_call_whose_connection_is_lost_goes_to_other_callers_until_acknowledged():
     """A peer that polls for readiness sends most recently of all, but does not handle releases."""
     world, link = caller()
     link.dataReceived(INVITE)
-    world.engine.stood(world.sent[0], b"sdp")
-    others = [link.front.buildProtocol(None) for _ in range(3)]
+    world.engine.on_established(world.sent[0], b"sdp")
+    others = [link.downstream.buildProtocol(None) for _ in range(3)]
     for i, other in enumerate(others):
         other.makeConnection(Transport())
         other.dataReceived(INVITE.replace(b"9b1f", b"000%d" % i) if i < 2 else sip(b"OPTIONS"))
         other.transport.clear()
     first, second, poller = others
     link.connectionLost()
-    world.engine.ended(world.sent[0], face.Outcome.SERVED)
+    world.engine.on_attempt_ended(world.sent[0], interface.Outcome.SERVED)
 
     def releases():
         return [connection.transport.value().count(b"BYE ") for connection in (first, second, poller)]
@@ -475,22 +479,22 @@
         b"SIP/2.0 200 OK\r\nCall-ID: %s\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n" % ID.encode()
     )
     world.wait(5000)
-    assert releases() == [1, 1, 0] and not link.front.pending_releases, "acknowledged"
+    assert releases() == [1, 1, 0] and not link.downstream.pending_releases, "acknowledged"
 
 
 def test_the_release_of_a_call_without_an_open_connection_goes_to_the_next_one_opened():
     world, link = caller()
     link.dataReceived(INVITE)
-    world.engine.stood(world.sent[0], b"sdp")
+    world.engine.on_established(world.sent[0], b"sdp")
     link.connectionLost()
-    world.engine.ended(world.sent[0], face.Outcome.SERVED)
-    late = link.front.buildProtocol(None)
+    world.engine.on_attempt_ended(world.sent[0], interface.Outcome.SERVED)
+    late = link.downstream.buildProtocol(None)
     late.makeConnection(Transport())
     assert late.transport.value().startswith(b"BYE ") and ID.encode() in late.transport.value()
     late.dataReceived(
         b"SIP/2.0 200 OK\r\nCall-ID: %s\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n" % ID.encode()
     )
     late.connectionLost()
-    third = link.front.buildProtocol(None)
+    third = link.downstream.buildProtocol(None)
     third.makeConnection(Transport())
     assert third.transport.value() == b"", "once acknowledged, it is not sent again"
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -5,7 +5,7 @@
 import pytest
 
 from leadslip.readiness import Readiness
-from tests.standins import HOST, PATIENCE_S, Caller, Program, SetupServer, wait_for
+from tests.standins import HOST, TEST_TIMEOUT_S, Caller, Program, SetupServer, wait_for
 from tests.test_program import FIRST, SECOND
 
 OPS = {"ops": f"{HOST}:0"}
@@ -20,8 +20,8 @@
     assert (readiness.ready(), readiness.draining(), readiness.out_of_service_since_ms) == (False, True, 5.0)
     assert readiness.in_service() and not readiness.in_service()
     assert readiness.ready() and not readiness.draining()
-    assert readiness.end(7.0) and not readiness.end(8.0)
-    assert (readiness.ready(), readiness.draining(), readiness.ending_ms) == (False, True, 7.0)
+    assert readiness.begin_shutdown(7.0) and not readiness.begin_shutdown(8.0)
+    assert (readiness.ready(), readiness.draining(), readiness.shutdown_since_ms) == (False, True, 7.0)
     readiness.in_service()
     assert not readiness.ready()  # operators can't return a process to service that is shutting down
 
@@ -29,7 +29,7 @@
 def test_going_out_of_service_and_ending_at_time_zero_are_recorded():
     readiness = Readiness(listening=True)
     assert readiness.out_of_service(0.0) and not readiness.ready()
-    assert readiness.end(0.0) and not readiness.end(0.0)
+    assert readiness.begin_shutdown(0.0) and not readiness.begin_shutdown(0.0)
 
 
 @pytest.fixture
@@ -56,8 +56,8 @@
     assert proxy.call("PUT", "/control/out-of-service") == (200, b"out of service\n")
     assert proxy.call("GET", "/control/ready")[0] == 503
     caller = Caller(proxy)
-    caller.say("OPTIONS", FIRST)
-    assert caller.hear()[0] == "SIP/2.0 503 Service Unavailable"
+    caller.send("OPTIONS", FIRST)
+    assert caller.receive()[0] == "SIP/2.0 503 Service Unavailable"
     assert proxy.call("PUT", "/control/out-of-service")[0] == 200  # repeating it has no effect
     assert proxy.call("PUT", "/control/in-service") == (200, b"in service\n")
     assert proxy.call("GET", "/control/ready")[0] == 200
@@ -84,14 +84,14 @@
 
 def final_status(caller: Caller) -> str:
     """Return the status line of the next answer, skipping releases of calls whose connection has been closed."""
-    while (start_line := caller.hear()[0]).startswith("BYE "):
+    while (start_line := caller.receive()[0]).startswith("BYE "):
         pass
     return start_line
 
 
 def send_raw(proxy: Program, data: bytes) -> bytes:
     """Send raw bytes to the operators' address and return what it answers until it closes the connection."""
-    with socket.create_connection(proxy.ops, timeout=PATIENCE_S) as connection:
+    with socket.create_connection(proxy.ops, timeout=TEST_TIMEOUT_S) as connection:
         connection.sendall(data)
         answer = b""
         while chunk := connection.recv(4096):
@@ -112,7 +112,7 @@
 
 def test_a_stalled_operator_connection_delays_nobody_and_is_closed(program):
     proxy, _ = program("answer")
-    stalled = [socket.create_connection(proxy.ops, timeout=PATIENCE_S) for _ in range(5)]
+    stalled = [socket.create_connection(proxy.ops, timeout=TEST_TIMEOUT_S) for _ in range(5)]
     stalled[0].sendall(b"GET /control/rea")
     stalled[1].sendall(b"PUT /control/in-service HTTP/1.1\r\nContent-Length: 10\r\n\r\n12")
     assert proxy.call("GET", "/control/ready")[0] == 200
@@ -125,14 +125,14 @@
 def test_a_drain_closes_idle_connections_and_keeps_one_with_an_established_call(program):
     proxy, (server,) = program("hold")
     idle, holding = Caller(proxy), Caller(proxy)
-    idle.say("OPTIONS", FIRST)
-    idle.hear()
+    idle.send("OPTIONS", FIRST)
+    idle.receive()
     holding.invite(SECOND)
-    assert holding.hear()[0] == "SIP/2.0 200 OK"
+    assert holding.receive()[0] == "SIP/2.0 200 OK"
     proxy.call("PUT", "/control/out-of-service")
     assert idle.socket.recv(1) == b""
     server.release_all()
-    assert holding.hear()[0].startswith("BYE ")  # the release was still pending on this connection
+    assert holding.receive()[0].startswith("BYE ")  # the release was still pending on this connection
     assert holding.socket.recv(1) == b""
     proxy.call("PUT", "/control/in-service")
     reconnected = Caller(proxy)
@@ -166,7 +166,7 @@
     old.process.terminate()
     for i in range(20, 120):
         place_call(i)
-    assert old.process.wait(PATIENCE_S) == 0
+    assert old.process.wait(TEST_TIMEOUT_S) == 0
     for i in range(120, 140):
         place_call(i)
     assert answered == ["SIP/2.0 200 OK"] * 140
@@ -182,9 +182,9 @@
     proxy, (server,) = program("hold")
     caller = Caller(proxy)
     caller.invite(FIRST)
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
     caller.invite(SECOND, kind="no such class")
-    assert caller.hear()[0] == "SIP/2.0 503 Service Unavailable"
+    assert caller.receive()[0] == "SIP/2.0 503 Service Unavailable"
     counters = counters_of(proxy)
     assert (counters["proxy.responses.plain.ok"], counters["proxy.responses.plain.tries"]) == (1, 1)
     assert (counters["proxy.active"], counters["proxy.pool_size"], counters["proxy.pool_ejected"]) == (
@@ -195,7 +195,7 @@
     assert "reload.taken" in proxy.reload()
     assert "reload.refused" in proxy.reload(board="nowhere")
     server.release_all()
-    caller.hear()
+    caller.receive()
     wait_for(lambda: counters_of(proxy)["proxy.active"] == 0)
     counters = counters_of(proxy)
     assert (counters["proxy.config_applied"], counters["proxy.config_rejected"]) == (1, 1)
--- a/tests/test_otlp.py
+++ b/tests/test_otlp.py
@@ -62,8 +62,8 @@
     caller = Caller(program)
     for i in range(count):
         caller.invite(f"{i:016x}")
-        assert caller.hear()[0] == "SIP/2.0 200 OK"
-        assert caller.hear()[0].startswith("BYE ")
+        assert caller.receive()[0] == "SIP/2.0 200 OK"
+        assert caller.receive()[0].startswith("BYE ")
 
 
 def test_the_collector_receives_counters_and_the_spans_of_a_call(start):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -39,16 +39,16 @@
 def test_a_call_is_established_with_the_servers_description_and_is_released(start, release):
     program, (server,) = start("answer", release=release)
     caller = Caller(program)
-    caller.say("OPTIONS", FIRST)
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    caller.send("OPTIONS", FIRST)
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
     caller.invite(FIRST, "urgent")
-    status, headers, body = caller.hear()
+    status, headers, body = caller.receive()
     assert (status, headers["Call-ID"], headers["CSeq"]) == ("SIP/2.0 200 OK", FIRST, "1 INVITE")
     assert body == b"v=" + FIRST.encode()
-    caller.say("ACK", FIRST)
-    start_line, headers, _ = caller.hear()
+    caller.send("ACK", FIRST)
+    start_line, headers, _ = caller.receive()
     assert start_line.startswith("BYE ") and headers["Reason"] == "Q.850;cause=16"
-    message_type, call, fields = server.heard[0]
+    message_type, call, fields = server.received[0]
     assert (message_type, call.hex(), fields[33], fields[41], fields[63]) == (
         1,
         FIRST,
@@ -63,43 +63,43 @@
     program, (full, other) = start("full", "answer")
     caller = Caller(program)
     caller.invite(FIRST)
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
-    assert len(full.heard) == 1
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
+    assert len(full.received) == 1
     other.behaviour = "full"
-    caller.hear()
+    caller.receive()
     caller.invite(SECOND, dest=1)
-    assert caller.hear()[0] == "SIP/2.0 503 Service Unavailable"
+    assert caller.receive()[0] == "SIP/2.0 503 Service Unavailable"
 
 
 def test_with_a_silent_server_the_call_fails_before_its_deadline_and_the_set_up_is_cancelled(start):
     program, (server,) = start("silent")
     caller = Caller(program)
     caller.invite(FIRST, expires=300)
-    assert caller.hear()[0] == "SIP/2.0 500 Server Internal Error"
-    caller.say("OPTIONS", FIRST)
-    caller.hear()
-    wait_for(lambda: len(server.heard) > 1)
-    assert server.heard[1][0] == 12 and server.heard[1][2][61] == b"\x10"
+    assert caller.receive()[0] == "SIP/2.0 500 Server Internal Error"
+    caller.send("OPTIONS", FIRST)
+    caller.receive()
+    wait_for(lambda: len(server.received) > 1)
+    assert server.received[1][0] == 12 and server.received[1][2][61] == b"\x10"
 
 
 def test_a_cancelled_set_up_gets_no_final_answer(start):
     program, (server,) = start("silent")
     caller = Caller(program)
     caller.invite(FIRST)
-    caller.say("CANCEL", FIRST)
-    status, headers, _ = caller.hear()
+    caller.send("CANCEL", FIRST)
+    status, headers, _ = caller.receive()
     assert headers["CSeq"] == "1 CANCEL"
-    caller.say("OPTIONS", FIRST)
-    assert caller.hear()[1]["CSeq"] == "1 OPTIONS"
+    caller.send("OPTIONS", FIRST)
+    assert caller.receive()[1]["CSeq"] == "1 OPTIONS"
 
 
 def test_when_a_server_dies_its_established_calls_are_released_to_the_callers(start):
     program, (server,) = start("hold")
     caller = Caller(program)
     caller.invite(FIRST)
-    caller.hear()
+    caller.receive()
     server.die()
-    start_line, headers, _ = caller.hear()
+    start_line, headers, _ = caller.receive()
     assert start_line.startswith("BYE ") and headers["Reason"] == "Q.850;cause=41"
 
 
@@ -110,33 +110,33 @@
     program.board.events.append((2, notice(2, ("s0", first.address, "left"), active)))
     caller = Caller(program)
     for count in range(2000):
-        if second.heard:
+        if second.received:
             break
         # Destination 1 makes the server the first choice: the Controller sends few other calls to a server whose rate
         # is still unknown.
         caller.invite(f"{count:016x}", dest=1)
-        status, _, _ = caller.hear()
+        status, _, _ = caller.receive()
         if status.startswith("SIP/2.0 200"):
-            caller.hear()
+            caller.receive()
         time.sleep(0.01)
-    assert second.heard and program.board.polls[0] == "1"
+    assert second.received and program.board.polls[0] == "1"
 
 
 def test_after_sigterm_options_are_refused_but_calls_are_served_to_their_end(start):
     program, (server,) = start("hold")
     caller = Caller(program)
     caller.invite(FIRST)
-    caller.hear()
+    caller.receive()
     program.process.terminate()
     status = "200"
     while "200" in status:
-        caller.say("OPTIONS", SECOND)
-        status = caller.hear()[0]
+        caller.send("OPTIONS", SECOND)
+        status = caller.receive()[0]
     assert status == "SIP/2.0 503 Service Unavailable"
     caller.invite(SECOND)
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
     server.release_all()
-    assert caller.hear()[0].startswith("BYE ") and caller.hear()[0].startswith("BYE ")
+    assert caller.receive()[0].startswith("BYE ") and caller.receive()[0].startswith("BYE ")
 
 
 def test_a_reload_moves_to_the_new_notice_board_and_revisions_continue(start):
@@ -145,12 +145,12 @@
     wait_for(lambda: program.board.polls)
     board.events += [(1, notice(1)), (2, notice(2, ("s1", second.address, "active")))]
     assert "reload.taken" in program.reload(board=board.address, settings=settings(tick_ms=6.0))
-    wait_for(lambda: second.links)
+    wait_for(lambda: second.connections)
     assert board.polls == ["1"] and program.board.polls == ["1"]
     program.board.events.append((3, notice(3, ("s1", second.address, "left"))))
     caller = Caller(program)
     caller.invite(FIRST, dest=0)
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
     assert key in program.reload(**({"board": board.address, "limits": {"sockets": 16}} | changes))
     caller = Caller(program)
     caller.invite(FIRST)
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
     assert not board.polls, "no part of it may be applied"
 
 
@@ -175,10 +175,10 @@
     program, (server,) = start("silent", settings=settings(services=[LONG]))
     caller = Caller(program)
     caller.invite(FIRST, expires=9000)
-    wait_for(lambda: server.heard)
+    wait_for(lambda: server.received)
     started_s = time.monotonic()
     program.process.terminate()
-    assert caller.hear()[0] == "SIP/2.0 500 Server Internal Error"
+    assert caller.receive()[0] == "SIP/2.0 500 Server Internal Error"
     assert time.monotonic() - started_s < 9.0, "answered before the deadline of the call"
     assert program.stop() == 0
 
@@ -190,7 +190,7 @@
     with contextlib.suppress(ConnectionResetError):
         assert invalid.recv(10) == b""
     caller.invite(FIRST)
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
 
 
 @pytest.mark.parametrize(
@@ -222,9 +222,9 @@
     program, (server,) = start("hold")
     caller = Caller(program)
     caller.invite(FIRST)
-    caller.hear()
+    caller.receive()
     for id_, cause in ((SECOND, b"\x22"), (FIRST, b"\x10"), (FIRST, b"\x10"), (SECOND, b"\x10")):
-        server.links[-1].sendall(binary(12, bytes.fromhex(id_), (61, cause)))
-    released = [caller.hear()[1]["Call-ID"] for _ in range(2)]
-    caller.say("OPTIONS", FIRST)
-    assert released == [FIRST, SECOND] and caller.hear()[0] == "SIP/2.0 200 OK"
+        server.connections[-1].sendall(binary(12, bytes.fromhex(id_), (61, cause)))
+    released = [caller.receive()[1]["Call-ID"] for _ in range(2)]
+    caller.send("OPTIONS", FIRST)
+    assert released == [FIRST, SECOND] and caller.receive()[0] == "SIP/2.0 200 OK"
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.net.clients import Clients
-from leadslip.net.links import OVERFLOW_TIMEOUT_MS, READ_BYTES, WRITE_STALL_TIMEOUT_MS
+from leadslip.net.connections import OVERFLOW_TIMEOUT_MS, READ_BYTES, WRITE_STALL_TIMEOUT_MS
 from leadslip.net.servers import Server
 from leadslip.readiness import Readiness
 from tests.standins import binary
@@ -16,7 +16,7 @@
 
 def callers(world, count, max_connections=10, overflow=0):
     """Returns the callers' side of the world's engine, and connections to it."""
-    clients = Clients(world.engine, world.tally, max_connections, Readiness(listening=True), overflow)
+    clients = Clients(world.engine, world.metrics, max_connections, Readiness(listening=True), overflow)
     return clients, [accept(clients) for _ in range(count)]
 
 
@@ -34,7 +34,7 @@
 def second_server(connection):
     """Adds a server with an active connection; returns that connection."""
     servers = connection.server.upstream
-    server = servers.servers["s1"] = Server(servers, "s1", ("127.0.0.1", 2), face.ServerState.READY, 0.0)
+    server = servers.servers["s1"] = Server(servers, "s1", ("127.0.0.1", 2), interface.ServerState.READY, 0.0)
     return up(server)
 
 
@@ -56,7 +56,7 @@
     caller.transport.unread += unread
     first.dataReceived(binary(12, bytes.fromhex(ID), (61, b"\x22"), (47, b"overload")))
     assert set_up(second) == 0 and not world.engine.open
-    assert world.tally.counts["requests.cancelled"] == 1
+    assert world.metrics.counts["requests.cancelled"] == 1
 
 
 @pytest.mark.parametrize("unread", DEPARTURES)
@@ -66,7 +66,7 @@
     caller.transport.unread += unread
     caller.dataReceived(invite())
     assert set_up(server) == 0 and not world.engine.open
-    assert world.tally.counts["requests"] == 0, "the request never reached the engine"
+    assert world.metrics.counts["requests"] == 0, "the request never reached the engine"
 
 
 def test_a_queued_set_up_is_not_sent_after_its_caller_has_left_or_its_deadline_has_passed():
@@ -92,8 +92,9 @@
     _, (first, second) = callers(world, 2)
     first.dataReceived(invite())
     second.dataReceived(invite(OTHER_ID))
-    catch_up = first.catch_up
-    first.catch_up = lambda: (catch_up(), second.connectionLost())  # sending the first ends the second
+    read_pending = first.read_pending
+    # sending the first ends the second
+    first.read_pending = lambda: (read_pending(), second.connectionLost())
     newer = up(link.server)
     assert [set_up(newer, id_) for id_ in (ID, OTHER_ID)] == [1, 0]
 
@@ -115,7 +116,7 @@
 def test_expired_deadlines_wait_until_the_sockets_have_been_read_once():
     world, _ = server_link()
     fired = []
-    world.deadlines.at(world.now_ms() + 10.0, lambda _: fired.append("due"))
+    world.deadlines.call_at(world.now_ms() + 10.0, lambda _: fired.append("due"))
     call_later = world.time.callLater
     delays = []
     world.time.callLater = lambda seconds, work: delays.append(seconds) or call_later(seconds, work)
@@ -172,7 +173,7 @@
     refused.connectionLost()
     world.wait(OVERFLOW_TIMEOUT_MS + 300)
     assert silent.transport.disconnecting and not caller.transport.disconnecting
-    assert world.tally.counts["answers.refused"] == 1
+    assert world.metrics.counts["answers.refused"] == 1
 
 
 def test_on_shutdown_new_set_ups_are_refused_and_each_connection_closes_once_its_answers_are_sent():
@@ -180,14 +181,14 @@
     clients, (waiting, idle, sending) = callers(world, 3)
     waiting.dataReceived(invite())
     sending.transport.unread.append(invite(OTHER_ID))
-    world.engine.settle()
-    assert not clients.finish(), "the answers are not sent yet"
+    world.engine.shut_down()
+    assert not clients.close_connections(), "the answers are not sent yet"
     assert waiting.transport.value().startswith(b"SIP/2.0 500 ")
     assert sending.transport.value().startswith(b"SIP/2.0 503 ") and set_up(server, OTHER_ID) == 0
     for link in (waiting, idle, sending):
         assert link.transport.disconnecting
         link.connectionLost()
-    assert clients.finish()
+    assert clients.close_connections()
 
 
 def test_a_connect_without_a_free_descriptor_says_nothing_about_the_server():
@@ -196,17 +197,17 @@
     link.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
     world.wait(7000)  # longer than a server may be silent
     link.server.no_local_socket()
-    assert ("over", ID, True) not in world.told and not link.server.unreachable
+    assert ("over", ID, True) not in world.recorded and not link.server.unreachable
 
 
 def test_additional_connections_to_a_server_stop_at_the_descriptor_limit():
     world, link = server_link()
     servers = link.server.upstream
-    servers.most_links = 1
+    servers.max_connections = 1
     for i in range(3):
         world.offer(f"{i:016x}")
     assert not servers.reactor and len(link.set_ups) == 3
-    servers.most_links = 2
+    servers.max_connections = 2
     world.offer(f"{3:016x}")
     assert len(servers.reactor) == 1
 
@@ -219,8 +220,11 @@
         "not in the settings"
     )
     (plain,) = [call_class for call_class in world.engine.settings.classes if call_class.name == "plain"]
-    world.engine.adopt(
-        face.Settings(gateways=1, index=0, classes=(face.CallClass("급보", 1.0, 0.2, 1500.0, 9000.0),)), 100
+    world.engine.apply_settings(
+        interface.Settings(
+            gateways=1, index=0, classes=(interface.CallClass("급보", 1.0, 0.2, 1500.0, 9000.0),)
+        ),
+        100,
     )
     caller.dataReceived(invite().replace(b"Priority-Class: plain", "Priority-Class: 급보".encode()))
     assert "급보".encode() in server.transport.value()
@@ -246,7 +250,7 @@
     other.transport.dataBuffer = b"and here"
     world.offer(OTHER_ID)
     assert (set_up(blocked, OTHER_ID), set_up(other, OTHER_ID)) == (0, 0)
-    assert world.tally.counts["attempts.no_connection"] == 2, "here, and at the server without a connection"
+    assert world.metrics.counts["attempts.no_connection"] == 2, "here, and at the server without a connection"
 
 
 def test_an_unsent_set_up_is_dropped_with_its_connection_once_its_caller_has_left():
@@ -283,12 +287,12 @@
     world, link = server_link()
     world.offer(ID)
     link.dataReceived(ANSWERED[:split])
-    assert world.told == ([("stands", ID, b"sdp")] if split == len(ANSWERED) else [])
+    assert world.recorded == ([("stands", ID, b"sdp")] if split == len(ANSWERED) else [])
     link.dataReceived(ANSWERED[split:])
-    assert world.told == [("stands", ID, b"sdp")]
+    assert world.recorded == [("stands", ID, b"sdp")]
     other, broken = server_link()
     other.offer(ID)
     broken.dataReceived(ANSWERED[:split])
     broken.connectionLost()
     complete = split == len(ANSWERED)
-    assert other.tally.counts["attempts.cut"] == (not complete) and len(other.told) == complete
+    assert other.metrics.counts["attempts.cut"] == (not complete) and len(other.recorded) == complete
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -5,8 +5,7 @@
 
 import pytest
 
-from leadslip import config
-from leadslip import interface as face
+from leadslip import config, interface
 from leadslip.choice import _Call
 from leadslip.core import Request
 from tests.helpers import PLAIN, URGENT
@@ -59,7 +58,9 @@
     configuration["settings"]["extra"] = configuration["settings"]["extra"] | {"allowed_pools": [[0], [0]]}
     reloaded = reload(tmp_path, json.dumps(configuration), running)
     assert [call_class.name for call_class in reloaded.settings.classes] == [URGENT, "fresh"]
-    assert reloaded.settings.classes[0].repeat is face.Repeat.ONCE and reloaded.settings.max_attempts == 2
+    assert (
+        reloaded.settings.classes[0].repeat is interface.Repeat.ONCE and reloaded.settings.max_attempts == 2
+    )
 
 
 @pytest.mark.parametrize(
@@ -116,18 +117,18 @@
     old = Request("a" * 16, PLAIN, world.now_ms() + 5000.0, world)
     old.destination = 0
     world.engine.offer(old)
-    fewer = face.Settings(**{**_fields(world.engine.settings), "max_attempts": 1})
-    world.engine.adopt(fewer, world.engine.most_held)
+    fewer = interface.Settings(**{**_fields(world.engine.settings), "max_attempts": 1})
+    world.engine.apply_settings(fewer, world.engine.max_open_requests)
     for _ in range(3):
-        world.engine.ended(old.attempt, face.Outcome.ERROR)
+        world.engine.on_attempt_ended(old.attempt, interface.Outcome.ERROR)
         world.wait(1)
     assert [attempt.request.id for attempt in world.sent] == ["a" * 16] * 4  # the limit when it was received
     new = Request("b" * 16, PLAIN, world.now_ms() + 5000.0, world)
     world.engine.offer(new)
-    world.engine.ended(new.attempt, face.Outcome.ERROR)
+    world.engine.on_attempt_ended(new.attempt, interface.Outcome.ERROR)
     world.wait(1)
     assert [attempt.request.id for attempt in world.sent].count("b" * 16) == 1
-    assert not [name for name in world.tally.counts if name.startswith("broken")]
+    assert not [name for name in world.metrics.counts if name.startswith("broken")]
 
 
 def test_open_requests_of_a_removed_class_are_served_and_new_ones_refused():
@@ -137,35 +138,37 @@
     only_urgent = tuple(
         call_class for call_class in world.engine.settings.classes if call_class.name == URGENT
     )
-    world.engine.adopt(face.Settings(**{**_fields(world.engine.settings), "classes": only_urgent}), 20_000)
-    world.engine.stood(old.attempt, b"sdp")
+    world.engine.apply_settings(
+        interface.Settings(**{**_fields(world.engine.settings), "classes": only_urgent}), 20_000
+    )
+    world.engine.on_established(old.attempt, b"sdp")
     world.engine.offer(Request("b" * 16, PLAIN, world.now_ms() + 5000.0, world))
-    assert ("stands", "a" * 16, b"sdp") in world.told and ("refused", "b" * 16) in world.told
+    assert ("stands", "a" * 16, b"sdp") in world.recorded and ("refused", "b" * 16) in world.recorded
 
 
 def test_settings_that_the_controller_rejects_change_nothing():
     world = World()
     before = world.engine.settings
-    invalid = face.Settings(**{**_fields(before), "cold_fraction": 0.0})
+    invalid = interface.Settings(**{**_fields(before), "cold_fraction": 0.0})
     with pytest.raises(ValueError, match="cold_fraction"):
-        world.engine.adopt(invalid, 5)
+        world.engine.apply_settings(invalid, 5)
     assert world.engine.settings is before and world.engine.controller.settings is before
-    assert world.engine.most_held != 5
+    assert world.engine.max_open_requests != 5
 
 
-def _fields(settings_: face.Settings) -> dict:
+def _fields(settings_: interface.Settings) -> dict:
     return {name: getattr(settings_, name) for name in settings_.__dataclass_fields__}
 
 
 def test_worths_of_removed_classes_do_not_affect_the_mean_worth():
     """After 200 calls of a class of high worth that is then removed, the remaining class has the mean worth again."""
-    rich = face.CallClass("rich", 100.0, 0.2, 1500.0, 9000.0)
-    world = World(classes=(rich, face.CallClass(PLAIN, 1.0, 0.2, 1500.0, 9000.0)))
+    rich = interface.CallClass("rich", 100.0, 0.2, 1500.0, 9000.0)
+    world = World(classes=(rich, interface.CallClass(PLAIN, 1.0, 0.2, 1500.0, 9000.0)))
     for i in range(200):
         world.engine.offer(Request(f"{i:016x}", "rich", world.now_ms() + 5000.0, world))
     controller = world.engine.controller
-    plain = face.CallOffered("x", PLAIN, 0.0, 0)
-    only = face.Settings(**{**_fields(world.engine.settings), "classes": (controller.classes[PLAIN],)})
+    plain = interface.CallOffered("x", PLAIN, 0.0, 0)
+    only = interface.Settings(**{**_fields(world.engine.settings), "classes": (controller.classes[PLAIN],)})
     assert controller._window_scale(_Call(plain, controller.classes[PLAIN], 4)) == 0.5
-    world.engine.adopt(only, 20_000)
+    world.engine.apply_settings(only, 20_000)
     assert controller._window_scale(_Call(plain, controller.classes[PLAIN], 4)) == 1.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from leadslip import interface as face
+from leadslip import interface
 from leadslip.choice import INTERVAL_MS, Controller
 from tests.helpers import Gateway, entry, finals, set_ups, settings
 
@@ -13,27 +13,27 @@
     return [
         action
         for _, action in gateway.log
-        if isinstance(action, face.Refuse | face.Fail) and action.call == call
+        if isinstance(action, interface.Refuse | interface.Fail) and action.call == call
     ]
 
 
 def test_rule_1_an_unanswered_call_times_out_before_its_deadline_and_fails_once():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call(valid_for_ms=2000.0))
-    assert sent.cut_at_ms < gateway.now + 2000.0
-    gateway.wait(sent.cut_at_ms - gateway.now)
+    assert sent.timeout_at_ms < gateway.now + 2000.0
+    gateway.wait(sent.timeout_at_ms - gateway.now)
     gateway.end_attempt(sent, "timed_out")
     gateway.wait(3000.0)
-    assert answers(gateway, "c1") == [face.Fail("c1")]
-    assert [action for _, action in gateway.log if isinstance(action, face.SetUp)] == [sent]
+    assert answers(gateway, "c1") == [interface.Fail("c1")]
+    assert [action for _, action in gateway.log if isinstance(action, interface.SetUp)] == [sent]
 
 
 def test_rule_1_nothing_follows_a_call_that_has_ended():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
-    gateway.give(face.CallerLeft("c1"))
+    gateway.handle(interface.CallerLeft("c1"))
     assert not gateway.end_attempt(sent, "timed_out", call_over=True)
-    gateway.give(face.CallerLeft("c1"))
+    gateway.handle(interface.CallerLeft("c1"))
     gateway.wait(1000.0)
     assert not answers(gateway, "c1")
 
@@ -41,7 +41,7 @@
 def test_rule_1_an_established_call_gets_no_answer_of_the_gateway():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
-    gateway.stands(sent, 30.0)
+    gateway.establish(sent, 30.0)
     gateway.wait(5000.0)
     gateway.end_attempt(sent, "served", call_over=True)
     assert not answers(gateway, "c1")
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_rule_3_nothing_new_to_a_draining_or_gone_server(state):
     gateway = Gateway()
-    gateway.give(face.ListNews(face.NewsKind.CHANGES, (entry("s0", 0, state),)))
+    gateway.handle(interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry("s0", 0, state),)))
     for _ in range(20):
         gateway.wait(50.0)
         assert all(sent.server == "s1" for sent in set_ups(gateway.call(to=0)))
@@ -79,7 +79,7 @@
 
 def test_rule_3_a_server_absent_from_a_snapshot_gets_no_set_ups():
     gateway = Gateway()
-    gateway.give(face.ListNews(face.NewsKind.WHOLE, (entry("s1", 1),)))
+    gateway.handle(interface.ServerListUpdate(interface.UpdateKind.SNAPSHOT, (entry("s1", 1),)))
     assert set_ups(gateway.call(to=0))[0].server == "s1"
 
 
@@ -89,12 +89,16 @@
     gateway.serve(30, per_s=8.0)
     name = "s7" if as_new_id else "s0"
     since = 0.0 if as_new_id else gateway.now
-    gateway.give(face.ListNews(face.NewsKind.WHOLE, (entry(name, 0, since=since), entry("s1", 1))))
+    gateway.handle(
+        interface.ServerListUpdate(
+            interface.UpdateKind.SNAPSHOT, (entry(name, 0, since=since), entry("s1", 1))
+        )
+    )
     to_cold = 0
     for _ in range(80):
         for sent in set_ups(gateway.wait(25.0)) + set_ups(gateway.call(to=0)):
             to_cold += sent.server == name
-            gateway.stands(sent, 30.0)
+            gateway.establish(sent, 30.0)
     # Two seconds at 4 a second: 8 for a warm server, 0.4 to 0.52 of that and a little more for a cold one.
     assert 2 <= to_cold <= 7
 
@@ -102,7 +106,7 @@
 def test_rule_4_a_restarted_gateway_sends_little_to_a_cold_server():
     gateway = Gateway(servers=0)
     since = gateway.now - 100.0
-    gateway.give(face.ListNews(face.NewsKind.CACHED, (entry("s0", 0, since=since),)))
+    gateway.handle(interface.ServerListUpdate(interface.UpdateKind.CACHED, (entry("s0", 0, since=since),)))
     sent = 0
     for _ in range(40):
         gateway.wait(10.0)
@@ -128,23 +132,23 @@
     gateway = Gateway()
     (sent,) = set_ups(gateway.call(valid_for_ms=300.0))
     gateway.wait(200.0)
-    assert gateway.end_attempt(sent, "withdrawn")[-1] == face.Fail("c1")
+    assert gateway.end_attempt(sent, "withdrawn")[-1] == interface.Fail("c1")
 
 
 def test_a_busy_number_is_not_retried_at_another_server():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
-    actions = gateway.end_attempt(sent, "error", cause=face.Cause.NUMBER_BUSY)
+    actions = gateway.end_attempt(sent, "error", cause=interface.Cause.NUMBER_BUSY)
     assert finals(actions) and not set_ups(actions)
 
 
 def test_a_call_that_may_have_run_is_not_repeated_unless_its_class_permits():
-    once = face.CallClass("once", 1.0, 0.0, 1000.0, 5000.0, face.Repeat.ONCE)
+    once = interface.CallClass("once", 1.0, 0.0, 1000.0, 5000.0, interface.Repeat.ONCE)
     gateway = Gateway(classes=(once,))
     (sent,) = set_ups(gateway.call(kind="once"))
     gateway.end_attempt(sent, "timed_out")
     gateway.wait(2000.0)
-    assert answers(gateway, "c1") == [face.Fail("c1")]
+    assert answers(gateway, "c1") == [interface.Fail("c1")]
     (sent,) = set_ups(gateway.call(kind="once"))
     assert set_ups(gateway.end_attempt(sent, "full"))
 
@@ -157,7 +161,7 @@
 
 
 def test_calls_of_an_unknown_class_or_of_one_without_servers_are_answered():
-    unserved = face.CallClass("lonely", 1.0, 0.0, 1000.0, 5000.0, allowed_pools=(9,))
+    unserved = interface.CallClass("lonely", 1.0, 0.0, 1000.0, 5000.0, allowed_pools=(9,))
     gateway = Gateway(classes=(unserved,))
     gateway.call(kind="lonely", valid_for_ms=2000.0)
     gateway.call(kind="never heard of", valid_for_ms=2000.0)
@@ -167,21 +171,21 @@
 
 def test_events_of_unknown_calls_and_servers_are_ignored():
     gateway = Gateway()
-    gateway.give(face.CallerLeft("ghost"))
-    gateway.give(face.CallStands("ghost", "s0", 0, 10.0))
-    gateway.give(face.AttemptEnded("ghost", "nowhere", 3, face.Outcome.CUT, 10.0))
-    gateway.give(face.ServerLooked("nowhere", face.Outcome.SERVED, 0.0, face.Load()))
-    gateway.give(face.TimerDue("ghost"))
-    gateway.give(face.PeerMessage(2, b"hello"))
-    assert not [action for _, action in gateway.log if not isinstance(action, face.SetTimer)]
+    gateway.handle(interface.CallerLeft("ghost"))
+    gateway.handle(interface.CallEstablished("ghost", "s0", 0, 10.0))
+    gateway.handle(interface.AttemptEnded("ghost", "nowhere", 3, interface.Outcome.CUT, 10.0))
+    gateway.handle(interface.LoadReported("nowhere", interface.Outcome.SERVED, 0.0, interface.Load()))
+    gateway.handle(interface.TimerDue("ghost"))
+    gateway.handle(interface.PeerMessage(2, b"hello"))
+    assert not [action for _, action in gateway.log if not isinstance(action, interface.SetTimer)]
 
 
 def test_the_list_subscription_is_renewed_after_a_failure():
     controller = Controller(settings(list_on_request=True), 1)
-    first = controller.handle(0.0, face.ListNews(face.NewsKind.CACHED, (entry("s0", 0),)))
-    assert face.SubscribeList() in first
-    controller.handle(10.0, face.ListNews(face.NewsKind.FAILED))
-    assert face.SubscribeList() in controller.handle(10.0 + INTERVAL_MS, face.TimerDue("list"))
+    first = controller.handle(0.0, interface.ServerListUpdate(interface.UpdateKind.CACHED, (entry("s0", 0),)))
+    assert interface.SubscribeList() in first
+    controller.handle(10.0, interface.ServerListUpdate(interface.UpdateKind.FAILED))
+    assert interface.SubscribeList() in controller.handle(10.0 + INTERVAL_MS, interface.TimerDue("list"))
     assert "s0" in controller.servers
 
 
@@ -206,33 +210,35 @@
 def test_a_busy_number_gets_only_spaced_trial_calls():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call(number_called="n"))
-    gateway.end_attempt(sent, "error", cause=face.Cause.NUMBER_BUSY)
+    gateway.end_attempt(sent, "error", cause=interface.Cause.NUMBER_BUSY)
     trials = 0
     for _ in range(100):
         gateway.wait(100.0)
         for trial in set_ups(gateway.call(number_called="n")):
             trials += 1
-            gateway.end_attempt(trial, "error", cause=face.Cause.NUMBER_BUSY)
+            gateway.end_attempt(trial, "error", cause=interface.Cause.NUMBER_BUSY)
         (other,) = set_ups(gateway.call(number_called="other"))
-        gateway.stands(other, 30.0)
+        gateway.establish(other, 30.0)
     assert 4 <= trials <= 6
     gateway.wait(2000.0)
     (trial,) = set_ups(gateway.call(number_called="n"))
-    gateway.stands(trial, 30.0)
+    gateway.establish(trial, 30.0)
     assert set_ups(gateway.call(number_called="n")) and set_ups(gateway.call(number_called="n"))
 
 
 def test_a_gateway_restarted_among_cold_servers_learns_rates_and_sends_a_little():
     gateway = Gateway(servers=0)
     since = gateway.now - 100.0
-    gateway.give(
-        face.ListNews(face.NewsKind.CACHED, (entry("s0", 0, since=since), entry("s1", 1, since=since)))
+    gateway.handle(
+        interface.ServerListUpdate(
+            interface.UpdateKind.CACHED, (entry("s0", 0, since=since), entry("s1", 1, since=since))
+        )
     )
     sent = 0
     for i in range(50):
         for action in set_ups(gateway.wait(100.0)) + set_ups(gateway.call(to=i % 2)):
             sent += 1
-            gateway.stands(action, 30.0)
+            gateway.establish(action, 30.0)
     # Ten a second are offered for five seconds; the servers could take a fraction of 0.4 to 0.7 of the 50.
     assert 8 <= sent <= 30
 
@@ -243,7 +249,7 @@
     gateway.call()
     gateway.wait(50.0)
     (late,) = set_ups(gateway.call())
-    gateway.end_attempt(late, "full", cause=face.Cause.NO_LINE, taken_ms=20.0)
+    gateway.end_attempt(late, "full", cause=interface.Cause.NO_LINE, elapsed_ms=20.0)
     gateway.wait(1500.0)
     assert gateway.controller.servers["s0"].refusal_probability == 1.0
 
@@ -260,7 +266,7 @@
     members = fleet(200, servers=4, per_s=2.0, seconds=20.0)
     for gateway in members:
         cold = entry("s0", 0, since=gateway.now)
-        gateway.give(face.ListNews(face.NewsKind.CHANGES, (cold,)))
+        gateway.handle(interface.ServerListUpdate(interface.UpdateKind.CHANGES, (cold,)))
     sent = 0
     for gateway in members:  # two seconds, every call names the cold server, as after a mass restart
         for _ in range(8):
@@ -276,7 +282,7 @@
     sent = 0
     for gateway in members:  # all but one server drain at once
         draining = tuple(entry(f"s{i}", i, "draining") for i in range(1, 4))
-        gateway.give(face.ListNews(face.NewsKind.CHANGES, draining))
+        gateway.handle(interface.ServerListUpdate(interface.UpdateKind.CHANGES, draining))
         for i in range(4):
             gateway.wait(250.0)
             sent += len(set_ups(gateway.call(to=1 + i % 3)))
@@ -289,7 +295,7 @@
     trials = 0
     for gateway in members:
         (sent,) = set_ups(gateway.call(to=1, number_called="n"))
-        gateway.end_attempt(sent, "error", cause=face.Cause.NUMBER_BUSY)
+        gateway.end_attempt(sent, "error", cause=interface.Cause.NUMBER_BUSY)
         gateway.wait(2000.0)
         trials += len(set_ups(gateway.call(to=1, number_called="n")))
     # The retry time ends for all gateways at once: without the fraction a hundred trials would be sent.
@@ -308,6 +314,6 @@
                 if action.server == "s0":
                     sent += 1
                 else:
-                    gateway.stands(action, 30.0)
+                    gateway.establish(action, 30.0)
     # Each gateway has a sample of the overload and keeps it for three gaps of two seconds.
     assert sent <= 200
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,8 +12,8 @@
 from leadslip.readiness import Readiness
 from tests.standins import (
     HOST,
-    PATIENCE_S,
     ROOT,
+    TEST_TIMEOUT_S,
     Board,
     Caller,
     Listener,
@@ -45,7 +45,7 @@
 
 
 def set_ups(server):
-    return [call.hex() for kind, call, _ in server.heard if kind == 1]
+    return [call.hex() for kind, call, _ in server.received if kind == 1]
 
 
 def test_no_set_up_is_accepted_after_the_last_answer(start):
@@ -54,15 +54,15 @@
     caller.invite(FIRST, expires=5000)  # longer than the process lives
     wait_for(lambda: set_ups(server) == [FIRST])
     program.process.terminate()
-    assert caller.hear()[0] == "SIP/2.0 500 Server Internal Error"
+    assert caller.receive()[0] == "SIP/2.0 500 Server Internal Error"
     try:
         caller.invite(SECOND, expires=5000, dest=1)
-        assert caller.hear()[0] in ("SIP/2.0 503 Service Unavailable", ""), (
+        assert caller.receive()[0] in ("SIP/2.0 503 Service Unavailable", ""), (
             "refused, or closed before it is read"
         )
     except (ConnectionResetError, BrokenPipeError):
         pass  # the set-up crossed the close
-    assert program.process.wait(PATIENCE_S) == 0
+    assert program.process.wait(TEST_TIMEOUT_S) == 0
     assert set_ups(server) == [FIRST] and set_ups(other) == []
 
 
@@ -73,11 +73,11 @@
     ids = [f"{i:016x}" for i in range(200)]
     for id_ in ids:
         caller.invite(id_, expires=5000)
-    wait_for(lambda: "requests" in program.counts() or server.heard)
+    wait_for(lambda: "requests" in program.counts() or server.received)
     program.process.terminate()
-    assert program.process.wait(PATIENCE_S) == 0
+    assert program.process.wait(TEST_TIMEOUT_S) == 0
     answered = set()
-    while (message := caller.hear())[0]:
+    while (message := caller.receive())[0]:
         if message[0].startswith("SIP/2.0 "):
             answered.add(message[1]["Call-ID"])
     assert answered == set(ids), "each set-up gets one final answer, and the connection ends without a reset"
@@ -94,18 +94,18 @@
     # The reloaded deadlines are longer than those at the first SIGTERM, from which the time of SIGKILL counts.
     assert "reload.taken" in program.reload(board=Board().address, settings=settings())
     program.process.terminate()
-    assert caller.hear()[0] == "SIP/2.0 500 Server Internal Error"
-    assert program.process.wait(PATIENCE_S) == 0
+    assert caller.receive()[0] == "SIP/2.0 500 Server Internal Error"
+    assert program.process.wait(TEST_TIMEOUT_S) == 0
 
 
 def test_the_last_answers_are_due_by_the_shorter_deadline_of_sigterm_and_a_later_reload():
     readiness = Readiness(listening=True)
-    readiness.end(10_000.0, longest_ms=600.0)
-    assert readiness.last_ms(600.0) == readiness.last_ms(9000.0) == 11_100.0
-    assert readiness.last_ms(300.0) == 10_800.0
+    readiness.begin_shutdown(10_000.0, longest_deadline_ms=600.0)
+    assert readiness.answer_by_ms(600.0) == readiness.answer_by_ms(9000.0) == 11_100.0
+    assert readiness.answer_by_ms(300.0) == 10_800.0
     longer = Readiness(listening=True)
-    longer.end(10_000.0, longest_ms=9000.0)
-    assert longer.last_ms(9000.0) == 13_500.0, "at most 3 s of the deadline count"
+    longer.begin_shutdown(10_000.0, longest_deadline_ms=9000.0)
+    assert longer.answer_by_ms(9000.0) == 13_500.0, "at most 3 s of the deadline count"
 
 
 class UnresponsiveBoard(Listener):
@@ -124,8 +124,8 @@
         self.socket.bind((HOST, 0))
         self.socket.listen(0)
         self.address = f"{HOST}:{self.socket.getsockname()[1]}"
-        self.links = [socket.socket() for _ in range(4)]
-        for link in self.links:
+        self.connections = [socket.socket() for _ in range(4)]
+        for link in self.connections:
             link.setblocking(False)
             link.connect_ex(self.socket.getsockname())
 
@@ -134,10 +134,10 @@
 def test_a_drain_does_not_wait_for_an_unresponsive_board_or_a_connect_to_it(start, board):
     unresponsive = board()
     program, _ = start("answer", board=unresponsive.address, settings=settings(services=[SHORT_CLASS]))
-    wait_for(lambda: unresponsive.links)
+    wait_for(lambda: unresponsive.connections)
     caller = Caller(program)
     caller.invite(FIRST)
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
 
 
 def test_sigterm_before_serving_exits_cleanly(tmp_path):
@@ -154,7 +154,7 @@
     # open() returns once the program has opened its end, after installing its signal handlers.
     with open(pipe, "w") as writer:
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE_S) == 0 and process.stderr.read() == ""
+        assert process.wait(TEST_TIMEOUT_S) == 0 and process.stderr.read() == ""
         assert not writer.closed
 
 
@@ -165,12 +165,12 @@
     wait_for(lambda: program.board.polls)
     resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (limit, limit))
     second, third = SetupServer("answer"), SetupServer("answer")
-    for link in program.board.links:
+    for link in program.board.connections:
         link.shutdown(socket.SHUT_RDWR)
     program.board.die()
     idle = []
     for _ in range(3 * limit):
-        idle.append(socket.create_connection(program.listen, timeout=PATIENCE_S))
+        idle.append(socket.create_connection(program.listen, timeout=TEST_TIMEOUT_S))
     used = len(os.listdir(f"/proc/{program.process.pid}/fd"))
     assert used < limit, "descriptors are left while all idle callers are connected"
     moved = Board()
@@ -178,13 +178,13 @@
     assert "reload.taken" in program.reload(board=moved.address), (
         "a descriptor is free to open the configuration file"
     )
-    wait_for(lambda: second.links)
+    wait_for(lambda: second.connections)
     moved.events.append((3, notice(3, ("s2", third.address, "active"))))
-    wait_for(lambda: third.links)
+    wait_for(lambda: third.connections)
     assert program.call("GET", "/control/ready") == (200, b"ready\n")
     caller = Caller(program)
     caller.invite(FIRST)
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
     assert set_ups(first) == [FIRST]
     for link in idle:
         link.close()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -9,14 +9,14 @@
 import apsw
 import pytest
 
-from leadslip.checks import Tally
-from leadslip.logs import silent
+from leadslip.logs import discard
+from leadslip.metrics import Metrics
 from leadslip.store import base
 from leadslip.store.base import Item, Point, Store, StoreError
 from leadslip.store.writer import MAX_PENDING_RECORDS, Batch, Writer
 from leadslip.trunks import record
 from leadslip.trunks.traffic import Interval
-from tests.standins import PATIENCE_S, ROOT, Caller, Program, SetupServer, wait_for
+from tests.standins import ROOT, TEST_TIMEOUT_S, Caller, Program, SetupServer, wait_for
 
 DAY_S = 86_400
 
@@ -42,7 +42,7 @@
     assert [i.key for i in store.items("gaps", 50.0)] == ["a"]
     store.close()
     store = Store(path)
-    assert store.forget_expired(60.0) == 1 and store.delete_before("t", 60, 120) == 1
+    assert store.delete_expired(60.0) == 1 and store.delete_before("t", 60, 120) == 1
     store.write(deleted=[("gaps", "a")])
     assert not list(store.items("gaps", 0.0)) and len(list(store.points("t"))) == 1
     store.close()
@@ -55,7 +55,7 @@
     store.connection.execute("UPDATE state SET until_ms = 9e9 WHERE key = 'x'")
     assert [p.start_s for p in store.points("t")] == [0, 120]
     assert [i.key for i in store.items("gaps", 0.0)] == ["y"]
-    assert store.damaged == ["t north/plain at 60", "gaps x"]
+    assert store.damaged_records == ["t north/plain at 60", "gaps x"]
     store.close()
 
 
@@ -135,9 +135,9 @@
 def test_history_is_rolled_up_as_it_ages_without_losing_calls(path):
     store = Store(path)
     intervals = [interval(i * 60) for i in range(3 * 24 * 60)]
-    store.write([record.point_of(traffic_interval, run=1) for traffic_interval in intervals])
+    store.write([record.to_point(traffic_interval, run=1) for traffic_interval in intervals])
     # A restart in the first quarter hour: another run covers part of a minute.
-    store.write([record.point_of(interval(0, covered_s=20.0), run=2)])
+    store.write([record.to_point(interval(0, covered_s=20.0), run=2)])
 
     def sums():
         recorded = list(record.intervals(store))
@@ -147,21 +147,21 @@
 
     expected = sums()
     now_s = 3 * DAY_S
-    assert record.keep(store, now_s, 1, 2) > 0 and sums() == expected
+    assert record.apply_retention(store, now_s, 1, 2) > 0 and sums() == expected
     spans = {traffic_interval.span_s for traffic_interval in record.intervals(store)}
     assert spans == {60, 900, 3600}
     assert not [p for p in store.points(record.SPACE, 60) if p.start_s < now_s - DAY_S]
-    assert record.keep(store, now_s, 1, 2) == 0 and sums() == expected, (
+    assert record.apply_retention(store, now_s, 1, 2) == 0 and sums() == expected, (
         "applying retention again changes nothing"
     )
     late_interval = interval(30 * 60)  # arrives late, in a span that is already rolled up
-    store.write([record.point_of(late_interval, run=3)])
-    record.keep(store, now_s, 1, 2)
+    store.write([record.to_point(late_interval, run=3)])
+    record.apply_retention(store, now_s, 1, 2)
     assert sums()[0] == expected[0] + 3
     first = next(record.intervals(store))
     assert first.covered_s == 3600.0, "two runs of one minute do not cover more than the minute"
     store.connection.execute("UPDATE series SET value = x'00' WHERE start_s = 0")
-    assert sum(1 for _ in record.intervals(store)) and store.damaged == ["traffic north/plain at 0"]
+    assert sum(1 for _ in record.intervals(store)) and store.damaged_records == ["traffic north/plain at 0"]
     store.close()
 
 
@@ -170,7 +170,7 @@
     store.write([], [Item("gaps", "a", b"1")])
     for i in range(40):
         store.write([point(i * 100 + j, value=bytes(400)) for j in range(100)])
-        store.make_room()
+        store.evict_oldest()
     starts = [p.start_s for p in store.points("t")]
     assert starts[0] > 0 and starts[-1] == 3999 * 60 and len(list(store.items("gaps", 0.0))) == 1
     assert os.path.getsize(path) <= 1 << 20
@@ -194,67 +194,67 @@
     def run(self, until):
         while not until():
             with self.work_added:
-                assert self.work_added.wait_for(lambda: self.work, PATIENCE_S)
+                assert self.work_added.wait_for(lambda: self.work, TEST_TIMEOUT_S)
                 work, self.work = self.work, []
             for function in work:
                 function()
 
 
-def started_writer(path, reactor, tally, log=silent, **options):
-    writer = Writer(lambda: Store(path, **options), reactor.call, tally, log)
+def started_writer(path, reactor, metrics, log=discard, **options):
+    writer = Writer(lambda: Store(path, **options), reactor.call, metrics, log)
     writer.start()
     return writer
 
 
 def test_the_writer_acknowledges_commits_and_drops_records_beyond_the_queue_limit(path):
-    reactor, tally, done = ReactorStandin(), Tally(), []
-    writer = started_writer(path, reactor, tally)
+    reactor, metrics, done = ReactorStandin(), Metrics(), []
+    writer = started_writer(path, reactor, metrics)
     for i in range(50):
         assert writer.put(Batch([point(i)], done=done.append))
     reactor.run(lambda: len(done) == 50)
-    assert all(done) and writer.pending_records == 0 and tally.counts["store.written"] == 50
+    assert all(done) and writer.pending_records == 0 and metrics.counts["store.written"] == 50
     reader = Store(path, read_only=True)
     assert len(list(reader.points("t"))) == 50
     reader.close()
     release_task = threading.Event()
-    writer.put(Batch(task=lambda store: release_task.wait(PATIENCE_S)))
+    writer.put(Batch(task=lambda store: release_task.wait(TEST_TIMEOUT_S)))
     assert writer.put(Batch([point(1)] * (MAX_PENDING_RECORDS - 1)))
     assert not writer.put(Batch([point(1)], done=done.append)) and done[-1] is False
-    assert tally.counts["store.dropped"] == 1
+    assert metrics.counts["store.dropped"] == 1
     release_task.set()
-    assert writer.close(PATIENCE_S) and not writer.put(Batch([point(1)]))
+    assert writer.close(TEST_TIMEOUT_S) and not writer.put(Batch([point(1)]))
 
 
 def test_an_unusable_disk_drops_history_and_logs_each_change_of_state_once(path, tmp_path):
-    reactor, tally, done, events = ReactorStandin(), Tally(), [], []
+    reactor, metrics, done, events = ReactorStandin(), Metrics(), [], []
     os.mkdir(path)  # a folder at the file's path, so nothing can be written
-    writer = started_writer(path, reactor, tally, lambda event, **fields: events.append(event))
+    writer = started_writer(path, reactor, metrics, lambda event, **fields: events.append(event))
     writer.put(Batch([point(1)], done=done.append))
     reactor.run(lambda: done)
-    assert done == [False] and tally.counts["store.dropped"] == 1
+    assert done == [False] and metrics.counts["store.dropped"] == 1
     os.rmdir(path)
     writer.put(Batch([point(2)], done=done.append))
     reactor.run(lambda: len(done) == 2)
     assert done == [False, True] and events == ["store.drops", "store.writes_again"]
-    assert writer.close(PATIENCE_S)
+    assert writer.close(TEST_TIMEOUT_S)
 
 
 def test_a_full_disk_evicts_old_history_and_a_read_only_disk_drops_records(path):
-    reactor, tally, done = ReactorStandin(), Tally(), []
-    writer = started_writer(path, reactor, tally, max_bytes=1 << 20)
+    reactor, metrics, done = ReactorStandin(), Metrics(), []
+    writer = started_writer(path, reactor, metrics, max_bytes=1 << 20)
     for i in range(40):
         writer.put(Batch([point(i * 50 + j, value=bytes(900)) for j in range(50)], done=done.append))
         reactor.run(lambda count=i + 1: len(done) == count)
     assert all(done), "the oldest points are evicted to accept the newest"
-    assert writer.close(PATIENCE_S)
+    assert writer.close(TEST_TIMEOUT_S)
     reactor.run(lambda: True)
     done.clear()
-    writer = Writer(lambda: Store(path, read_only=True), reactor.call, tally, silent)
+    writer = Writer(lambda: Store(path, read_only=True), reactor.call, metrics, discard)
     writer.start()
     writer.put(Batch([point(1)], done=done.append))
     reactor.run(lambda: done)
     assert done == [False]
-    writer.close(PATIENCE_S)
+    writer.close(TEST_TIMEOUT_S)
 
 
 WRITES = """
@@ -282,7 +282,7 @@
             acknowledged = int(line) if line.strip() else acknowledged
         store = Store(path)
         starts = [p.start_s // 60 for p in store.points("t")]
-        assert store.damaged_path is None and not store.damaged
+        assert store.damaged_path is None and not store.damaged_records
         assert starts == list(range(len(starts))) and len(starts) >= acknowledged
         acknowledged = len(starts)
         store.close()
@@ -322,7 +322,7 @@
         caller = Caller(program)
         for i in range(400):
             caller.invite(f"{part:04x}{kill:04x}{i:08x}", dest=0)
-            while not caller.hear()[0].startswith(("BYE", "SIP/2.0 5")):
+            while not caller.receive()[0].startswith(("BYE", "SIP/2.0 5")):
                 pass
             calls += 1
             if stored_intervals(program) and i % 5 == kill % 5:
@@ -331,7 +331,7 @@
                 wait_for(lambda program=program: stored_intervals(program))
         program.process.kill()
         program.process.wait()
-        program.reader.join(PATIENCE_S)
+        program.reader.join(TEST_TIMEOUT_S)
         acknowledged |= stored_intervals(program)
         program.board.die()
     store = Store(str(tmp_path / "leadslip.db"))
@@ -339,7 +339,10 @@
     stored_keys = {(point.run, point.start_s) for point in store.points(record.SPACE)}
     assert len(acknowledged) >= 10 and acknowledged <= stored_keys
     intervals = list(record.intervals(store, group="north"))
-    assert 0 < sum(traffic_interval.attempts for traffic_interval in intervals) <= calls and not store.damaged
+    assert (
+        0 < sum(traffic_interval.attempts for traffic_interval in intervals) <= calls
+        and not store.damaged_records
+    )
     store.close()
 
 
@@ -348,23 +351,23 @@
     program = stored([server], reserve="[group.reserve]\nplain = 49\n")
     caller = Caller(program)
     caller.invite("0" * 15 + "1", "plain")
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
     caller.invite("0" * 15 + "2", "plain")
-    assert caller.hear()[0].startswith("SIP/2.0 503"), "the other 49 are reserved for the urgent class"
+    assert caller.receive()[0].startswith("SIP/2.0 503"), "the other 49 are reserved for the urgent class"
     caller.invite("0" * 15 + "3", "urgent")
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
     (tmp_path / "trunks.toml").write_text(
         'enabled = true\ninterval_s = 1\n[[group]]\nname = "north"\ndestinations = [0]\ntrunks = 50\n'
         "[group.reserve]\nplain = 47\n"
     )
     assert "reload.taken" in program.reload()
     caller.invite("0" * 15 + "4", "plain")
-    assert caller.hear()[0] == "SIP/2.0 200 OK"
+    assert caller.receive()[0] == "SIP/2.0 200 OK"
     (tmp_path / "trunks.toml").write_text("enabled = true\ninterval_s = 7\n")
     assert "trunks.interval_s must divide 900" in program.reload()
     server.release_all()
     for _ in range(3):
-        assert caller.hear()[0].startswith("BYE ")
+        assert caller.receive()[0].startswith("BYE ")
     assert program.stop() == 0
     assert program.counts()["filters.reservation.refused"] == 1
     store = Store(str(tmp_path / "leadslip.db"), read_only=True)
--- a/tests/test_trunk_server.py
+++ b/tests/test_trunk_server.py
@@ -40,8 +40,8 @@
         step_s = end_s if observer is None else min(end_s, observer.due_ms() / 1000.0)
         world.run(step_s)
         if observer is not None:
-            observer.roll(world.now_ms())
-    assert not [name for name in engine.tally.counts if name.startswith("broken")]
+            observer.finish_intervals(world.now_ms())
+    assert not [name for name in engine.metrics.counts if name.startswith("broken")]
     return callers, trunks, fmean(callers.log[len(callers.log) // 4 :])
 
 
@@ -111,12 +111,12 @@
     for _ in range(events):
         if rng.random() * (load + len(established)) >= load:
             server.release(established.pop(rng.randrange(len(established))))
-            assert caller.hear()[0].startswith("BYE ")
+            assert caller.receive()[0].startswith("BYE ")
             continue
         attempts += 1
         call_id = f"{attempts:016x}"
         caller.invite(call_id, "urgent")
-        status = caller.hear()[0]
+        status = caller.receive()[0]
         if status == "SIP/2.0 200 OK":
             established.append(call_id)
         else:
--- a/tests/test_trunks.py
+++ b/tests/test_trunks.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from leadslip import interface as face
-from leadslip.checks import Tally
+from leadslip import interface
 from leadslip.filters import Chain
-from leadslip.logs import silent
+from leadslip.logs import discard
+from leadslip.metrics import Metrics
 from leadslip.parts.trunks.settings import TrunkGroup
 from leadslip.trunks import busyhour, losses, plan, sizing
 from leadslip.trunks.reservation import Reservation, recommended_levels
@@ -21,15 +21,15 @@
 
 def request(destination=0, kind="plain", number="1", redialled=False, lines=1.0):
     fake = SimpleNamespace(destination=destination, call_class=kind, number=number, redialled=redialled)
-    fake.lines, fake.passed, fake.valid_until_ms = lines, (), math.inf
+    fake.lines, fake.admitted_by, fake.valid_until_ms = lines, (), math.inf
     return fake
 
 
 def call(traffic, offered_request, from_ms, to_ms):
     traffic.request_answered(offered_request, "stands", T0 + from_ms)
     return lambda: traffic.attempt_ended(
-        SimpleNamespace(request=offered_request, stands=True, sent_ms=T0 + from_ms),
-        face.Outcome.SERVED,
+        SimpleNamespace(request=offered_request, established=True, sent_ms=T0 + from_ms),
+        interface.Outcome.SERVED,
         T0 + to_ms,
     )
 
@@ -47,10 +47,10 @@
     traffic, intervals, _ = measured_traffic()
     first = call(traffic, request(0), 30_000, 90_000)
     second = call(traffic, request(1), 45_000, 61_000)
-    traffic.roll(T0 + 60_000)
+    traffic.finish_intervals(T0 + 60_000)
     second()
     first()
-    traffic.roll(T0 + 120_000)
+    traffic.finish_intervals(T0 + 120_000)
     (first_interval, second_interval) = intervals
     assert (
         first_interval.group,
@@ -72,12 +72,12 @@
 def test_a_late_roll_splits_carried_load_by_interval_and_a_clock_jump_is_a_gap():
     traffic, intervals, gaps = measured_traffic()
     call(traffic, request(), 0, 0)
-    traffic.roll(T0 + 150_000)
+    traffic.finish_intervals(T0 + 150_000)
     assert [interval.erlangs for interval in intervals] == [1.0, 1.0] and not gaps
-    traffic.roll(T0 + 90_000)  # the clock goes back
-    traffic.roll(T0 + 3_600_000)
+    traffic.finish_intervals(T0 + 90_000)  # the clock goes back
+    traffic.finish_intervals(T0 + 3_600_000)
     assert [round(end - start) for start, end in gaps] == [3_600_000 - 120_001]
-    traffic.roll(T0 + 3_660_000)
+    traffic.finish_intervals(T0 + 3_660_000)
     assert intervals[-1].erlangs == 1.0 and intervals[-1].covered_s == 60.0
     hours = aggregate(intervals, 3600)
     assert hours[0].covered_s < 121.0, "the gap does not count as covered time"
@@ -85,13 +85,13 @@
 
 def test_unknown_calls_are_ignored_and_cells_of_destinations_are_bounded():
     traffic, intervals, _ = measured_traffic()
-    attempt = SimpleNamespace(request=request(9), stands=True, sent_ms=T0)
-    traffic.attempt_ended(attempt, face.Outcome.CUT, T0 + 5.0)
-    traffic.attempt_ended(SimpleNamespace(stands=False), face.Outcome.CUT, T0 + 5.0)
+    attempt = SimpleNamespace(request=request(9), established=True, sent_ms=T0)
+    traffic.attempt_ended(attempt, interface.Outcome.CUT, T0 + 5.0)
+    traffic.attempt_ended(SimpleNamespace(established=False), interface.Outcome.CUT, T0 + 5.0)
     for i in range(3 * MAX_CELLS):
         traffic.request_answered(request(1000 + i), "refused", T0 + 6.0)
     assert len(traffic.cells) <= MAX_CELLS + 1 and len(traffic.by_destination) <= 2 * MAX_CELLS
-    traffic.roll(T0 + 60_000)
+    traffic.finish_intervals(T0 + 60_000)
     assert sum(interval.refused for interval in intervals) == 3 * MAX_CELLS
 
 
@@ -247,9 +247,9 @@
 
 
 def test_the_reserve_refuses_residents_but_not_officers():
-    tally = Tally()
+    metrics = Metrics()
     reservation = Reservation((NORTH,))
-    chain = Chain(tally, silent, [reservation])
+    chain = Chain(metrics, discard, [reservation])
     admitted = [request(0, "resident") for _ in range(2)]
     assert [chain.admit(offered, T0) for offered in admitted] == [None, None]
     assert chain.admit(request(1, "resident"), T0) is not None, "two trunks are free, and both are reserved"
@@ -257,8 +257,8 @@
     assert [chain.admit(offered, T0) for offered in officers] == [None, None]
     assert chain.admit(request(1, "officer"), T0) is not None and reservation.free("north") == 0.0
     assert chain.admit(request(5, "resident"), T0) is None, "its destination is in no group"
-    assert tally.counts["filters.reservation.refused"] == 2
-    chain.stood(admitted[0], T0 + 50)
+    assert metrics.counts["filters.reservation.refused"] == 2
+    chain.established(admitted[0], T0 + 50)
     chain.ended(admitted[0], T0 + 8050.0)
     chain.ended(admitted[1], T0 + 60.0)
     chain.ended(admitted[1], T0 + 60.0)
@@ -269,7 +269,7 @@
 
 def test_a_reload_keeps_established_calls_when_a_group_shrinks():
     before = Reservation((NORTH,))
-    chain = Chain(Tally(), silent, [before])
+    chain = Chain(Metrics(), discard, [before])
     calls = [request(0, "officer") for _ in range(4)]
     for established_call in calls:
         assert chain.admit(established_call, T0) is None
