--- a/leadslip/choice.py
+++ b/leadslip/choice.py
@@ -21,12 +21,12 @@
 STALE_INTERVALS = 2  # intervals after which a load value that was not renewed counts as 0
 BASELINE_SLOT_MS = 10_000.0  # time slot of the baseline delay; long, so that a minute takes few values
 BASELINE_SLOTS = 6  # slots kept: one minute in all
-BURST_FACTOR = 1.7  # multiple of the calm rate that is sent to an overloaded server
-BURST_DEPTH_MS = 1000.0  # of the limited rate that may be sent at once: few calls bunch by mere chance
+BURST_FACTOR = 1.7  # multiple of the calm rate to which a warm server's calls are limited, unless exempt
+BURST_DEPTH_MS = 1000.0  # token bucket depth, as time at the rate limit; calls bunch by chance
 CALM_RATE_WINDOW_MS = 10_000.0  # over which the calm rate is learned: some tens of calls at small sites
 OVERLOADED_WEIGHT = 0.2  # of overloaded intervals in the calm rate: it outlasts bursts but follows a change
 BUSY_RETRY_MS = 2000.0  # between trial calls to a number whose lines are all busy: a part of a usual call
-COLD_MARGIN = 0.5  # part of the multiple that would overload a cold server; leaves room for chance
+COLD_MARGIN = 0.5  # fraction of push_multiple, which overloads a cold server; leaves room for chance
 MIX_WINDOW_CALLS = 200.0  # over which worths and tenants' fractions are learned: some tens of seconds
 FAIR_FRACTION = 0.33  # of the mean calm rate that a server gets although few calls name it
 RATE_KNOWN_MS = 2000.0  # after which the calm rate counts as known: a few intervals
@@ -34,7 +34,7 @@
 UTILISATION_THRESHOLDS = (0.85, 1.0)  # minor and major of reported utilisation: where queues begin and end
 QUEUE_THRESHOLDS = (8.0, 32.0)  # minor and major of reported queues, in set-ups; same ratio as the delays
 RESERVATION_MS = 20.0  # of all gateways' calm rate, reserved as lines for worthier calls: age of a report
-UNANSWERED_WINDOW_MS = 400.0  # of the calm rate that may be unanswered; in the middle of the curve
+UNANSWERED_WINDOW_MS = 400.0  # of the calm rate that may be unanswered; between minor and major delay
 URGENT_WORTH_RATIO = 3.0  # a class worth this many times the least is urgent: well above mere preference
 BUSY_TRIAL_FRACTION = 0.2  # of the calls to a busy number that may be sent as a trial
 SAMPLE_LIFETIME_GAPS = 3.0  # mean gaps between set-ups for which a load value counts; outlasts an overload
@@ -234,7 +234,8 @@
         self.recent_losses *= 1.0 - INTERVAL_MS / CALM_RATE_WINDOW_MS
         for server in self.servers.values():
             # A silent server yields no sample. The age of its oldest unanswered set-up is a lower bound of
-            # its delay, in a crash, a hang and slowness alike. One overtaken by a later set-up is lost.
+            # its delay, in a crash, a hang and slowness alike. A set-up sent before one that was already
+            # established counts as lost.
             oldest = min(self._pending_send_times(server, now_ms), default=now_ms)
             age = self._above_baseline(now_ms, server, now_ms - oldest)
             if age > MINOR_MS and age > server.sample:
@@ -308,23 +309,23 @@
         if call.server is not None or call.established or now_ms < call.retry_at_ms:
             return
         timeout_at_ms = call.offered.valid_until_ms - 2 * self.settings.tick_ms
-        unsafe = call.may_have_run and call.call_class.repeat is not interface.Repeat.FREE
+        repeat_unsafe = call.may_have_run and call.call_class.repeat is not interface.Repeat.FREE
         # While all lines of a number are busy, calls to it only cost work. Refusing them keeps one number
         # from taking the servers' capacity; it may harm a number that becomes free quickly.
         if now_ms < self.busy_numbers.get(call.offered.number_called, 0.0):
-            self._answer(call, failed=unsafe, busy=True)
+            self._answer_caller(call, failed=repeat_unsafe, busy=True)
             return
         call.uniform = self.rng.random()
         if call.offered.number_called in self.busy_numbers:
             if call.uniform >= BUSY_TRIAL_FRACTION:
-                self._answer(call, failed=unsafe, busy=True)
+                self._answer_caller(call, failed=repeat_unsafe, busy=True)
                 return
             self.busy_numbers[call.offered.number_called] = now_ms + BUSY_RETRY_MS
         server = None
         if call.attempts < call.max_attempts and now_ms < timeout_at_ms:
             server = self._choose_server(now_ms, call)
-        if server is None or unsafe or self._refuses(now_ms, call, server):
-            self._answer(call, failed=unsafe)
+        if server is None or repeat_unsafe or self._refuses(now_ms, call, server):
+            self._answer_caller(call, failed=repeat_unsafe)
             return
         call.server = server
         call.attempts += 1
@@ -417,7 +418,10 @@
         return min(limit * BURST_DEPTH_MS, server.tokens + limit * (now_ms - server.refilled_ms))
 
     def _exempt(self, now_ms: float, call: _Call, server: _Server) -> bool:
-        """Whether a warm server takes urgent calls, or if calm those that name it, beyond the rate limit."""
+        """Whether a call is exempt from the rate limit: urgent, or naming this server while it is calm.
+
+        So are all calls until RATE_KNOWN_CALLS have been learned from; none is at a cold server.
+        """
         # Calls of another first choice are limited: when a large server drains or falls silent, they would
         # overload the small ones before their delays show it. It may harm where a server could take more
         # than this for long.
@@ -436,6 +440,7 @@
         return self.settings.cold_fraction + (1.0 - self.settings.cold_fraction) * progress
 
     def _choose_server(self, now_ms: float, call: _Call) -> _Server | None:
+        """Returns the calm first choice, else the less loaded of two eligible servers drawn at random."""
         eligible = [server for server in self.servers.values() if self._eligible(now_ms, call, server)]
         for server in eligible:
             if (
@@ -486,12 +491,12 @@
             server.free_lines = 0.0 if server.free_lines is not None else None
         if event.cause is interface.Cause.NUMBER_BUSY:
             self.busy_numbers[call.offered.number_called] = now_ms + BUSY_RETRY_MS
-            self._answer(call, failed=call.call_class.repeat is not interface.Repeat.FREE, busy=True)
+            self._answer_caller(call, failed=call.call_class.repeat is not interface.Repeat.FREE, busy=True)
             return
         if outcome in (interface.Outcome.TIMED_OUT, interface.Outcome.CUT, interface.Outcome.WITHDRAWN):
             call.retry_at_ms = now_ms + self.settings.release_wait_ms + self.settings.tick_ms
             if call.retry_at_ms >= call.offered.valid_until_ms - 2 * self.settings.tick_ms:
-                self._answer(call, failed=True)
+                self._answer_caller(call, failed=True)
             else:
                 self.actions.append(interface.SetTimer(call.retry_at_ms - now_ms, event.call))
             return
@@ -514,7 +519,7 @@
             self._record_sample(now_ms, server, MAJOR_MS)
             server.refusal_probability = 1.0
 
-    def _answer(self, call: _Call, failed: bool, busy: bool = False) -> None:
+    def _answer_caller(self, call: _Call, failed: bool, busy: bool = False) -> None:
         name, settings = call.offered.call, self.settings
         pause_ms = settings.max_pause_ms if busy and settings.callers_obey_pause else 0.0
         self.actions.append(interface.Fail(name) if failed else interface.Refuse(name, pause_ms))
--- a/leadslip/configure.py
+++ b/leadslip/configure.py
@@ -46,7 +46,7 @@
 
 
 def known_state_of(servers: object) -> dict:
-    """The servers of an application, in the form of a snapshot from the notice board."""
+    """Returns the servers of an application in the form of a snapshot from the notice board."""
     if not isinstance(servers, list):
         raise MalformedError("servers must be a list")
     targets = []
@@ -91,14 +91,14 @@
                 context.settings[part] = parts.settings_class(part).settings(merged.get(part, {}), context)
         except MalformedError as error:
             raise error.with_prefix(f"{path} ({name}): ") from error
-        exclusive = [("listen", conf.listen)]
+        exclusive_values = [("listen", conf.listen)]
         for part, part_settings in context.settings.items():
-            exclusive += (
+            exclusive_values += (
                 parts.settings_class(part).exclusive_values(part_settings)
                 if part_settings is not None
                 else ()
             )
-        for key, value in exclusive:
+        for key, value in exclusive_values:
             if value in owners:
                 value_text = "{}:{}".format(*value) if isinstance(value, tuple) else value
                 raise TakenError(f"{path}.{key} is taken by {owners[value]}: {value_text}")
@@ -143,9 +143,8 @@
     if name.endswith(".json"):
         config.config_of(config.read_json(path, "file"))
     elif name.endswith(".toml") and name[:-5] in parts.NAMES:
-        context = parts.SettingsContext(
-            settings=dict.fromkeys(parts.NAMES, True)
-        )  # which other parts are on is unknown here
+        # Which other parts are on is unknown here, so all are taken to be.
+        context = parts.SettingsContext(settings=dict.fromkeys(parts.NAMES, True))
         parts.settings_class(name[:-5]).settings(read_toml(path), context)
     else:
         applications_of(read_toml(path))
--- a/leadslip/drill/run.py
+++ b/leadslip/drill/run.py
@@ -113,7 +113,7 @@
         self.ip, self.relay_ip = f"{drill.prefix}.{10 + number}", f"{drill.prefix}.{120 + number}"
         self.starts = 0
         self.running: list[asyncio.subprocess.Process] = []  # oldest first
-        self.ops: dict[int, int] = {}  # process id -> port of its operators' interface
+        self.ops_ports: dict[int, int] = {}  # process id -> port of its operators' interface
         self.clocks: Clocks | None = None
         self.stall_cycle: asyncio.Task | None = None  # alternates SIGSTOP and SIGCONT
         self.saved_limits: dict[int, tuple[int, int]] = {}  # process id -> its former limits on descriptors
@@ -124,9 +124,9 @@
         drill, start_name = self.drill, f"{self.name}-{self.starts}"
         folder = drill.folder / start_name
         folder.mkdir()
-        ops = OPS_PORT + self.starts % 1000
+        ops_port = OPS_PORT + self.starts % 1000
         config = configuration(drill.toy_ports[0], drill.toy_ports[1], 0)
-        config |= {"name": self.name, "listen": f"{self.ip}:{SIP_PORT}", "ops": f"{self.ip}:{ops}"}
+        config |= {"name": self.name, "listen": f"{self.ip}:{SIP_PORT}", "ops": f"{self.ip}:{ops_port}"}
         config["limits"] = {"sockets": 256}
         (folder / "config.json").write_text(json.dumps(config))
         port = PORT + (self.starts % 1000 if beside else 0)
@@ -168,7 +168,7 @@
                 sys.executable, "-m", *program, stdout=log, stderr=log, env=environment, cwd=folder
             )
         self.running.append(process)
-        self.ops[process.pid] = ops
+        self.ops_ports[process.pid] = ops_port
         drill.record_fault("started", [start_name], pid=process.pid)
         history = drill.folder / f"{start_name}.jsonl"
         return drill.watch_join(f"start{' beside' if beside else ''}, done", self.name, process, history)
@@ -194,7 +194,7 @@
         if not self.running:
             return 0, b""
         try:
-            reader, writer = await asyncio.open_connection(self.ip, self.ops[self.running[-1].pid])
+            reader, writer = await asyncio.open_connection(self.ip, self.ops_ports[self.running[-1].pid])
             head = b"%s /control/%s HTTP/1.1\r\nHost: drill\r\nContent-Length: %d\r\n\r\n"
             writer.write(head % (method, path, len(body)) + body)
             answer = await asyncio.wait_for(reader.read(), 5.0)
@@ -288,7 +288,7 @@
         self.link_faults = LinkFaults(seed)
         self.prefix, self.reservation = reserve_network()
         self.toy_ports: tuple[int, int] = (0, 0)
-        self.pending: set[asyncio.Task] = set()  # starts and ends still in progress
+        self.pending_tasks: set[asyncio.Task] = set()  # starts and ends of processes still in progress
 
     def record_fault(self, do: str, who: list[str] | tuple[str, ...] = (), **more: object) -> None:
         """Add to the fault record, with the times of both clocks."""
@@ -316,7 +316,7 @@
                 relay = Relay(self.link_faults, process.name, process.relay_ip, process.ip, name_of)
                 await relay.start()
                 relays.append(relay)
-            self.pending |= set(
+            self.pending_tasks |= set(
                 await asyncio.gather(*(process.start() for process in self.processes.values()))
             )
             if not await self.converged(READY_S):
@@ -339,9 +339,9 @@
             for task in tasks:
                 task.cancel()
             if changer is not None:
-                await self.read_settings(changer, scenario.settle_s)
+                await self.collect_settings(changer, scenario.settle_s)
             if scenario.replicas:
-                await self.read_replicas(callers, scenario.settle_s)
+                await self.collect_replicas(callers, scenario.settle_s)
             await asyncio.sleep(REQUEST_VALID_MS / 1000.0 + 0.2)  # the last calls have been answered by then
         finally:
             tasks += [
@@ -365,9 +365,9 @@
         """Send an operator's request to a process by name."""
         return await self.processes[name].operator_request(method, path, body)
 
-    async def read_settings(self, changer: Changer, most_s: float) -> None:
-        """Write the settings that the running processes report, once they apply one agreed revision or time is up."""
-        deadline = time.monotonic() + most_s
+    async def collect_settings(self, changer: Changer, timeout_s: float) -> None:
+        """Write the settings that the running processes report, once they apply one revision or at the time-out."""
+        deadline = time.monotonic() + timeout_s
         while True:
             alive = [process for process in self.processes.values() if process.running]
             statuses = {}
@@ -385,9 +385,9 @@
             await asyncio.sleep(0.1)
         (self.folder / "settings.json").write_text(json.dumps({"held": statuses, "changes": changer.changes}))
 
-    async def read_replicas(self, callers: list[Caller], most_s: float) -> None:
+    async def collect_replicas(self, callers: list[Caller], timeout_s: float) -> None:
         """Write the reported replicas, once equal or after the wait, and the answers to releases at other processes."""
-        deadline = time.monotonic() + most_s
+        deadline = time.monotonic() + timeout_s
         while True:
             alive = [process for process in self.processes.values() if process.running]
             statuses = {}
@@ -433,8 +433,8 @@
         for act in self.acts:
             await asyncio.sleep(max(0.0, began_s + act.at_s - time.monotonic()))
             await self.execute(act)
-        if self.pending:
-            await asyncio.gather(*self.pending)
+        if self.pending_tasks:
+            await asyncio.gather(*self.pending_tasks)
 
     async def execute(self, act: ScheduledAction) -> None:
         """Carry out one action of the schedule, and record it."""
@@ -450,12 +450,12 @@
         self.record_fault(act.do, act.who)
         for process in processes:
             if act.do in ("start", "start beside"):
-                self.pending.add(await process.start(beside=act.do == "start beside"))
+                self.pending_tasks.add(await process.start(beside=act.do == "start beside"))
             elif act.do == "kill":
                 await process.kill()
             elif act.do in ("end", "end the older"):
                 if len(process.running) > (act.do == "end the older"):
-                    self.pending.add(asyncio.create_task(process.end(0)))
+                    self.pending_tasks.add(asyncio.create_task(process.end(0)))
             elif process.running:
                 await self.apply_to_running(process, act)
         if act.do == "go on":
@@ -464,7 +464,7 @@
     def watch_join(
         self, do: str, name: str, process: asyncio.subprocess.Process, history: Path
     ) -> asyncio.Task:
-        """Record when a started process has joined, so that the machine's start-up time is not judged."""
+        """Record when a started process has joined, so that the checker does not judge its start-up time."""
 
         async def wait() -> None:
             deadline = time.monotonic() + READY_S
@@ -496,9 +496,9 @@
         elif act.do in ("out of service", "in service"):
             await process.operator_request_body(b"PUT", act.do.replace(" ", "-").encode())
 
-    async def converged(self, most_s: float) -> bool:
-        """Whether, within `most_s`, all running processes report one view that lists exactly the running processes."""
-        deadline = time.monotonic() + most_s
+    async def converged(self, timeout_s: float) -> bool:
+        """Whether, within `timeout_s`, all running processes report the same view, which lists exactly them."""
+        deadline = time.monotonic() + timeout_s
         while True:
             alive = [process for process in self.processes.values() if process.running]
             views = await asyncio.gather(*(process.view() for process in alive))
--- a/leadslip/fleet/agreement/documents.py
+++ b/leadslip/fleet/agreement/documents.py
@@ -36,7 +36,7 @@
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Base of all documents: unknown keys are refused."""
+    """Base of all documents: unknown JSON keys are refused."""
 
 
 class Bars(Strict):
@@ -268,7 +268,9 @@
         if len(self.history) > MAX_HISTORY:
             self.history = self.history[-MAX_HISTORY:]
             used = {body_hash for revision in self.history for body_hash in revision.hashes.values()}
-            self.bodies_by_hash = {key: body for key, body in self.bodies_by_hash.items() if key in used}
+            self.bodies_by_hash = {
+                body_hash: body for body_hash, body in self.bodies_by_hash.items() if body_hash in used
+            }
         return self._record_result(proposal.id, ChangeResult(self.revision))
 
     def _record_result(self, id_: str, result: ChangeResult) -> ChangeResult:
@@ -282,15 +284,15 @@
         revision = next((revision for revision in self.history if revision.number == number), None)
         if revision is None:
             return None
-        return {name: self.bodies_by_hash[key] for name, key in revision.hashes.items()}
+        return {name: self.bodies_by_hash[body_hash] for name, body_hash in revision.hashes.items()}
 
     def rollback(self, number: int, id_: str, author: str, reason: str, unix_ms: float) -> Proposal:
         """Returns the change that restores all documents of a revision. Raises RefusedError: not in the history."""
         restored = self.bodies_at(number)
         if restored is None:
             raise RefusedError(f"revision {number} is not in the history of the last {MAX_HISTORY}")
-        targets = dict.fromkeys(self.bodies, b"") | restored
-        bodies = {name: body for name, body in targets.items() if self.bodies.get(name) != body}
+        target_bodies = dict.fromkeys(self.bodies, b"") | restored
+        bodies = {name: body for name, body in target_bodies.items() if self.bodies.get(name) != body}
         return Proposal(id_, self.revision, bodies, author, reason, unix_ms)
 
     def dump(self) -> bytes:
@@ -303,7 +305,7 @@
         """Restores what `dump` returned; empty data gives the initial state."""
         documents = cls()
         if data:
-            shape = tuple[
+            state_type = tuple[
                 int,
                 dict[str, bytes],
                 dict[str, int],
@@ -311,7 +313,7 @@
                 dict[str, bytes],
                 dict[str, ChangeResult],
             ]
-            state = msgspec.msgpack.decode(data, type=shape)
+            state = msgspec.msgpack.decode(data, type=state_type)
             (
                 documents.revision,
                 documents.bodies,
--- a/leadslip/lab/simulation.py
+++ b/leadslip/lab/simulation.py
@@ -23,7 +23,7 @@
 from leadslip.lab.fleet import Fleet, Host
 
 PORT = 7946
-SAMPLE_MS = 500.0
+SAMPLE_MS = 500.0  # between two samples of the traffic
 
 
 class Simulation:
@@ -45,7 +45,7 @@
         self.faults: list[dict] = []
         self.traffic: list[tuple[float, float]] = []  # start of the sample in ms, bytes per member and second
         self.starts: dict[str, int] = {}
-        self.older_hosts: dict[str, Host] = {}
+        self.older_hosts: dict[str, Host] = {}  # name -> process that a newer one runs beside
 
     def record_fault(self, do: str, who: tuple[str, ...] = (), **more: object) -> None:
         """Add to the fault record, as leadslip/drill/run.py does."""
--- a/leadslip/parts/fleet/settings.py
+++ b/leadslip/parts/fleet/settings.py
@@ -17,18 +17,18 @@
 )
 from leadslip.parts import PartSettings, SettingsContext
 
-KEYS = {"most_members": (1024, 1, 4096)}  # key -> (default, minimum, maximum)
+KEYS = {"most_members": (1024, 1, 4096)}  # numeric settings key -> (default, minimum, maximum)
 MAX_ZONE_CHARS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """Checked settings: listening and advertised addresses, seeds to contact first, and the keys of messages."""
+    """Checked settings: listening and advertised addresses, seeds to contact first, and signing keys."""
 
     listen: Address
     advertise: Address
     seeds: tuple[Address, ...]
-    keys: tuple[bytes, ...]  # the first signs, all are accepted
+    keys: tuple[bytes, ...]  # messages are signed with the first; signatures by any are accepted
     zone: str
     most_members: int
     history: str = ""  # file to which a fault-injection run has this member write its history
@@ -58,7 +58,7 @@
 
 
 def read_keys(path: str) -> tuple[bytes, ...]:
-    """Reads keys from a file, one per line in hex, 16 to 64 bytes each; lines that begin with # are ignored."""
+    """Reads signing keys from a file, one per line in hex, 16 to 64 bytes each; lines that begin with # are ignored."""
     try:
         with open(path, encoding="ascii") as file:
             lines = [line.strip() for line in file]
