--- a/tests/standins.py
+++ b/tests/standins.py
@@ -412,3 +412,17 @@
             name, _, value = line.partition(": ")
             headers[name] = value
         return start, headers, self.file.read(int(headers.get("Content-Length", 0)))
+
+
+class Stopped:
+    """Stops the process with SIGSTOP in the context; data sent to it meanwhile stays unread in its sockets."""
+
+    def __init__(self, program):
+        self.pid = program.process.pid
+
+    def __enter__(self):
+        os.kill(self.pid, signal.SIGSTOP)
+        wait_for(lambda: Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()[0] == "T")
+
+    def __exit__(self, *_):
+        os.kill(self.pid, signal.SIGCONT)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,15 +1,12 @@
 """Message races over sockets: the process is stopped while messages are sent to it in order, all still unread."""
 
-import os
-import signal
 import socket
 import struct
 import time
-from pathlib import Path
 
 import pytest
 
-from tests.standins import Caller, Program, SetupServer, binary, settings, wait_for
+from tests.standins import Caller, Program, SetupServer, Stopped, binary, settings, wait_for
 from tests.test_program import FIRST, LONG, SECOND
 
 FULL = ((61, b"\x22"), (47, b"overload"))
@@ -32,20 +29,6 @@
         assert not [name for name in program.counts() if name.startswith("broken")]
 
 
-class Stopped:
-    """Stops the process with SIGSTOP in the context; data sent to it meanwhile stays unread in its sockets."""
-
-    def __init__(self, program):
-        self.pid = program.process.pid
-
-    def __enter__(self):
-        os.kill(self.pid, signal.SIGSTOP)
-        wait_for(lambda: Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()[0] == "T")
-
-    def __exit__(self, *_):
-        os.kill(self.pid, signal.SIGCONT)
-
-
 def set_ups(server):
     return [call.hex() for kind, call, _ in server.received if kind == 1]
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -19,7 +19,7 @@
 from leadslip.drill.scenario import Fault, Scenario, ScheduledAction
 from leadslip.parts import SettingsContext
 from leadslip.parts.fleet import settings as fleet_settings
-from tests.standins import HOST, ROOT, Program
+from tests.standins import HOST, ROOT, Program, Stopped
 
 TIMEOUT_S = 60.0
 
@@ -44,10 +44,13 @@
 def test_a_proxy_with_the_fleet_off_opens_no_udp_socket(tmp_path):
     program = Program(tmp_path, {"s0": f"{HOST}:9"}, ops=f"{HOST}:0")
     try:
-        pid = program.process.pid
-        with open(f"/proc/{pid}/net/udp") as file:
-            inodes = {line.split()[9] for line in file.readlines()[1:]}
-        open_files = {os.readlink(f"/proc/{pid}/fd/{fd}") for fd in os.listdir(f"/proc/{pid}/fd")}
+        with Stopped(program):  # a running process may close a file between its listing and its reading
+            pid = program.process.pid
+            inodes = set()
+            for table in ("udp", "udp6"):
+                with open(f"/proc/{pid}/net/{table}") as file:
+                    inodes |= {line.split()[9] for line in file.readlines()[1:]}
+            open_files = {os.readlink(f"/proc/{pid}/fd/{fd}") for fd in os.listdir(f"/proc/{pid}/fd")}
         assert not {f"socket:[{inode}]" for inode in inodes} & open_files, "no UDP socket is open"
         assert program.call("GET", "/control/fleet")[0] == 404
     finally:
