--- a/leadslip/fleet/agreement/documents.py
+++ b/leadslip/fleet/agreement/documents.py
@@ -1,16 +1,16 @@
 """The agreed documents (settings and lists), changed together in revisions: the state machine of the Raft log.
 
-Performs no I/O. Applying the same log gives the same state at every proxy. A change names the revision that its author
-had read and is applied only if none of its documents has changed since (compare and set); it may change several
-documents in one revision. It has an id, so that a change sent again is applied once.
+Performs no I/O. Applying the same log gives the same state at every proxy. A change may replace or delete several
+documents in one revision. It names the revision that its author had read, and is applied only if none of its documents
+has changed since (compare and set). It has an id, so that a change that is sent again is applied only once.
 
-Each document is validated against its schema before it is proposed. Applying a committed change never fails on a
-schema, as proxies of other versions might judge otherwise: a proxy that can't read the agreed documents applies the
-fallback rules.
+A change is validated before it is proposed. A committed change is applied without validation, as proxies of different
+versions could disagree on its result and their states would diverge. A proxy that can't parse a document of the
+current revision applies the fallback rules.
 
-The fallback rules apply where the agreed documents are no longer known to be fresh (freshness.py). They are a document
-themselves, `isolated`, and at least as strict as any revision: a call that they admit is refused by no revision. A
-change that is stricter than they are is refused when proposed, and the refusal names the rule.
+The fallback rules are also applied by a proxy whose revision is no longer known to be fresh (freshness.py). They are a
+document themselves, `isolated`, and at least as strict as every revision: no revision refuses a call that they admit.
+A proposed change that is stricter than they are is refused with an error that names the rule.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from leadslip.errors import OperatorError
 
 MAX_DOCUMENT_BYTES = 256 * 1024
-MAX_HISTORY = 200  # revisions that are retained, each with the documents then in effect
-MAX_RESULTS = 1000  # changes whose ids and results are retained
+MAX_HISTORY = 200  # revisions that are retained, each with its documents, so that it can be restored
+MAX_RESULTS = 1000  # changes whose ids and results are retained to recognize a change that is sent again
 MAX_TEXT_LENGTH = 200  # characters of an author, a reason or an id
 
 
@@ -35,31 +35,31 @@
     action = "Change the document to comply with the rule named, and propose it again."
 
 
-class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Base of all documents: unknown JSON keys are refused."""
+class Document(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+    """Base of the documents' schemas; JSON keys that a schema does not have are refused."""
 
 
-class Bars(Strict):
-    """Barred calls: called numbers with one of these prefixes, and these destinations."""
+class BarredCalls(Document):
+    """Document `bars`: calls to numbers with one of these prefixes and to these destinations are refused."""
 
     prefixes: list[str] = []
     destinations: list[int] = []
 
 
-class Held(Strict):
-    """Setup servers that operators have taken out of rotation; they get no new set-up."""
+class DrainedServers(Document):
+    """Document `held`: setup servers that operators have taken out of rotation; they get no new set-ups."""
 
     servers: list[str] = []
 
 
-class Reserve(Strict):
-    """Number of lines reserved for the first class, by trunk group."""
+class ReservedLines(Document):
+    """Document `reserve`: by trunk group, the number of lines reserved for the first class of calls."""
 
     lines: dict[str, int] = {}
 
 
-class CallClass(Strict):
-    """Parameters of one class of calls; times in ms, worth as in the proxy's own file."""
+class CallClass(Document):
+    """Parameters of one class of calls; they replace those of the same class in a proxy's own settings file."""
 
     name: str
     worth: float
@@ -68,60 +68,59 @@
     deadline_ms: float
 
 
-class Classes(Strict):
-    """Classes of calls and attempts per call: the settings that can change while the proxy runs."""
+class Classes(Document):
+    """Document `classes`: classes of calls, and the maximum number of attempts per call."""
 
     classes: list[CallClass]
     most_tries: int
 
 
-class Isolated(Strict):
-    """The fallback rules of a proxy whose revision is no longer fresh; at least as strict as any revision."""
+class Isolated(Document):
+    """Document `isolated`: the fallback rules, at least as strict as every revision."""
 
-    bars: Bars = Bars()
-    held: Held = Held()
-    reserve: Reserve = Reserve()
+    bars: BarredCalls = BarredCalls()
+    held: DrainedServers = DrainedServers()
+    reserve: ReservedLines = ReservedLines()
     most_tries: int = 1
 
 
-SCHEMAS: dict[str, type[Strict]] = {
-    "bars": Bars,
-    "held": Held,
-    "reserve": Reserve,
+SCHEMAS: dict[str, type[Document]] = {
+    "bars": BarredCalls,
+    "held": DrainedServers,
+    "reserve": ReservedLines,
     "classes": Classes,
     "isolated": Isolated,
 }
 
 
 class Proposal(msgspec.Struct, array_like=True, frozen=True):
-    """A change as it is written to the log: JSON bodies by document name (an empty body deletes the document), and
-    the revision that its author had read."""
+    """A change as it is written to the log."""
 
     id: str
-    expect: int
-    bodies: dict[str, bytes]
+    expected_revision: int  # the revision that the author had read
+    bodies: dict[str, bytes]  # document name -> new JSON body; an empty body deletes the document
     author: str = ""
     reason: str = ""
     unix_ms: float = 0.0
 
 
 class Revision(msgspec.Struct, array_like=True, frozen=True):
-    """One revision in the history: what changed, by whom and why, and the hash of each document then in effect."""
+    """One revision in the history: what changed, by whom and why, and the resulting documents by their hashes."""
 
     number: int
-    id: str
-    changed: list[str]
-    hashes: dict[str, str]
+    id: str  # of the change
+    changed: list[str]  # names of the documents that it replaced or deleted
+    hashes: dict[str, str]  # name -> hash of the body, for every document of the revision
     author: str
     reason: str
     unix_ms: float
 
 
 class ChangeResult(msgspec.Struct, array_like=True, frozen=True):
-    """Result of a change: applied as this revision, or in conflict with a document that has changed since."""
+    """Result of a committed change: applied, or not applied because of a conflict."""
 
-    revision: int
-    conflict: str = ""
+    revision: int  # the revision that the change created; after a conflict the current one
+    conflict: str = ""  # why the change was not applied; empty if it was
 
 
 def hash_of(body: bytes) -> str:
@@ -129,8 +128,8 @@
     return blake2b(body, digest_size=16, person=b"leadslip-doc").hexdigest()
 
 
-def read(name: str, body: bytes) -> Strict:
-    """Parses and validates a document. Raises RefusedError: unknown name, too long, or against its schema."""
+def parse_document(name: str, body: bytes) -> Document:
+    """Parses and validates a document. Raises RefusedError if its name is unknown, or it is too long or invalid."""
     schema = SCHEMAS.get(name)
     if schema is None:
         raise RefusedError(f"{name}: no such document; there are {', '.join(SCHEMAS)}")
@@ -146,17 +145,21 @@
     return document
 
 
-def _validate(name: str, document: Strict) -> None:
+def _validate(name: str, document: Document) -> None:
     """Checks the rules that the schema can't express. Raises RefusedError."""
     match document:
-        case Bars():
+        case BarredCalls():
             invalid = next((prefix for prefix in document.prefixes if not prefix.isdigit()), None)
             if invalid is not None:
-                raise RefusedError(f"{name}.prefixes: {invalid!r} is not digits only")
-        case Reserve():
+                raise RefusedError(
+                    f"{name}.prefixes: {invalid!r} is empty or has characters that are not digits"
+                )
+        case ReservedLines():
             invalid = next((group for group, lines in document.lines.items() if lines < 0), None)
             if invalid is not None:
-                raise RefusedError(f"{name}.lines.{invalid}: {document.lines[invalid]} is below 0")
+                raise RefusedError(
+                    f"{name}.lines.{invalid}: {document.lines[invalid]} is below 0, the minimum number of lines"
+                )
         case Classes():
             names = [call_class.name for call_class in document.classes]
             if not names or len(set(names)) < len(names):
@@ -167,8 +170,10 @@
                     or min(call_class.worth, call_class.late_worth) < 0
                 ):
                     raise RefusedError(
-                        f"{name}.classes.{call_class.name}: required are 0 < aim_ms <= deadline_ms, worth >= 0 "
-                        "and late_worth >= 0"
+                        f"{name}.classes.{call_class.name}: required are 0 < aim_ms <= deadline_ms, worth >= 0 and "
+                        f"late_worth >= 0, but aim_ms is {call_class.aim_ms:g}, deadline_ms is "
+                        f"{call_class.deadline_ms:g}, worth is {call_class.worth:g} and late_worth is "
+                        f"{call_class.late_worth:g}"
                     )
             if document.most_tries < 1:
                 raise RefusedError(f"{name}.most_tries is below 1: {document.most_tries}")
@@ -179,9 +184,9 @@
                 raise RefusedError(f"{name}.most_tries is below 1: {document.most_tries}")
 
 
-def contradiction(isolated: Isolated, documents: Mapping[str, Strict]) -> str:
-    """Returns the first rule of the documents that is stricter than the fallback rules; empty if there is none."""
-    bars, held = documents.get("bars", Bars()), documents.get("held", Held())
+def stricter_rule(isolated: Isolated, documents: Mapping[str, Document]) -> str:
+    """Describes the first rule of the documents that is stricter than the fallback rules; empty if there is none."""
+    bars, held = documents.get("bars", BarredCalls()), documents.get("held", DrainedServers())
     for prefix in bars.prefixes:
         if not any(prefix.startswith(isolated_prefix) for isolated_prefix in isolated.bars.prefixes):
             return f"bars.prefixes {prefix} is not covered by isolated.bars"
@@ -191,17 +196,20 @@
     for server in held.servers:
         if server not in isolated.held.servers:
             return f"held.servers {server} is not in isolated.held"
-    for group, lines in documents.get("reserve", Reserve()).lines.items():
+    for group, lines in documents.get("reserve", ReservedLines()).lines.items():
         if lines > isolated.reserve.lines.get(group, 0):
-            return f"reserve.lines.{group} is more than isolated.reserve has"
+            return (
+                f"reserve.lines.{group} is {lines}, more than the {isolated.reserve.lines.get(group, 0)} "
+                "in isolated.reserve"
+            )
     classes = documents.get("classes")
     if classes is not None and classes.most_tries < isolated.most_tries:
-        return "classes.most_tries is less than isolated.most_tries"
+        return f"classes.most_tries is less than isolated.most_tries, which is {isolated.most_tries}"
     return ""
 
 
 class Documents:
-    """The current documents and their history; updated only by committed changes of the log."""
+    """The current documents and their history; only changes committed in the log update them."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -212,35 +220,44 @@
         self.ids: dict[str, ChangeResult] = {}  # change id -> result, the oldest first
 
     def check(self, proposal: Proposal) -> None:
-        """Checks whether a change may be proposed now. Raises RefusedError with the rule it breaks."""
+        """Checks that a change may be proposed. Raises RefusedError that names the rule which the change breaks."""
         if not proposal.id or not proposal.bodies:
             raise RefusedError("a change needs an id and at least one document")
         if max(len(proposal.id), len(proposal.author), len(proposal.reason)) > MAX_TEXT_LENGTH:
             raise RefusedError(f"id, author and reason may have at most {MAX_TEXT_LENGTH} characters each")
-        documents = {name: read(name, body) for name, body in (self.bodies | proposal.bodies).items() if body}
+        documents = {
+            name: parse_document(name, body) for name, body in (self.bodies | proposal.bodies).items() if body
+        }
         isolated = documents.pop("isolated", Isolated())
-        problem = contradiction(isolated, documents)
+        problem = stricter_rule(isolated, documents)
         if not problem and "isolated" in self.bodies:
-            # Proxies may still apply the previous fallback rules: those must hold for this change as well.
-            problem = contradiction(read("isolated", self.bodies["isolated"]), documents)
-            problem = problem and f"{problem} as currently in effect: change isolated first, by itself"
+            # Some proxies may still apply the current fallback rules, so the change must not be stricter than those
+            # either.
+            problem = stricter_rule(parse_document("isolated", self.bodies["isolated"]), documents)
+            problem = (
+                problem and f"{problem} as currently agreed; change isolated first, in a separate change"
+            )
         if problem:
             raise RefusedError(problem)
 
     def conflict(self, proposal: Proposal) -> str:
-        """Returns which document has changed since the revision that the author had read; empty if none has.
+        """Returns why a change conflicts with the current revision; empty if it does not.
 
-        The text is part of the replicated state, so its wording must be the same in all versions.
+        It conflicts if one of its documents has changed since the revision that its author had read, or if there is no
+        such revision yet. The text is part of the replicated state, so its wording must be the same in all versions.
         """
-        if proposal.expect > self.revision:
-            return f"revision {proposal.expect} is yet to come"
+        if proposal.expected_revision > self.revision:
+            return f"revision {proposal.expected_revision} is yet to come"
         for name in sorted(proposal.bodies):
-            if self.changed_in.get(name, 0) > proposal.expect:
+            if self.changed_in.get(name, 0) > proposal.expected_revision:
                 return f"{name} changed in revision {self.changed_in[name]}"
         return ""
 
     def apply(self, proposal: Proposal) -> ChangeResult:
-        """Applies a committed change; the result is the same at every proxy, whatever its version."""
+        """Applies a committed change, or returns the earlier result if a change with this id was applied before.
+
+        The result is the same at every proxy, whatever its version.
+        """
         earlier_result = self.ids.get(proposal.id)
         if earlier_result is not None:
             return earlier_result
@@ -280,17 +297,19 @@
         return result
 
     def bodies_at(self, number: int) -> dict[str, bytes] | None:
-        """Returns the documents of a revision; None if the history no longer has it."""
+        """Returns the bodies of a revision's documents by name; None if it is not in the history."""
         revision = next((revision for revision in self.history if revision.number == number), None)
         if revision is None:
             return None
         return {name: self.bodies_by_hash[body_hash] for name, body_hash in revision.hashes.items()}
 
     def rollback(self, number: int, id_: str, author: str, reason: str, unix_ms: float) -> Proposal:
-        """Returns the change that restores all documents of a revision. Raises RefusedError: not in the history."""
+        """Returns a change that restores all documents of a revision. Raises RefusedError if it is not retained."""
         restored = self.bodies_at(number)
         if restored is None:
-            raise RefusedError(f"revision {number} is not in the history of the last {MAX_HISTORY}")
+            raise RefusedError(
+                f"revision {number} is not in the history, which has the last {MAX_HISTORY} revisions"
+            )
         target_bodies = dict.fromkeys(self.bodies, b"") | restored
         bodies = {name: body for name, body in target_bodies.items() if self.bodies.get(name) != body}
         return Proposal(id_, self.revision, bodies, author, reason, unix_ms)
@@ -302,7 +321,7 @@
 
     @classmethod
     def load(cls, data: bytes) -> Documents:
-        """Restores what `dump` returned; empty data gives the initial state."""
+        """Restores the state that `dump` has serialized; empty data gives the initial state."""
         documents = cls()
         if data:
             state_type = tuple[
--- a/leadslip/fleet/agreement/filter.py
+++ b/leadslip/fleet/agreement/filter.py
@@ -1,7 +1,8 @@
-"""Request filter that applies the agreed rules: the rules in effect are read anew for each call. Performs no I/O.
+"""Request filter that applies the rules in effect, agreed or fallback, which it looks up for each call. No I/O.
 
-`bars` refuses calls here; `held`, `classes` and `reserve` are passed to the engine when the rules in effect have
-changed, before the first call under the new rules is decided. The clock is the fleet's.
+Calls barred by the document `bars` are refused here. When the rules have changed, the documents `held`, `classes` and
+`reserve` are applied to the engine and the trunk reservation before the next call is decided. Rules are looked up by
+the fleet's monotonic clock, not by the engine's Unix time.
 """
 
 from __future__ import annotations
@@ -13,31 +14,34 @@
 from leadslip import interface
 from leadslip.deadlines import Clock
 from leadslip.filters import Refusal
-from leadslip.fleet.agreement.documents import Bars, Classes, Held, Reserve
+from leadslip.fleet.agreement.documents import BarredCalls, Classes, DrainedServers, ReservedLines
 from leadslip.fleet.agreement.member import Agreement, Rules
 from leadslip.request import Request
 
-REPORT_INTERVAL_MS = 250.0  # between two reports of unchanged rules to a history
+REPORT_INTERVAL_MS = 250.0  # between two records of unchanged rules in the event history (fleet/history.py)
 
 
 class RulesTarget(Protocol):
-    """What the rules are applied to: the proxy's engine and trunk reservation, with the settings of its own file."""
+    """What the rules are applied to: the proxy's engine and trunk reservation."""
 
     def settings(self) -> interface.Settings:
-        """The settings of the proxy's own file."""
+        """Returns the settings of the proxy's own file, which the agreed rules modify."""
 
     def apply_settings(self, settings: interface.Settings) -> None:
-        """Applies these settings in place of the current ones."""
+        """Replaces the engine's current settings."""
 
     def drain_servers(self, servers: frozenset[str]) -> None:
-        """Takes exactly these setup servers out of rotation."""
+        """Takes these setup servers out of rotation and puts all others back."""
 
     def set_reserved_lines(self, lines: dict[str, int]) -> None:
-        """Reserves lines for the first class, by trunk group."""
+        """Sets the number of lines reserved for the first class of calls, by trunk group."""
 
 
-class AgreedRules:
-    """Filter that refuses barred calls and keeps the target's settings in line with the rules in effect."""
+class AgreedRulesFilter:
+    """Filter that refuses barred calls and updates the target when the rules in effect have changed.
+
+    `report` writes a record to the event history of a fault-injection run; None outside such runs.
+    """
 
     name = "agreed"
 
@@ -46,11 +50,11 @@
     ) -> None:
         self.agreement, self.clock, self.target, self.report = agreement, clock, target, report
         self.rules: Rules | None = None
-        self.bars = Bars()
+        self.bars = BarredCalls()
         self.last_decision_ms = self.reported_ms = 0.0
 
     def admit(self, request: Request, now_ms: float) -> Refusal | None:
-        """Refuses a call that the rules in effect bar; applies changed rules first."""
+        """Applies the rules in effect if they have changed, then refuses the call if they bar it."""
         fleet_now_ms = self.clock.now_ms()
         rules = self.agreement.rules_in_effect(fleet_now_ms)
         if rules is not self.rules:
@@ -67,18 +71,18 @@
         return None
 
     def _report_rules(self, rules: Rules, fleet_now_ms: float) -> None:
-        """Reports to a history which rules are applied, and until when the previous ones were."""
+        """Records in the event history which rules are applied now, and when the last call before this was decided."""
         self.reported_ms = fleet_now_ms
         fields = {"revision": rules.revision, "agreed": rules.agreed, "mark": f"{rules.mark:08x}"}
         self.report(do="acts", until_ms=self.last_decision_ms, **fields)
 
     def _apply_rules(self, rules: Rules, fleet_now_ms: float) -> None:
-        """Applies these rules from this call on."""
+        """Applies these rules to this call and those after it."""
         if self.report is not None:
             self._report_rules(rules, fleet_now_ms)
         self.rules = rules
         documents = rules.documents
-        self.bars = documents.get("bars", Bars())
+        self.bars = documents.get("bars", BarredCalls())
         settings = self.target.settings()
         classes = documents.get("classes")
         if isinstance(classes, Classes):
@@ -99,8 +103,8 @@
         if rules.max_attempts is not None:
             settings = replace(settings, max_attempts=min(settings.max_attempts, rules.max_attempts))
         self.target.apply_settings(settings)
-        self.target.drain_servers(frozenset(documents.get("held", Held()).servers))
-        self.target.set_reserved_lines(documents.get("reserve", Reserve()).lines)
+        self.target.drain_servers(frozenset(documents.get("held", DrainedServers()).servers))
+        self.target.set_reserved_lines(documents.get("reserve", ReservedLines()).lines)
 
     def established(self, request: Request, now_ms: float) -> None:
         """Does nothing: the filter keeps no state per call."""
--- a/leadslip/fleet/agreement/member.py
+++ b/leadslip/fleet/agreement/member.py
@@ -27,13 +27,13 @@
 from leadslip.fleet.agreement.documents import (
     ChangeResult,
     Classes,
+    Document,
     Documents,
     Isolated,
     Proposal,
     RefusedError,
-    Strict,
     hash_of,
-    read,
+    parse_document,
 )
 from leadslip.fleet.agreement.freshness import Freshness
 from leadslip.fleet.agreement.raft import (
@@ -168,7 +168,7 @@
     revision: int
     agreed: bool
     mark: int
-    documents: Mapping[str, Strict]
+    documents: Mapping[str, Document]
 
     @classmethod
     def of(cls, contents: RevisionContents) -> Rules | None:
@@ -178,7 +178,7 @@
                 contents.revision,
                 True,
                 contents.mark,
-                {name: read(name, body) for name, body in contents.bodies.items()},
+                {name: parse_document(name, body) for name, body in contents.bodies.items()},
             )
         except RefusedError:
             return None
--- a/leadslip/parts/agreement/part.py
+++ b/leadslip/parts/agreement/part.py
@@ -21,7 +21,7 @@
     RefusedError,
     hash_of,
 )
-from leadslip.fleet.agreement.filter import AgreedRules
+from leadslip.fleet.agreement.filter import AgreedRulesFilter
 from leadslip.fleet.agreement.member import Agreement, Propose, StoppedError
 from leadslip.fleet.agreement.saver import Saver
 from leadslip.operators import Answer, Endpoint, Endpoints, OperatorRequest, as_json, problem
@@ -97,7 +97,7 @@
     def filters(self) -> list[Filter]:
         if self.agreement is None:
             return []
-        return [AgreedRules(self.agreement, self.peers.clock, self, self.peers.history)]
+        return [AgreedRulesFilter(self.agreement, self.peers.clock, self, self.peers.history)]
 
     def settings(self) -> interface.Settings:
         return self.node.conf.settings
--- a/tests/test_fleet_filter.py
+++ b/tests/test_fleet_filter.py
@@ -4,7 +4,7 @@
 
 from leadslip import core, interface
 from leadslip.fleet.agreement.documents import Isolated
-from leadslip.fleet.agreement.filter import AgreedRules
+from leadslip.fleet.agreement.filter import AgreedRulesFilter
 from leadslip.fleet.agreement.member import RevisionContents, Rules
 from tests.helpers import PLAIN
 from tests.test_core import World
@@ -26,7 +26,7 @@
     def __init__(self, **more):
         super().__init__(**more)
         self.own_settings, self.rules, self.reserved_lines, self.reports = self.engine.settings, BASE, [], []
-        filter_ = AgreedRules(self, self, self, lambda **fields: self.reports.append(fields))
+        filter_ = AgreedRulesFilter(self, self, self, lambda **fields: self.reports.append(fields))
         self.engine.chain.replace([filter_])
 
     def rules_in_effect(self, now_ms):
