--- a/leadslip/fleet/agreement/member.py
+++ b/leadslip/fleet/agreement/member.py
@@ -1,16 +1,17 @@
-"""Agreement member of one proxy: a Raft voter or a learner, and the rules that may be applied now. Performs no I/O.
-
-Driven by `received`, `on_freshness_report`, `on_view_change`, `saved`, `due` and operators' requests; it leaves
-messages in `outbox`, saves in `saves` and the next wake-up in `wake_ms`. Voters have the log (raft.py) and apply it to
-the documents (documents.py). All other members are learners: one that sees in an answer that a newer revision is
-known asks the answering member for the hashes of its documents, and then for the bodies that it lacks, one chunk at a
-time, from any member that has them. Chunks already received are retained when that member goes away. A body is
-accepted by its hash alone.
-
-Diverging replicas: an answer contains a checksum of its revision's contents. A learner whose own checksum differs asks
-a voter; if the voter's differs too, the learner's replica is quarantined (dropped, counted, logged) and fetched anew,
-otherwise the replica of the answering member is the wrong one. A voter that diverges from its leader stops with an
-error.
+"""One proxy's member of the agreement, a Raft voter or a learner: receives revisions and selects the rules to apply.
+
+Performs no I/O. Driven by `received`, `on_freshness_report`, `on_view_change`, `saved`, `due` and operators' requests;
+it leaves messages in `outbox`, saves in `saves` and the time of the next call of `due` in `wake_ms`. Voters replicate
+the log (raft.py) and apply it to the documents (documents.py). All other members are learners: they get revisions from
+other members. Members report the newest revision that they know of in their answers to pings (freshness.py). A learner
+that receives a report of a newer revision than its own asks the reporting member for the hashes of its documents, and
+then for the bodies that it lacks, one chunk at a time, from any member that has them. Chunks already received are
+retained if that member leaves or dies. A body is accepted if its hash matches, whichever member sent it.
+
+A report also contains a checksum of the revision's contents, by which replicas that diverge are detected. A learner
+whose own checksum differs asks a voter for its hashes. If its replica differs from the voter's too, the replica is
+quarantined (dropped, counted and logged) and fetched anew; otherwise the reporting member has the wrong one. A voter
+that diverges from its leader stops with an error.
 """
 
 from __future__ import annotations
@@ -51,11 +52,13 @@
 from leadslip.fleet.view.view import View
 from leadslip.metrics import Metrics
 
-CHUNK_BYTES = 32 * 1024  # of a body in one message
+CHUNK_BYTES = 32 * 1024  # maximum part of a body in one message
 RETRY_MS = 400.0  # between two sends of an unanswered request
-COMPACT_AFTER_ENTRIES = 200  # applied entries after the snapshot that trigger the next one
-MAX_UNCOMMITTED_PROPOSALS = 256  # proposed here and not committed yet
-BOOTSTRAP_INTERVAL_MS = 100.0  # between two bootstrap attempts or messages
+COMPACT_AFTER_ENTRIES = 200  # the log is compacted when it has more applied entries than this
+MAX_UNCOMMITTED_PROPOSALS = 256  # changes that a leader has accepted and that are not committed yet
+BOOTSTRAP_INTERVAL_MS = (
+    100.0  # between two attempts to bootstrap, and between two sends of the first list of voters
+)
 
 
 class StoppedError(OperatorError):
@@ -88,51 +91,54 @@
 
 
 class Bootstrap(msgspec.Struct, array_like=True, frozen=True, tag=30):
-    """Bootstrap: the first list of voters, by the ids on their empty disks."""
+    """The first list of voters, sent to those of them whose disks are still empty."""
 
-    voters: list[str]
+    voters: list[str]  # ids
 
 
 class Propose(msgspec.Struct, array_like=True, frozen=True, tag=31):
-    """A change, or a list of voters, for the leader to commit; may be sent again under the same id."""
+    """A change of documents, or a new list of voters, for the leader to commit.
+
+    It is sent again under the same id until it is answered.
+    """
 
     id: str
-    change: Proposal | None
-    voters: list[str] = []
+    change: Proposal | None  # None: a list of voters is proposed
+    voters: list[str] = []  # ids
 
 
 class ProposeReply(msgspec.Struct, array_like=True, frozen=True, tag=32):
-    """Reply to Propose: its result, the rule that refuses it, or in `leader` the voter to ask."""
+    """Reply to Propose: its result, why it is refused, or which voter is the leader."""
 
     id: str
-    revision: int = -1
-    conflict: str = ""
-    refused: str = ""
-    leader: str = ""
+    revision: int = -1  # as in ChangeResult; -1: the proposal has no result yet
+    conflict: str = ""  # as in ChangeResult
+    refused: str = ""  # the error, if the proposal breaks a rule
+    leader: str = ""  # id of the leader, if it is known and should be asked instead
 
 
 class HashesRequest(msgspec.Struct, array_like=True, frozen=True, tag=33):
-    """Asks for the document hashes of the newest revision, if it is this one or newer."""
+    """Asks for the document hashes of the newest revision; answered only by a member with this revision or a newer."""
 
     revision: int
 
 
 class RevisionHashes(msgspec.Struct, array_like=True, frozen=True, tag=34):
-    """A revision and the hash of each of its documents."""
+    """Reply to HashesRequest: the newest complete revision and the hashes of its documents by name."""
 
     revision: int
     hashes: dict[str, str]
 
 
 class ChunkRequest(msgspec.Struct, array_like=True, frozen=True, tag=35):
-    """Asks for a chunk of the body with this hash, from this byte on."""
+    """Asks for the chunk of the body with this hash that begins at this byte."""
 
     hash: str
     offset: int
 
 
 class Chunk(msgspec.Struct, array_like=True, frozen=True, tag=36):
-    """A chunk of a body; `size` is the length of the complete body (0: the sender does not have it)."""
+    """Reply to ChunkRequest; `size` is the length of the complete body (0: the sender does not have it)."""
 
     hash: str
     offset: int
@@ -166,13 +172,13 @@
     """The rules that a proxy applies: the parsed documents of a revision, or the fallback rules."""
 
     revision: int
-    agreed: bool
-    mark: int
+    agreed: bool  # False: the fallback rules
+    mark: int  # checksum of the revision's contents
     documents: Mapping[str, Document]
 
     @classmethod
-    def of(cls, contents: RevisionContents) -> Rules | None:
-        """Returns the rules of a revision; None if this version of the program can't read one of its documents."""
+    def parse(cls, contents: RevisionContents) -> Rules | None:
+        """Returns the rules of a revision; None if this version of the program can't parse one of its documents."""
         try:
             return cls(
                 contents.revision,
@@ -185,13 +191,13 @@
 
     @classmethod
     def fallback(cls, isolated: Isolated, revision: int = 0, mark: int = 0) -> Rules:
-        """Returns the fallback rules as of a revision."""
+        """Returns the fallback rules that a revision's document `isolated` defines."""
         documents = {"bars": isolated.bars, "held": isolated.held, "reserve": isolated.reserve}
         return cls(revision, False, mark, documents | {"isolated": isolated})
 
     @property
     def max_attempts(self) -> int | None:
-        """Maximum number of attempts per call; None: as in the proxy's own file."""
+        """Maximum number of attempts per call; None: as in the proxy's own settings file."""
         if not self.agreed:
             return self.documents["isolated"].most_tries
         classes = self.documents.get("classes")
@@ -204,10 +210,10 @@
 
     revision: int
     bodies: Mapping[str, bytes]
-    mark: int
+    mark: int  # checksum
 
     @classmethod
-    def of(cls, revision: int, bodies: Mapping[str, bytes]) -> RevisionContents:
+    def from_bodies(cls, revision: int, bodies: Mapping[str, bytes]) -> RevisionContents:
         """Copies the bodies and computes their checksum."""
         return cls(
             revision,
@@ -217,7 +223,7 @@
 
 
 def contents_checksum(revision: int, hashes: Mapping[str, str]) -> int:
-    """Returns a 32-bit checksum of a revision's contents."""
+    """Returns a 32-bit checksum of a revision's number and the hashes of its documents."""
     text = f"{revision} {sorted(hashes.items())}"
     return int.from_bytes(blake2b(text.encode(), digest_size=4, person=b"leadslip-mark").digest())
 
@@ -226,23 +232,23 @@
 class Fetch:
     """A revision being fetched: its document hashes, and the received parts of the missing bodies."""
 
-    run: int  # of the member that is asked; 0: choose another
-    asked_ms: float
+    run: int  # of the member that is asked; 0: another one is to be chosen
+    asked_ms: float  # when the unanswered request was sent; -inf: none is unanswered
     min_revision: int
-    revision_hashes: RevisionHashes | None = None
+    revision_hashes: RevisionHashes | None = None  # None: not received yet
     received: dict[str, bytearray] = field(default_factory=dict)  # hash -> bytes received so far
 
 
 @dataclass(slots=True)
 class PendingProposal:
-    """A change that an operator has proposed here, until the leader has answered it."""
+    """A change that an operator has proposed at this member and that has no result yet."""
 
     request: Propose
     deadline_ms: float
-    done: Callable[[ChangeResult | OperatorError], None]
-    asked_ms: float = -float("inf")
-    leader: str = ""  # as named by the voter that answered last
-    leader_asked_ms: float = -float("inf")  # when the leader itself was last asked
+    done: Callable[[ChangeResult | OperatorError], None]  # called with the result or an error
+    asked_ms: float = -float("inf")  # when it was last sent to a voter; -inf: send it at once
+    leader: str = ""  # id of the leader, as named by the voter that replied last
+    leader_asked_ms: float = -float("inf")  # when it was last sent to the presumed leader
 
 
 NO_REVISION = RevisionContents(0, {}, contents_checksum(0, {}))
@@ -260,7 +266,7 @@
         rng: Random,
         metrics: Metrics,
         log_event: Callable[..., None],
-        pace: Timing = Timing(),  # noqa: B008
+        timing: Timing = Timing(),  # noqa: B008
     ) -> None:
         self.view, self.voter_names, self.isolated, self.rng, self.metrics, self.log_event = (
             view,
@@ -270,36 +276,43 @@
             metrics,
             log_event,
         )
-        self.pace = pace
+        self.timing = timing
         self.outbox: list[tuple[int, bytes]] = []
         self.saves: list[Save] = []
         self.wake_ms = float("inf")
         self.freshness = Freshness(in_force_ms)
-        self.current, self.newest = NO_REVISION, NO_REVISION  # applied, and the newest that is complete here
-        self.rules: Rules | None = Rules.of(NO_REVISION)
+        # The revision that is applied here, and the newest that has been received completely:
+        self.current, self.newest = NO_REVISION, NO_REVISION
+        self.rules: Rules | None = Rules.parse(
+            NO_REVISION
+        )  # of `current`; None: it can't be parsed, or was dropped
         self.fallback_rules = Rules.fallback(isolated)
         self.fetch: Fetch | None = None
         self.pending: dict[str, PendingProposal] = {}  # by change id
-        # Used by voters only:
+        # Used by voters only. Voter id and start counter, whether the disk has no list of voters yet, why it stopped:
         self.id, self.starts, self.blank, self.stop_reason = "", 0, True, ""
-        self.persistent_state: PersistentState | None = None
-        self.raft: Raft | None = None
-        self.documents = Documents()
-        self.revision_at: list[tuple[int, int]] = [(0, 0)]  # (index of an entry, the revision as of it)
-        self.bootstrap_sent_ms = -float("inf")  # when the first list was last sent to the others
-        self.proposers: dict[str, int] = {}  # uncommitted change id -> run of the proposing member
+        self.persistent_state: PersistentState | None = None  # None: this member is no voter
+        self.raft: Raft | None = None  # None: not voting (yet, or because it has stopped)
+        self.documents = Documents()  # the state machine of the log; empty at learners
+        self.revisions_by_index: list[tuple[int, int]] = [
+            (0, 0)
+        ]  # (entry's index, revision after that entry)
+        self.bootstrap_sent_ms = -float(
+            "inf"
+        )  # when the first list of voters was last sent to the other voters
+        self.proposers: dict[str, int] = {}  # as leader: id of an uncommitted change -> run of its proposer
         view.freshness_report, view.on_freshness_report = self.freshness_report, self.on_freshness_report
         view.listeners.append(self.on_view_change)
 
     # Start, bootstrap and stop.
 
     def make_voter(self, id_: str, starts: int, persistent_state: PersistentState) -> None:
-        """Makes this member a voter, with the id, start counter and state of its disk."""
+        """Makes this member a voter, with the id, start counter and state loaded from its disk."""
         self.id, self.starts, self.persistent_state = id_, starts, persistent_state
         self.blank = not persistent_state.snapshot.voters
 
     def facts(self) -> dict[str, str | int]:
-        """Returns the metadata by which other members recognize this voter."""
+        """Returns the metadata by which other members recognize this voter; empty at a learner."""
         if not self.id:
             return {}
         return {"voter": self.id, "starts": self.starts, "blank": int(self.blank)}
@@ -313,7 +326,11 @@
         self._step(now_ms)
 
     def _start_voting(self, now_ms: float) -> None:
-        """Starts voting unless the view shows a later use of this disk; at first only once the voters are known."""
+        """Starts Raft at a voter that has not stopped, once the first list of voters is known.
+
+        Before that, the view must have been synced with another member: it shows whether another process has used this
+        disk later, in which case the voter stops. A single voter has no other member to ask.
+        """
         if (
             self.raft is not None
             or self.persistent_state is None
@@ -330,22 +347,26 @@
             self._start_raft(now_ms)
 
     def _start_raft(self, now_ms: float) -> None:
+        """Starts Raft with the persistent state, and restores the documents from its snapshot."""
         persistent_state = self.persistent_state
         self.documents = Documents.load(persistent_state.snapshot.data)
-        self.revision_at = [(persistent_state.snapshot.index, self.documents.revision)]
-        self.raft = Raft(self.id, persistent_state, self.rng, self.metrics, self._on_committed, self.pace)
+        self.revisions_by_index = [(persistent_state.snapshot.index, self.documents.revision)]
+        self.raft = Raft(self.id, persistent_state, self.rng, self.metrics, self._on_committed, self.timing)
         self.raft.start(now_ms)
         if self.documents.revision > self.newest.revision:
-            self.newest = RevisionContents.of(self.documents.revision, self.documents.bodies)
+            self.newest = RevisionContents.from_bodies(self.documents.revision, self.documents.bodies)
 
     def _live_voters(self) -> dict[str, Member]:
-        """Returns the live members that announce a voter id, by that id."""
+        """Returns the live members that announce a voter id in their metadata, by that id."""
         return {
             str(member.facts["voter"]): member for member in self.view.members() if "voter" in member.facts
         }
 
     def _is_disk_outdated(self) -> bool:
-        """Whether another process has announced this voter's id with a start counter not below ours."""
+        """Whether another process has announced this voter's id with a start counter that is not lower than ours.
+
+        Then our disk is an older copy of that process's disk, or both use the same one and it started later.
+        """
         own_process = process_of(self.view.run)
         return any(
             member.facts.get("voter") == self.id
@@ -355,9 +376,10 @@
         )
 
     def _bootstrap(self) -> None:
-        """Creates the first list of voters once all named voters are live with empty disks.
+        """Creates the first list of voters once all voters named in the settings are live with empty disks.
 
-        Prevents two first lists: only the first named voter may create one, and only for voters without a list.
+        Two different first lists are prevented: only the voter that the settings name first creates one, and only while
+        no named voter has a list yet.
         """
         if self.view.me.name != self.voter_names[0]:
             return
@@ -369,6 +391,10 @@
         self._accept_voters(sorted(str(blank_voters[name].facts["voter"]) for name in self.voter_names))
 
     def _accept_voters(self, voters: list[str]) -> None:
+        """Initializes the persistent state of an empty disk with the first list of voters, and saves it.
+
+        The list is empty if a leader has already sent part of the log, which then contains the voters.
+        """
         snapshot = Snapshot(0, 0, voters, b"")
         self.persistent_state = PersistentState(0, "", snapshot, [])
         self.blank = False
@@ -376,7 +402,7 @@
         self.metrics.add("agreement.founded")
 
     def _bootstrap_others(self, now_ms: float) -> None:
-        """Sends the first list to its voters whose disks are still empty."""
+        """Sends the first list of voters to those of them whose disks are still empty."""
         raft = self.raft
         if raft is None or raft.snapshot.index or self.view.me.name != self.voter_names[0]:
             return
@@ -391,36 +417,37 @@
                     self._send(live_voters[id_].run, Bootstrap(raft.snapshot.voters))
 
     def _stop(self, reason: str) -> None:
+        """Stops this voter for good; as a member it continues to apply the rules."""
         self.stop_reason, self.raft = reason, None
         self.metrics.add("agreement.stopped")
         error = StoppedError(f"voter {self.id} has stopped: {reason}")
         self.log_event("agreement.stopped", level="error", **error.fields())
 
     def on_save_failed(self, reason: str) -> None:
-        """Stops the voter, as a save could not be written."""
+        """Stops the voter because a save could not be written."""
         if not self.stop_reason:
             self._stop(reason)
 
     def saved(self, now_ms: float, number: int) -> None:
-        """Handles the report that all saves up to this number are on disk."""
+        """Handles the report that all saves up to this number are on disk; number 0 saves the first list of voters."""
         if self.raft is not None and number:
             self.raft.saved(now_ms, number)
             self._after_raft_step(now_ms)
         self._step(now_ms)
 
     def on_view_change(self, change: Change) -> None:
-        """Handles a change of the view: voters may have appeared, or another process with this voter's disk."""
+        """Handles a change of the view: voters may have appeared, or another process that uses this voter's disk."""
         may_be_our_disk = (
             self.raft is not None and change.after is not None and change.after.facts.get("voter") == self.id
         )
         if may_be_our_disk and self._is_disk_outdated():
-            self._stop("another process runs with its disk, started later")
+            self._stop("another process that started later uses the same disk, or a copy of it")
         self.wake_ms = min(self.wake_ms, 0.0)
 
     # Messages.
 
     def received(self, now_ms: float, run: int, body: bytes) -> None:
-        """Handles a message of another member."""
+        """Handles a message of another member; `run` identifies the sender."""
         try:
             message = _decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -462,21 +489,22 @@
             case Chunk():
                 self._on_chunk(now_ms, run, message)
             case _:
-                is_valid = self._is_voter(run, message.source) and not self.stop_reason
+                is_from_voter = self._is_voter(run, message.source) and not self.stop_reason
                 is_from_leader = (
                     isinstance(message, raft_messages.AppendEntries | raft_messages.InstallSnapshot)
                     and message.target == self.id
                 )
-                if is_valid and is_from_leader and self.raft is None and self.blank:
-                    # A leader has us in its list; the log that it sends contains the voters.
+                if is_from_voter and is_from_leader and self.raft is None and self.blank:
+                    # The leader's list of voters contains this voter; the log that it sends has that list.
                     self._accept_voters([])
                     self._start_raft(now_ms)
-                if is_valid and self.raft is not None:
+                if is_from_voter and self.raft is not None:
                     self.raft.received(now_ms, message)
                     self._after_raft_step(now_ms)
         self._step(now_ms)
 
     def _is_voter(self, run: int, id_: str) -> bool:
+        """Whether the metadata of the member with this run announces this voter id."""
         member = self.view.table.get(run)
         return member is not None and member.facts.get("voter") == id_
 
@@ -486,36 +514,44 @@
     # Log of a voter.
 
     def _on_committed(self, entry: Entry) -> None:
+        """Applies a committed entry, or a received snapshot, to the documents."""
         if entry.kind == EntryKind.SNAPSHOT:
             self.documents = Documents.load(entry.data)
         elif entry.kind == EntryKind.CHANGE:
             proposal = msgspec.msgpack.decode(entry.data, type=Proposal)
             self._on_result(proposal.id, self.documents.apply(proposal))
-        self.revision_at.append((entry.index, self.documents.revision))
-        del self.revision_at[:-64]
+        self.revisions_by_index.append((entry.index, self.documents.revision))
+        del self.revisions_by_index[
+            :-64
+        ]  # bounds the memory; a confirmed index before these gives no freshness
         if self.documents.revision > self.newest.revision:
-            self.newest = RevisionContents.of(self.documents.revision, self.documents.bodies)
+            self.newest = RevisionContents.from_bodies(self.documents.revision, self.documents.bodies)
 
-    def _on_result(self, id_: str, outcome: ChangeResult) -> None:
+    def _on_result(self, id_: str, result: ChangeResult) -> None:
+        """Sends the result of a committed change to the member that proposed it."""
         run = self.proposers.pop(id_, 0)
-        reply = ProposeReply(id_, outcome.revision, outcome.conflict)
+        reply = ProposeReply(id_, result.revision, result.conflict)
         if run == self.view.run or (not run and id_ in self.pending):
             self._on_propose_reply(-float("inf"), reply)
         elif run:
             self._send(run, reply)
 
     def _after_raft_step(self, now_ms: float) -> None:
-        """After each Raft step: records the freshness known as leader, sends messages, compacts the log."""
+        """Work after each Raft step: records freshness if leader, collects messages and saves, compacts the log."""
         raft = self.raft
         if raft is None:
             return
         if raft.role is not Role.LEADER:
-            self.proposers.clear()  # the proposers send them again
+            self.proposers.clear()  # their proposers send the changes again, to the new leader
         confirmed = raft.confirmed(now_ms)
         if confirmed is not None:
             index, age_ms = confirmed
             revision = next(
-                (revision for entry_index, revision in reversed(self.revision_at) if entry_index <= index),
+                (
+                    revision
+                    for entry_index, revision in reversed(self.revisions_by_index)
+                    if entry_index <= index
+                ),
                 None,
             )
             if revision is not None and age_ms < self.freshness.max_age_ms:
@@ -536,9 +572,10 @@
     # Freshness reports.
 
     def freshness_report(self, now_ms: float) -> list[int]:
-        """Returns the freshness report for an answer: [newest revision known, its age in ms, checksum].
+        """Returns the report that an answer to a ping carries: [newest revision known, its age in ms, checksum].
 
-        The checksum is 0 if this member does not have that revision; the report is empty if it would be too old.
+        The age is rounded up. The checksum is 0 if this member does not have that revision. The report is empty if no
+        revision is known, or if it is so old that no receiver may apply it.
         """
         if self.raft is not None and self.raft.role is Role.LEADER:
             self._after_raft_step(now_ms)
@@ -549,7 +586,7 @@
         return [revision, int(age_ms) + 1, self.newest.mark if self.newest.revision == revision else 0]
 
     def on_freshness_report(self, run: int, sent_ms: float, report: list[int]) -> None:
-        """Handles the report in a member's answer to our ping of `sent_ms`."""
+        """Handles the report in a member's answer to our ping, which was sent at `sent_ms`."""
         if len(report) < 3:
             return
         revision, age_ms, checksum = report[:3]
@@ -561,7 +598,7 @@
         self.wake_ms = min(self.wake_ms, sent_ms)
 
     def _on_divergence(self, run: int, revision: int) -> None:
-        """Handles a replica of our revision with other contents; a voter decides which of the two is wrong."""
+        """Handles a report of our revision with other contents: a learner asks a voter which of the two is wrong."""
         self.metrics.add("agreement.differs")
         reporter = self.view.table.get(run)
         if self.raft is not None:
@@ -577,20 +614,21 @@
     # Fetching a revision.
 
     def _on_hashes(self, now_ms: float, run: int, reply: RevisionHashes) -> None:
+        """Continues a fetch with the document hashes; after a divergence, compares them with our own first."""
         fetch = self.fetch
         if fetch is None or fetch.run != run or reply.revision < self.newest.revision:
             return
         if reply.revision == self.newest.revision:
             self.fetch = None
             if contents_checksum(reply.revision, reply.hashes) == self.newest.mark:
-                return  # our replica matches the voter's
+                return  # our replica matches, so that of the member that reported the divergence is wrong
             self._quarantine(reply)
         fetch.revision_hashes = reply
         self.fetch = fetch
         fetch.asked_ms = -float("inf")
 
     def _quarantine(self, voter_hashes: RevisionHashes) -> None:
-        """Drops our diverging replica and logs the documents that differ; it is then fetched anew."""
+        """Drops our replica and logs which of its documents differ from the voter's; the caller fetches it anew."""
         own_hashes = {name: hash_of(body) for name, body in self.newest.bodies.items()}
         differing = sorted(
             name
@@ -609,6 +647,7 @@
         self.freshness.revision, self.freshness.as_of_ms = 0, -float("inf")
 
     def _on_chunk(self, now_ms: float, run: int, chunk: Chunk) -> None:
+        """Appends the next chunk to a body; a complete body whose hash is wrong is dropped and fetched elsewhere."""
         fetch = self.fetch
         if (
             fetch is None
@@ -618,8 +657,8 @@
             return
         received = fetch.received.setdefault(chunk.hash, bytearray())
         if not chunk.size:
-            # The member does not have it, perhaps as a newer revision has replaced it. Another member is asked for its
-            # hashes; what has been received stays.
+            # The member does not have the body, for example because it has a newer revision by now. Another member is
+            # asked for its hashes; the chunks already received are retained.
             fetch.asked_ms, fetch.run, fetch.revision_hashes = -float("inf"), 0, None
         elif chunk.offset == len(received):
             received += chunk.data
@@ -637,22 +676,26 @@
         if fetch.revision_hashes is not None:
             own_bodies = {hash_of(body): body for body in self.newest.bodies.values()}
             available = own_bodies | {
-                key: bytes(received)
-                for key, received in fetch.received.items()
-                if hash_of(bytes(received)) == key
+                body_hash: bytes(received)
+                for body_hash, received in fetch.received.items()
+                if hash_of(bytes(received)) == body_hash
             }
-            missing = [key for key in fetch.revision_hashes.hashes.values() if key not in available]
+            missing = [
+                body_hash for body_hash in fetch.revision_hashes.hashes.values() if body_hash not in available
+            ]
             if not missing:
-                bodies = {name: available[key] for name, key in fetch.revision_hashes.hashes.items()}
+                bodies = {
+                    name: available[body_hash] for name, body_hash in fetch.revision_hashes.hashes.items()
+                }
                 self.fetch = None
-                self.newest = RevisionContents.of(fetch.revision_hashes.revision, bodies)
+                self.newest = RevisionContents.from_bodies(fetch.revision_hashes.revision, bodies)
                 return float("inf")
         if now_ms < fetch.asked_ms + RETRY_MS:
             return fetch.asked_ms + RETRY_MS
         member = self.view.table.get(fetch.run) if fetch.run else None
         unanswered = fetch.asked_ms > -float("inf")
         if member is None or not member.live or unanswered:
-            # Ask another member; what has been received stays.
+            # Ask another member; the chunks already received are retained.
             others = [
                 candidate.run
                 for candidate in self.view.members()
@@ -671,13 +714,13 @@
     # Rules in effect.
 
     def _apply_newest(self, now_ms: float) -> None:
-        """Applies the newest complete revision if it is known to be the newest, or the current one is not fresh."""
+        """Applies the newest revision received, if it was reported as the newest or the current one is not fresh."""
         if self.newest is self.current:
             return
         if self.freshness.newest == self.newest.revision or not self.freshness.is_fresh(now_ms):
             self.current = self.newest
             self.freshness.apply_revision(self.current.revision)
-            self.rules = Rules.of(self.current)
+            self.rules = Rules.parse(self.current)
             isolated = self.rules.documents.get("isolated") if self.rules is not None else None
             fallback = isolated if isinstance(isolated, Isolated) else self.isolated
             self.fallback_rules = Rules.fallback(fallback, self.current.revision, self.current.mark)
@@ -685,7 +728,7 @@
                 self.metrics.add("agreement.unread")
 
     def rules_in_effect(self, now_ms: float) -> Rules:
-        """Returns the rules to apply at this moment: the agreed rules while they are fresh, or the fallback rules."""
+        """Returns the rules to apply now: those of the current revision while it is fresh, else the fallback rules."""
         if self.rules is not None and self.freshness.is_fresh(now_ms):
             return self.rules
         return self.fallback_rules
@@ -699,15 +742,15 @@
         wait_ms: float,
         done: Callable[[ChangeResult | OperatorError], None],
     ) -> None:
-        """Proposes a change to the leader; `done` is called once with its result or an error.
+        """Proposes a change to the leader; `done` is called once with its result, or with an error within `wait_ms`.
 
-        A change that is sent again under the same id replaces the earlier pending one.
+        A pending change with the same id is replaced, and its own `done` is then never called.
         """
         self.pending[propose.id] = PendingProposal(propose, now_ms + wait_ms, done)
         self._step(now_ms)
 
     def _on_propose(self, now_ms: float, run: int, request: Propose) -> None:
-        """Handles a change that a member, or this one, proposes."""
+        """Handles a change that a member, possibly this one, proposes; replies with the leader if that is another."""
         raft = self.raft
         if request.change is not None and request.id in self.documents.ids and raft is not None:
             result = self.documents.ids[request.id]
@@ -717,7 +760,7 @@
             self._reply(run, ProposeReply(request.id, leader=raft.leader if raft is not None else ""))
             return
         if request.id in self.proposers:
-            return  # not committed yet
+            return  # the change was sent again; it is answered once it is committed
         try:
             if request.change is None:
                 if raft.voters != request.voters:
@@ -735,12 +778,14 @@
         self._after_raft_step(now_ms)
 
     def _reply(self, run: int, reply: ProposeReply) -> None:
+        """Sends a reply to the proposing member, which may be this one."""
         if run == self.view.run:
             self._on_propose_reply(-float("inf"), reply)
         else:
             self._send(run, reply)
 
     def _on_propose_reply(self, now_ms: float, reply: ProposeReply) -> None:
+        """Ends the pending change if the reply has its result; otherwise notes the leader and lets it be sent there."""
         pending = self.pending.get(reply.id)
         if pending is None:
             return
@@ -761,14 +806,17 @@
         self.pending.pop(id_).done(result)
 
     def _send_pending(self, now_ms: float) -> float:
-        """Sends the pending changes to the leader; returns when to call again."""
+        """Sends pending changes that are due to the leader, or to a random voter if it is unknown or does not answer.
+
+        Ends those whose time-out has expired. Returns when to call again.
+        """
         next_ms = float("inf")
         for id_, pending in list(self.pending.items()):
             if now_ms >= pending.deadline_ms:
                 self._finish(
                     id_,
                     NoAgreementError(
-                        "no majority of the voters has committed it in time; it may still be committed"
+                        "the change was not reported as committed within the time-out; it may still be committed"
                     ),
                 )
                 continue
--- a/leadslip/fleet/agreement/raft.py
+++ b/leadslip/fleet/agreement/raft.py
@@ -1,15 +1,15 @@
 """Raft consensus on one log (Ongaro, 2014) with pre-vote, check-quorum, leadership transfer and snapshots.
 
 One `Raft` object per voter, driven by `received`, `due`, `saved` and the calls of operators. It leaves messages in
-`outbox` and data to be made durable in `saves`, and passes committed entries to `commit`. Times are milliseconds of the
-voter's monotonic clock. Pure: no I/O, time and randomness are passed in.
+`outbox` and data to be made durable in `saves`, and passes committed entries to `on_committed`. Times are milliseconds
+of the voter's monotonic clock. Pure: no I/O, time and randomness are passed in.
 
-Nothing counts before it is durable: a message that depends on a save is deferred until `saved` reports that the save
-is on disk, and so is this voter's own share of a majority. The state in memory may be ahead of the disk, but no other
-voter sees it.
+A message that depends on a save is deferred until `saved` reports that the save is on disk. Likewise, this voter counts
+itself towards a majority only once its own vote or entry is on disk. The state in memory may be ahead of the disk, but
+other voters learn only of what is durable.
 
 A voter is identified by an id stored on its disk. A voter that lost its disk draws a new id, which is in no list of
-voters until operators add it, so it can't vote again as the voter that it was.
+voters until operators add it. So it can't vote a second time under its old id, whose votes it no longer knows.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 
 
 class EntryKind(IntEnum):
-    """Kinds of log entries."""
+    """Kind of a log entry."""
 
-    NOTHING = 0  # a new leader's first: older entries may be committed only after one of its own term
+    NO_OP = 0  # each new leader appends one: entries of earlier terms are committed only along with one of its own term
     CHANGE = 1  # a change of the documents
-    VOTERS = 2  # the list of voter ids that applies from here on
-    SNAPSHOT = 3  # never in a log: passed to `commit` when a snapshot replaces entries
+    VOTERS = 2  # the list of voter ids, in use from this entry on
+    SNAPSHOT = 3  # never in the log; passed to `on_committed` when a received snapshot replaces the state
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry of the log; the format of `data` depends on the kind."""
+    """One entry of the log; the format of `data` depends on `kind` (an EntryKind)."""
 
     index: int
     term: int
@@ -64,12 +64,12 @@
 
 
 class VoteRequest(RaftMessage, tag=20, frozen=True):
-    """Asks for a vote, or with `pre` whether it would be granted; `forced`: sent after a leadership transfer."""
+    """Asks for a vote, or in a pre-vote whether it would be granted."""
 
     last_index: int
     last_term: int
-    pre: bool
-    forced: bool = False
+    pre: bool  # whether this is a pre-vote
+    forced: bool = False  # after a leadership transfer: a voter in contact with a leader may grant it, too
 
 
 class VoteReply(RaftMessage, tag=21, frozen=True):
@@ -80,7 +80,7 @@
 
 
 class AppendEntries(RaftMessage, tag=22, frozen=True):
-    """Entries that follow the entry (`prev_index`, `prev_term`); the reply repeats `round`."""
+    """Entries that follow the entry (`prev_index`, `prev_term`), or none as a heartbeat; the reply repeats `round`."""
 
     prev_index: int
     prev_term: int
@@ -90,7 +90,10 @@
 
 
 class AppendReply(RaftMessage, tag=23, frozen=True):
-    """Reply: the log matches up to `index`; if not `success`, the leader retries from `index` downwards."""
+    """Reply to AppendEntries and InstallSnapshot: the log matches the leader's up to `index`.
+
+    If not `success`, the logs differ before the entries that were sent; the leader retries with those after `index`.
+    """
 
     success: bool
     index: int
@@ -98,14 +101,14 @@
 
 
 class InstallSnapshot(RaftMessage, tag=24, frozen=True):
-    """A snapshot in place of entries that the leader has already compacted."""
+    """The leader's snapshot, sent in place of entries that it has already compacted."""
 
     snapshot: Snapshot
     round: int
 
 
 class TimeoutNow(RaftMessage, tag=25, frozen=True):
-    """The leader transfers its leadership: the target starts an election at once."""
+    """Sent to the target of a leadership transfer, which starts an election at once."""
 
 
 AnyMessage = VoteRequest | VoteReply | AppendEntries | AppendReply | InstallSnapshot | TimeoutNow
@@ -115,7 +118,7 @@
     """Role of a voter."""
 
     FOLLOWER = 0
-    WOULD_BE = 1  # pre-candidate: asks whether it would be elected
+    WOULD_BE = 1  # pre-candidate: asks whether it would be elected (operators see the name in the status)
     CANDIDATE = 2
     LEADER = 3
 
@@ -131,23 +134,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Raft timing in ms. An election takes about two of the longest time-outs unless two voters start at once."""
+    """Intervals and time-outs of the protocol.
+
+    After a leader fails, a new one is elected within about two of the longest election time-outs, unless two voters
+    start an election at the same time.
+    """
 
     heartbeat_ms: float = 100.0  # between two messages of a leader to each follower
-    election_timeout_ms: float = 500.0  # minimum; the actual time-out is drawn between this and twice this
+    election_timeout_ms: float = 500.0  # minimum; each time-out is random between this and twice this
     transfer_timeout_ms: float = 1000.0  # a leadership transfer that takes longer is abandoned
 
 
 @dataclass(slots=True)
 class Save:
-    """State to be made durable, in order: term and vote, and a part of the log or a snapshot that replaces it."""
+    """One write to the disk: term and vote, and possibly new log entries or a snapshot. Saves are written in order."""
 
-    number: int
+    number: int  # counts the saves since the start of the process
     term: int
     vote: str
     after: int = 0  # entries after this index are replaced by `entries`
     entries: tuple[Entry, ...] = ()
-    snapshot: Snapshot | None = None
+    snapshot: Snapshot | None = None  # replaces the previous snapshot and the entries up to its index
     replaces_log: bool = False  # the snapshot replaces the entire log, as the log does not match it
 
 
@@ -167,8 +174,9 @@
     __slots__ = ("match_index", "next_index", "last_received_ms", "round", "last_sent_ms")
 
     def __init__(self, next_index: int, now_ms: float) -> None:
+        # Up to which index its log is known to match ours, and the index of the next entry to send:
         self.match_index, self.next_index = 0, next_index
-        self.last_received_ms = now_ms
+        self.last_received_ms = now_ms  # when it last replied
         self.round = 0  # the latest heartbeat round that it has answered
         self.last_sent_ms = -float("inf")
 
@@ -179,34 +187,38 @@
     def __init__(
         self,
         id_: str,
-        kept: PersistentState,
+        persistent_state: PersistentState,
         rng: Random,
         metrics: Metrics,
-        commit: Callable[[Entry], None],
-        pace: Timing,
+        on_committed: Callable[[Entry], None],
+        timing: Timing,
     ) -> None:
-        self.id, self.rng, self.metrics, self.commit, self.pace = id_, rng, metrics, commit, pace
-        self.term, self.vote = kept.term, kept.vote
-        self.snapshot, self.entries = kept.snapshot, list(kept.entries)
+        self.id, self.rng, self.metrics, self.on_committed, self.timing = (
+            id_,
+            rng,
+            metrics,
+            on_committed,
+            timing,
+        )
+        self.term, self.vote = persistent_state.term, persistent_state.vote
+        self.snapshot, self.entries = persistent_state.snapshot, list(persistent_state.entries)
         self.role, self.leader = Role.FOLLOWER, ""
-        self.committed = self.applied = kept.snapshot.index
+        self.committed = self.applied = persistent_state.snapshot.index
         self.outbox: list[AnyMessage] = []
         self.saves: list[Save] = []
-        self.issued_save = self.durable_save = (
-            0  # number of the last save issued, and of the last known to be on disk
-        )
-        self.durable_index = self.last_index
-        self.deferred: list[
-            tuple[int, AnyMessage]
-        ] = []  # messages that wait for a save: (its number, message)
-        self.votes_received: set[str] = set()
-        self.followers: dict[str, Follower] = {}
-        self.round = 0
-        self.rounds: dict[int, tuple[float, int]] = {}  # round -> (start, committed index then)
+        # Number of the last save issued, and of the last known to be on disk:
+        self.issued_save = self.durable_save = 0
+        self.durable_index = self.last_index  # index of the last entry known to be on disk
+        self.deferred: list[tuple[int, AnyMessage]] = []  # messages waiting for a save: (its number, message)
+        self.votes_received: set[str] = set()  # voters that granted their vote in the current election
+        self.followers: dict[str, Follower] = {}  # as leader: the other voters, by id
+        self.round = 0  # as leader: number of the latest heartbeat round
+        self.rounds: dict[int, tuple[float, int]] = {}  # round -> (its start, committed index at its start)
+        # The latest round that a majority has answered: its start, and the committed index at its start.
         self.confirmed_ms, self.confirmed_index = -float("inf"), 0
         self.term_start_index = 0  # index of our first entry in the term that we lead
-        self.transfer_target, self.transfer_started_ms = "", 0.0
-        self.last_leader_contact_ms = -float("inf")  # last message from a leader of our term
+        self.transfer_target, self.transfer_started_ms = "", 0.0  # target "": no leadership transfer
+        self.last_leader_contact_ms = -float("inf")  # when a leader of our term last sent a message
         self.wake_ms = float("inf")
         self.election_due_ms = float("inf")
         self.heartbeat_due_ms = float("inf")
@@ -224,7 +236,7 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int:
-        """Returns the term of an entry; -1 if the log does not have it."""
+        """Returns the term of the entry at an index; -1 if it was compacted or the log does not reach it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         offset = index - self.snapshot.index - 1
@@ -242,14 +254,14 @@
 
     @property
     def voters(self) -> list[str]:
-        """The current voters: the latest list in the log, committed or not."""
+        """Ids of the current voters: the latest list in the log, committed or not, or that of the snapshot."""
         for entry in reversed(self.entries):
             if entry.kind == EntryKind.VOTERS:
                 return msgspec.msgpack.decode(entry.data, type=list[str])
         return self.snapshot.voters
 
     def _is_majority(self, supporters: Sequence[str]) -> bool:
-        """Whether these are a majority of the current voters; others among them do not count."""
+        """Whether these ids include a majority of the current voters."""
         voters = self.voters
         return 2 * sum(voter in voters for voter in supporters) > len(voters)
 
@@ -273,10 +285,11 @@
 
     def _reset_election_timer(self, now_ms: float) -> None:
         """Restarts the election timer with a random time-out."""
-        self.election_due_ms = now_ms + self.pace.election_timeout_ms * (1.0 + self.rng.random())
+        self.election_due_ms = now_ms + self.timing.election_timeout_ms * (1.0 + self.rng.random())
         self._update_wake_time()
 
     def _save(self, **fields: object) -> None:
+        """Issues a save of the term and the vote, with these further fields of `Save`."""
         self.issued_save += 1
         self.saves.append(Save(self.issued_save, self.term, self.vote, **fields))
 
@@ -300,14 +313,14 @@
             self._advance(now_ms)
 
     def _send(self, message: AnyMessage, durable: bool = False) -> None:
-        """Sends a message; with `durable` only once all saves issued so far are on disk."""
+        """Queues a message for sending; with `durable` only once all saves issued so far are on disk."""
         if durable and self.durable_save < self.issued_save:
             self.deferred.append((self.issued_save, message))
         else:
             self.outbox.append(message)
 
     def _become_follower(self, now_ms: float, term: int, leader: str = "") -> None:
-        """Becomes a follower, in this term or a later one."""
+        """Becomes a follower in this term, which is the current or a later one; `leader` is empty if unknown."""
         if term > self.term:
             self.term, self.vote = term, ""
             self._save(after=self.last_index)
@@ -323,9 +336,10 @@
     # Elections.
 
     def _start_election(self, now_ms: float, pre: bool, forced: bool = False) -> None:
-        """Starts an election; with `pre` a pre-vote, which asks whether we would be elected without raising the term.
+        """Starts an election; with `pre` a pre-vote, which asks without raising the term whether we would be elected.
 
-        Pre-vote prevents a voter that was partitioned from deposing, on its return, a leader that all others follow.
+        Without a pre-vote, a voter that returns from a partition would depose a leader that all others follow, as it
+        has raised its term in the meantime.
         """
         self._reset_election_timer(now_ms)
         self.leader = ""
@@ -356,10 +370,11 @@
 
     def _on_vote_request(self, now_ms: float, request: VoteRequest) -> None:
         has_leader = self.role is Role.LEADER or (
-            self.leader and now_ms - self.last_leader_contact_ms < self.pace.election_timeout_ms
+            self.leader and now_ms - self.last_leader_contact_ms < self.timing.election_timeout_ms
         )
         if has_leader and not request.forced:
-            # Leader stickiness, which goes with check-quorum: a voter in contact with a leader grants no votes.
+            # A voter in contact with a leader grants no vote, so that one voter that can't reach the leader does not
+            # depose it. A leader without a majority steps down by itself (check-quorum, `_send_heartbeats`).
             self._send(
                 VoteReply(
                     self.id, request.source, request.term if request.pre else self.term, False, request.pre
@@ -406,7 +421,8 @@
         self.rounds.clear()
         self.confirmed_ms = -float("inf")
         self.transfer_target = ""
-        # The very first leader writes the list of voters into the log, for voters that join later with an empty disk.
+        # The first leader of all terms writes the list of voters into the log, from which voters that are added later,
+        # with an empty disk, learn it.
         is_first_leader = not self.snapshot.index and all(
             entry.kind != EntryKind.VOTERS for entry in self.entries
         )
@@ -414,7 +430,7 @@
             *(
                 (EntryKind.VOTERS, msgspec.msgpack.encode(self.voters))
                 if is_first_leader
-                else (EntryKind.NOTHING, b"")
+                else (EntryKind.NO_OP, b"")
             )
         )
         self.term_start_index = self.last_index
@@ -424,7 +440,10 @@
     # Replication.
 
     def propose(self, now_ms: float, data: bytes) -> int:
-        """Appends a change to the log and returns its index. Raises RaftError unless leader, or during a transfer."""
+        """Appends a change to the log and returns its index.
+
+        Raises RaftError if this voter is not the leader, or during a leadership transfer.
+        """
         self._require_leader()
         index = self._append(EntryKind.CHANGE, data)
         self._send_heartbeats(now_ms)
@@ -433,9 +452,11 @@
 
     def _require_leader(self) -> None:
         if self.role is not Role.LEADER:
-            raise RaftError("this voter is not the leader" if self.leader else "there is no leader")
+            raise RaftError(
+                "this voter is not the leader" if self.leader else "no leader is known to this voter"
+            )
         if self.transfer_target:
-            raise RaftError("a leadership transfer is in progress")
+            raise RaftError(f"a transfer of the leadership to voter {self.transfer_target} is in progress")
 
     def _append(self, kind: EntryKind, data: bytes) -> int:
         entry = Entry(self.last_index + 1, self.term, int(kind), data)
@@ -444,21 +465,25 @@
         return entry.index
 
     def _send_heartbeats(self, now_ms: float) -> None:
-        """Sends a heartbeat round to all followers; steps down if no majority answered for two election time-outs."""
-        self.heartbeat_due_ms = now_ms + self.pace.heartbeat_ms
+        """Starts a heartbeat round: sends entries, or none, to all followers.
+
+        Steps down if no majority has replied within twice the minimum election time-out (check-quorum).
+        """
+        self.heartbeat_due_ms = now_ms + self.timing.heartbeat_ms
         reachable = [self.id] + [
             voter
             for voter, follower in self.followers.items()
-            if now_ms - follower.last_received_ms < 2 * self.pace.election_timeout_ms
+            if now_ms - follower.last_received_ms < 2 * self.timing.election_timeout_ms
         ]
         if not self._is_majority(reachable):
             self.metrics.add("agreement.no_majority")
             self._become_follower(now_ms, self.term)
             return
-        if self.transfer_target and now_ms - self.transfer_started_ms > self.pace.transfer_timeout_ms:
+        if self.transfer_target and now_ms - self.transfer_started_ms > self.timing.transfer_timeout_ms:
             self.transfer_target = ""
         self.round += 1
         self.rounds[self.round] = now_ms, self.committed
+        # Bounds the memory: a reply to one of the rounds dropped here confirms nothing.
         for old_round in [number for number in self.rounds if number < self.round - 50]:
             del self.rounds[old_round]
         for voter in self.followers:
@@ -467,6 +492,7 @@
         self._update_wake_time()
 
     def _replicate(self, now_ms: float, voter: str) -> None:
+        """Sends a follower the entries that it lacks, or the snapshot if those were compacted."""
         follower = self.followers[voter]
         follower.last_sent_ms = now_ms
         prev_index = follower.next_index - 1
@@ -480,13 +506,14 @@
                 self.id, voter, self.term, prev_index, prev_term, entries, self.committed, self.round
             )
         )
-        follower.next_index = prev_index + len(entries) + 1  # optimistic; a rejecting reply sets it back
+        # Does not wait for the reply; one without `success` sets the index back.
+        follower.next_index = prev_index + len(entries) + 1
 
     def _on_append(self, now_ms: float, message: AppendEntries) -> None:
         self.last_leader_contact_ms = now_ms
         self._reset_election_timer(now_ms)
         if message.prev_index < self.snapshot.index:
-            # The snapshot covers the start; everything in it is committed, so later entries match.
+            # Our snapshot covers the first of these entries. They are committed, so they match and are skipped.
             entries = [entry for entry in message.entries if entry.index > self.snapshot.index]
             prev_index = self.snapshot.index
             if message.prev_index + len(message.entries) < prev_index:
@@ -498,6 +525,7 @@
         else:
             entries, prev_index = list(message.entries), message.prev_index
             if self.term_at(prev_index) != message.prev_term:
+                # The highest index at which the logs may still match: entries of a later term than `prev_term` do not.
                 hint = min(prev_index, self.last_index + 1) - 1
                 while hint > self.committed and self.term_at(hint) > message.prev_term:
                     hint -= 1
@@ -543,13 +571,17 @@
             self.snapshot = snapshot
             self.committed = self.applied = snapshot.index
             self._save(after=self.last_index, snapshot=snapshot, replaces_log=not matches)
-            self.commit(Entry(snapshot.index, snapshot.term, int(EntryKind.SNAPSHOT), snapshot.data))
+            self.on_committed(Entry(snapshot.index, snapshot.term, int(EntryKind.SNAPSHOT), snapshot.data))
             self.metrics.add("agreement.installed")
         index = max(snapshot.index, self.committed)
         self._send(AppendReply(self.id, message.source, self.term, True, index, message.round), durable=True)
 
     def _advance(self, now_ms: float) -> None:
-        """Commits up to the index that a majority has on disk, if that entry is of our term (Raft, section 5.4.2)."""
+        """Commits all entries up to the index that a majority has on disk, if the entry there is of the leader's term.
+
+        Entries of earlier terms are committed only along with one of the leader's term (section 5.4.2 of Ongaro and
+        Ousterhout, "In Search of an Understandable Consensus Algorithm").
+        """
         voters = self.voters
         own_index = [self.durable_index] if self.id in voters else []
         match_indexes = sorted(
@@ -561,21 +593,21 @@
         majority_index = match_indexes[(len(voters) - 1) // 2] if len(match_indexes) == len(voters) else 0
         if majority_index > self.committed and self.term_at(majority_index) == self.term:
             self._commit(majority_index)
-            self.heartbeat_due_ms = min(
-                self.heartbeat_due_ms, now_ms
-            )  # reports the new index to the followers at once
+            # The followers learn the new index by a heartbeat that is due at once.
+            self.heartbeat_due_ms = min(self.heartbeat_due_ms, now_ms)
             self._update_wake_time()
             if self.id not in voters:
-                self._become_follower(now_ms, self.term)  # we are no longer a voter
+                self._become_follower(now_ms, self.term)  # the list of voters without this one is committed
 
     def _commit(self, index: int) -> None:
+        """Raises the committed index and applies the entries up to it."""
         self.committed = max(self.committed, index)
         while self.applied < self.committed:
             self.applied += 1
-            self.commit(self.entries[self.applied - self.snapshot.index - 1])
+            self.on_committed(self.entries[self.applied - self.snapshot.index - 1])
 
     def compact(self, data: bytes) -> None:
-        """Replaces all applied entries by a snapshot; `data` is the state after them."""
+        """Replaces all applied entries by a snapshot; `data` is the serialized state after them."""
         index = self.applied
         if index == self.snapshot.index:
             return
@@ -588,21 +620,21 @@
         self.snapshot = snapshot
         self._save(after=self.last_index, snapshot=snapshot)
 
-    # Operators' requests.
+    # Freshness and operators' requests.
 
     def confirmed(self, now_ms: float) -> tuple[int, float] | None:
-        """Returns (index, age): `age` ms ago nothing after this index was committed anywhere; None if not known.
+        """Returns (index, age): `age` ms ago, no entry after this index was committed anywhere; None if not known.
 
-        Known to a leader alone: a majority has answered a round that began then, so no other leader could have been
-        elected before. It holds for rounds begun after an entry of the leader's own term was committed: before that,
-        the leader may not know which entries are committed.
+        Only a leader knows this: a majority has answered the heartbeat round that it began at that time, so no other
+        leader had been elected by then. It holds only for rounds begun after an entry of the leader's own term was
+        committed: before that, the leader may not know which entries are committed.
         """
         if self.role is not Role.LEADER or self.confirmed_index < self.term_start_index:
             return None
         return self.confirmed_index, now_ms - self.confirmed_ms
 
     def _confirm(self, now_ms: float) -> None:
-        """Records the latest round that a majority has answered: its committed index was the newest when it began."""
+        """Finds the latest round that a majority has answered and records its start and its committed index."""
         voters = self.voters
         answered_rounds = sorted(
             ([self.round] if self.id in voters else [])
@@ -615,19 +647,26 @@
             self.confirmed_ms, self.confirmed_index = self.rounds[round_]
 
     def change_voters(self, now_ms: float, voters: list[str]) -> int:
-        """Appends a list with one voter more or one less and returns its index.
+        """Appends a list of voters with one added or one removed; returns the index of the entry.
 
-        Raises RaftError if more than one voter differs, or if an earlier change is not committed yet.
+        Raises RaftError if this voter is not the leader, the list does not differ by exactly one voter, or an earlier
+        change of the voters is not committed yet.
         """
         self._require_leader()
         if len(set(voters) ^ set(self.voters)) != 1 or len(set(voters)) != len(voters):
-            raise RaftError("voters must change one at a time: add or remove exactly one")
+            raise RaftError(
+                "voters must change one at a time: add or remove exactly one; "
+                f"the current voters are {self.voters}, requested are {voters}"
+            )
         pending = any(
             entry.kind == EntryKind.VOTERS and entry.index > self.committed for entry in self.entries
         )
         if pending or self.committed < self.term_start_index:
-            # Two overlapping changes could have majorities that don't overlap (Ongaro's correction of 2015).
-            raise RaftError("a change of voters, or the first entry of this term, is not committed yet")
+            # Otherwise two leaders could commit by majorities of different lists that have no voter in common (Ongaro's
+            # correction of 2015 to single-server membership changes).
+            raise RaftError(
+                "an earlier change of voters, or the first entry of this term, is not committed yet"
+            )
         index = self._append(EntryKind.VOTERS, msgspec.msgpack.encode(voters))
         for voter in voters:
             if voter != self.id and voter not in self.followers:
@@ -639,11 +678,14 @@
         return index
 
     def voters_settled(self) -> bool:
-        """Whether no change of the voters is uncommitted."""
+        """Whether all changes of the voters in the log are committed."""
         return all(entry.kind != EntryKind.VOTERS or entry.index <= self.committed for entry in self.entries)
 
     def transfer(self, now_ms: float, target: str) -> None:
-        """Transfers leadership to `target` once its log has caught up. Raises RaftError."""
+        """Transfers leadership to `target` once its log has caught up.
+
+        Raises RaftError if this voter is not the leader, a transfer is in progress, or `target` is not another voter.
+        """
         self._require_leader()
         if target not in self.followers:
             raise RaftError(f"leadership can be transferred only to another voter, not to {target!r}")
@@ -674,7 +716,7 @@
                     self._become_follower(now_ms, message.term, leader)
                 if message.term < self.term:
                     if isinstance(message, AppendEntries | InstallSnapshot):
-                        # A deposed leader: the reply carries the newer term.
+                        # From a deposed leader, which steps down when it reads the newer term in the reply.
                         self._send(AppendReply(self.id, message.source, self.term, False, 0, 0))
                 elif isinstance(message, AppendEntries):
                     self._on_append(now_ms, message)
--- a/tests/test_fleet_agreed.py
+++ b/tests/test_fleet_agreed.py
@@ -140,7 +140,7 @@
     lab = bootstrapped(8)
     host = lab.fleet.hosts["p06"]
     contents = host.agreement.current
-    diverging = type(contents).of(contents.revision, {"isolated": b'{"most_tries":3}'})
+    diverging = type(contents).from_bodies(contents.revision, {"isolated": b'{"most_tries":3}'})
     host.agreement.current = host.agreement.newest = diverging
     lab.fleet.run(6000.0)
     assert [fields["documents"] for _, event, fields in lab.logged if event == "agreement.quarantined"] == [
@@ -155,7 +155,7 @@
     lab = bootstrapped(9)
     name = next(name for name in lab.voters if name != lab.leader_name())
     agreement = lab.fleet.hosts[name].agreement
-    agreement.current = agreement.newest = type(agreement.current).of(agreement.current.revision, {})
+    agreement.current = agreement.newest = type(agreement.current).from_bodies(agreement.current.revision, {})
     lab.fleet.run(6000.0)
     assert "differs from the leader's" in agreement.stop_reason and agreement.raft is None
 
--- a/tests/test_fleet_filter.py
+++ b/tests/test_fleet_filter.py
@@ -9,12 +9,12 @@
 from tests.helpers import PLAIN
 from tests.test_core import World
 
-BASE = Rules.of(RevisionContents.of(1, {}))
+BASE = Rules.parse(RevisionContents.from_bodies(1, {}))
 
 
 def rules(revision, **documents):
-    return Rules.of(
-        RevisionContents.of(
+    return Rules.parse(
+        RevisionContents.from_bodies(
             revision, {name: json.dumps(document).encode() for name, document in documents.items()}
         )
     )
