--- a/leadslip/fleet/agreement/member.py
+++ b/leadslip/fleet/agreement/member.py
@@ -56,9 +56,7 @@
 RETRY_MS = 400.0  # between two sends of an unanswered request
 COMPACT_AFTER_ENTRIES = 200  # the log is compacted when it has more applied entries than this
 MAX_UNCOMMITTED_PROPOSALS = 256  # changes that a leader has accepted and that are not committed yet
-BOOTSTRAP_INTERVAL_MS = (
-    100.0  # between two attempts to bootstrap, and between two sends of the first list of voters
-)
+BOOTSTRAP_INTERVAL_MS = 100.0  # between two bootstrap attempts, and two sends of the first list of voters
 
 
 class StoppedError(OperatorError):
@@ -283,9 +281,8 @@
         self.freshness = Freshness(in_force_ms)
         # The revision that is applied here, and the newest that has been received completely:
         self.current, self.newest = NO_REVISION, NO_REVISION
-        self.rules: Rules | None = Rules.parse(
-            NO_REVISION
-        )  # of `current`; None: it can't be parsed, or was dropped
+        # The rules of `current`; None: it can't be parsed, or it was quarantined.
+        self.rules: Rules | None = Rules.parse(NO_REVISION)
         self.fallback_rules = Rules.fallback(isolated)
         self.fetch: Fetch | None = None
         self.pending: dict[str, PendingProposal] = {}  # by change id
@@ -294,12 +291,10 @@
         self.persistent_state: PersistentState | None = None  # None: this member is no voter
         self.raft: Raft | None = None  # None: not voting (yet, or because it has stopped)
         self.documents = Documents()  # the state machine of the log; empty at learners
-        self.revisions_by_index: list[tuple[int, int]] = [
-            (0, 0)
-        ]  # (entry's index, revision after that entry)
-        self.bootstrap_sent_ms = -float(
-            "inf"
-        )  # when the first list of voters was last sent to the other voters
+        # (index of an entry, revision after that entry), ascending:
+        self.revisions_by_index: list[tuple[int, int]] = [(0, 0)]
+        # When the first list of voters was last sent to the other voters:
+        self.bootstrap_sent_ms = -float("inf")
         self.proposers: dict[str, int] = {}  # as leader: id of an uncommitted change -> run of its proposer
         view.freshness_report, view.on_freshness_report = self.freshness_report, self.on_freshness_report
         view.listeners.append(self.on_view_change)
--- a/leadslip/fleet/pools/policy.py
+++ b/leadslip/fleet/pools/policy.py
@@ -1,4 +1,6 @@
-"""Pool policies: the grammar, the typed rules, and the validation of a whole policy. Pure, without I/O.
+"""Pool policies: text from which the connection budgets of setup servers and their division are computed.
+
+Contains the grammar, the typed rules and the validation of a complete policy. Pure, without I/O. An example:
 
     budget core-*: 400 connections, keep 5% free
     tenant city: weight 3, floor 20, ceiling 60%
@@ -6,7 +8,9 @@
     routers: by need, floor 2, ceiling 40
     when zone lost: tenant river weight 8
 
-One rule a line; `#` begins a comment. Every error gives line, column and what to change.
+There is one rule per line; `#` begins a comment. `budget` sets the connections that each matching server accepts,
+`tenant` a tenant's share of each budget, `routers` the limits of each proxy's part of that share, and `when` changes a
+tenant's share while a condition holds. Every error gives the line, the column and what to change.
 """
 
 from __future__ import annotations
@@ -60,40 +64,43 @@
     """One value of a rule and its position in the text."""
 
     kind: str  # weight, floor or ceiling
-    value: float  # a fraction of the budget where `is_fraction`
-    is_fraction: bool
+    value: float
+    is_fraction: (
+        bool  # whether the value is a fraction of the budget (given in percent), not a number of connections
+    )
     line: int
     column: int
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetRule:
-    """The connections that each server of a name pattern accepts, and the fraction of them that is kept free."""
+    """The number of connections that each server accepts whose name matches a pattern."""
 
-    servers: str
+    servers: str  # pattern as in a shell, such as core-*
     connections: int
-    free_fraction: float
+    free_fraction: float  # of the connections; this part of them is never used
     line: int
     column: int
 
 
 @dataclass(frozen=True, slots=True)
 class TenantRule:
-    """A tenant's bounds within a budget; with `condition`, only while that condition holds."""
+    """A tenant's weight, floor and ceiling in each budget."""
 
     name: str
     settings: tuple[Setting, ...]
-    condition: str
+    condition: str  # the rule applies only while this condition holds; empty: always
     line: int
     column: int
 
     def setting(self, kind: str) -> Setting | None:
+        """Returns the setting of a kind; None if the rule does not have it."""
         return next((setting for setting in self.settings if setting.kind == kind), None)
 
 
 @dataclass(frozen=True, slots=True)
 class RoutersRule:
-    """The bounds of each proxy's share of a tenant's connections."""
+    """Floor and ceiling of each proxy's share of a tenant's connections."""
 
     settings: tuple[Setting, ...]
     line: int
@@ -156,12 +163,12 @@
     routers: RoutersRule
 
     def budget(self, server: str) -> int:
-        """The number of connections to a server that may be open; 0 where no rule matches it."""
+        """Returns the number of connections to a server that may be open; 0 if no rule matches its name."""
         rule = next((rule for rule in self.budgets if fnmatchcase(server, rule.servers)), None)
         return 0 if rule is None else int(rule.connections * (1.0 - rule.free_fraction) + 1e-9)
 
     def tenant_shares(self, server: str, conditions: frozenset[str] = frozenset()) -> dict[str, TenantShare]:
-        """Each tenant's claim on a server's budget while these conditions hold, as `split` takes it."""
+        """Returns each tenant's claim on a server's budget while these conditions hold; input of `split`."""
         budget = self.budget(server)
         settings: dict[str, dict[str, Setting]] = {}
         for rule in self.tenants:  # a later rule overrides an earlier one
@@ -185,16 +192,20 @@
 
 
 def _connections(setting: Setting, budget: int) -> float:
+    """Returns a setting's value as a number of connections."""
     return setting.value * budget if setting.is_fraction else setting.value
 
 
 def parse_policy(text: str, servers: Sequence[str], tenants: Sequence[str], max_members: int) -> Policy:
-    """Parse a policy and validate it against the servers and tenants of the settings. Raises PolicyError."""
+    """Parses a policy and validates it against the servers and tenants of the settings.
+
+    `max_members` is the maximum number of proxies in the fleet. Raises PolicyError.
+    """
     if len(text) > MAX_POLICY_CHARACTERS:
         raise PolicyError(
             1,
             1,
-            f"the policy has {len(text)} characters, more than the allowed {MAX_POLICY_CHARACTERS}",
+            f"the policy has {len(text)} characters, at most {MAX_POLICY_CHARACTERS} are allowed",
             "shorten it",
         )
     try:
@@ -226,17 +237,17 @@
 
 def _check_budgets(rules: Sequence[BudgetRule], servers: Sequence[str]) -> None:
     if not rules:
-        raise PolicyError(
-            1, 1, "there is no budget rule", "begin with a line such as `budget *: 400 connections`"
-        )
+        raise PolicyError(1, 1, "there is no budget rule", "add a line such as `budget *: 400 connections`")
     unmatched = set(servers)
     for rule in rules:
         matching = {server for server in servers if fnmatchcase(server, rule.servers)}
         if not matching:
-            problem = f"{rule.servers} matches no server in the list"
-            raise PolicyError(rule.line, rule.column, problem, "correct the name or remove the line")
+            problem = f"the pattern {rule.servers} matches no server of the settings"
+            raise PolicyError(rule.line, rule.column, problem, "correct the pattern or remove the line")
         if not matching & unmatched:
-            problem = f"{rule.servers} can never apply, as earlier lines match all its servers"
+            problem = (
+                f"the pattern {rule.servers} can never apply, as earlier budget rules match all its servers"
+            )
             raise PolicyError(rule.line, rule.column, problem, "move the line up or remove it")
         if rule.connections < 1 or rule.free_fraction >= 1.0:
             raise PolicyError(
@@ -252,13 +263,18 @@
     seen: dict[tuple[str, str, str], Setting] = {}
     for rule in rules:
         if rule.name not in tenants:
-            problem = f"{rule.name} is no tenant in the settings"
-            raise PolicyError(rule.line, rule.column, problem, f"name one of {', '.join(tenants) or 'none'}")
+            problem = f"there is no tenant {rule.name} in the settings"
+            raise PolicyError(
+                rule.line,
+                rule.column,
+                problem,
+                f"name one of: {', '.join(tenants) or '(there are no tenants)'}",
+            )
         for setting in rule.settings:
             first = seen.setdefault((rule.name, rule.condition, setting.kind), setting)
             if first is not setting:
                 problem = (
-                    f"the {setting.kind} of {rule.name} is set twice for the same case, "
+                    f"the {setting.kind} of tenant {rule.name} is set twice for the same condition, "
                     f"first in line {first.line}"
                 )
                 raise PolicyError(setting.line, setting.column, problem, "remove one of the two")
@@ -266,24 +282,29 @@
                 raise PolicyError(
                     setting.line,
                     setting.column,
-                    f"a weight of {setting.value:g} gives nothing",
-                    "use 1 or more",
+                    f"a weight of {setting.value:g} gives nothing to tenant {rule.name}",
+                    "use a weight of 1 or more",
                 )
             if setting.is_fraction and setting.value > 1.0:
                 raise PolicyError(
                     setting.line,
                     setting.column,
-                    f"{setting.value:.0%} is more than 100% of a budget",
+                    f"the {setting.kind}, {setting.value:.0%}, is more than 100% of a budget",
                     "use at most 100%",
                 )
 
 
 def _check_floors(policy: Policy, servers: Sequence[str], max_members: int) -> None:
-    """Check that floors fit each budget under every condition: the tenants' together, and those of all proxies."""
+    """Checks the floors against the ceilings and, with each condition, against the budget of each server.
+
+    Neither the floors of all tenants together nor the routers' floor for all proxies and tenants may exceed a budget.
+    """
     bounds = {setting.kind: setting for setting in policy.routers.settings}
     floor, ceiling = bounds.get("floor"), bounds.get("ceiling")
     if floor is not None and ceiling is not None and floor.value > ceiling.value:
-        raise PolicyError(floor.line, floor.column, "the routers' floor is above the ceiling", "lower it")
+        raise PolicyError(
+            floor.line, floor.column, "the routers' floor is above the ceiling", "lower the floor"
+        )
     cases = [frozenset()] + [frozenset([rule.condition]) for rule in policy.tenants if rule.condition]
     for server in servers:
         budget = policy.budget(server)
@@ -295,9 +316,11 @@
         ):
             problem = (
                 f"a floor of {floor.value:g} for {max_members} proxies and each tenant "
-                f"is more than the budget of {budget}"
+                f"is more than the budget of {budget} connections of {server}"
+            )
+            raise PolicyError(
+                floor.line, floor.column, problem, f"lower the floor or raise the budget of {server}"
             )
-            raise PolicyError(floor.line, floor.column, problem, f"lower it, or raise the budget of {server}")
         for conditions in cases:
             shares = policy.tenant_shares(server, conditions)
             floors = sum(share.claim.floor for share in shares.values())
@@ -305,7 +328,7 @@
                 rule.setting("floor") for rule in policy.tenants if rule.setting("floor") is not None
             ]
             if floors > budget and floor_settings:
-                problem = f"floors of {floors:g} in total are more than the {budget} connections of {server}"
+                problem = f"tenants' floors of {floors:g} in total are more than the {budget} connections of {server}"
                 raise PolicyError(
                     floor_settings[-1].line,
                     floor_settings[-1].column,
--- a/leadslip/fleet/pools/split.py
+++ b/leadslip/fleet/pools/split.py
@@ -1,11 +1,11 @@
-"""Division of one server's connection budget: weighted max-min over tenants, then over the proxies of each.
-
-Pure, without I/O, and deterministic. A tenant gets its floor (as far as it has need), at most its ceiling, and beyond
-the floor a share by its weight: the smallest share relative to weight is as large as possible, then the next smallest
-(water-filling). A tenant's connections are divided among its proxies in the same way, with equal weights. Shares are
-rounded to integers by largest remainders, first for tenants, then for the proxies of each. Ties go to whoever has the
-connection already, so that a new division moves no more connections than the change of the shares requires, and each
-result is within one connection of the exact share.
+"""Division of one server's connection budget: weighted max-min fairness over tenants, then over each one's proxies.
+
+Pure, without I/O, and deterministic. A tenant gets at least its floor, unless it needs less, and at most its ceiling.
+Between these it gets a share by its weight: the smallest share relative to weight is as large as possible, then the
+next smallest (water-filling). A tenant's connections are divided among its proxies in the same way, with equal weights.
+Shares are rounded to integers by largest remainders, first for tenants, then for the proxies of each, so that each
+result is within one connection of the exact share. Connections left over by rounding down go first to those that have
+them already, so that a new division moves no more connections than the change of the shares requires.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What one party may have: at least `floor` and at most `ceiling` connections, between these by weight."""
+    """What a tenant or proxy may get: at least `floor` and at most `ceiling` connections, between these by weight."""
 
     weight: float
     floor: float
@@ -30,15 +30,16 @@
     """A tenant's claim on one server's budget, and the bounds of each proxy's share of what the tenant gets."""
 
     claim: Claim
-    router_floor: int = 0
+    router_floor: int = 0  # the rule `routers` of a policy sets this and the ceiling
     router_ceiling: float = math.inf
 
 
-def fill(total: float, claims: Sequence[Claim]) -> list[float]:
-    """Weighted max-min: each claim gets `level * weight` within its bounds, the level such that `total` is used up.
+def weighted_max_min(total: float, claims: Sequence[Claim]) -> list[float]:
+    """Returns the weighted max-min share of each claim: `level * weight`, limited by its floor and ceiling.
 
-    Floors that do not fit together are reduced in proportion; no claim gets more than its ceiling. The number of steps
-    is at most that of the distinct bounds.
+    The level is chosen so that the shares add up to `total`, or to less if all claims reach their ceilings. If the
+    floors alone exceed `total`, each gets its floor, reduced in proportion. The number of steps is at most that of the
+    distinct floors and ceilings.
     """
     floors = [min(claim.floor, claim.ceiling) for claim in claims]
     if sum(floors) >= total:
@@ -76,8 +77,8 @@
     return shares_at(below + (total - used) / slope if slope else below)
 
 
-def tie_break(server: str, tenant: str, proxy: str) -> int:
-    """The order in which equal remainders are served, the same at every member."""
+def tie_break_key(server: str, tenant: str, proxy: str) -> int:
+    """Sort key for equal remainders: pseudo-random, and the same at every member."""
     key = f"{server} {tenant} {proxy}".encode()
     return int.from_bytes(blake2b(key, digest_size=8, person=b"leadslip-split").digest())
 
@@ -85,9 +86,10 @@
 def round_shares(
     shares: Mapping[str, float], current: Mapping[str, int], order: Mapping[str, int]
 ) -> dict[str, int]:
-    """Round shares to integers: in total never more than the shares, and each within one of its share.
+    """Rounds shares to integers: in total never more than the shares, and each within one of its share.
 
-    A remainder goes first to those that currently have more connections than the integer part of their share.
+    Shares are rounded down, and the connections left over go one each to shares with a fraction: first to those that
+    currently have more connections than the integer part, then by the largest fraction, then by the lowest `order`.
     """
     counts = {key: math.floor(share + 1e-9) for key, share in shares.items()}
     remainder = math.floor(sum(shares.values()) + 1e-9) - sum(counts.values())
@@ -107,7 +109,10 @@
     needs: Mapping[tuple[str, str], int],
     current: Mapping[tuple[str, str], int] | None = None,
 ) -> dict[tuple[str, str], int]:
-    """Connections to a server by (tenant, proxy), from what each could use; in total at most the budget."""
+    """Returns the number of connections to a server by (tenant, proxy); in total at most the budget.
+
+    `needs` is the number that each could use, and `current` the number that each has from the previous division.
+    """
     current = current or {}
     usable: dict[str, dict[str, float]] = {name: {} for name in tenants}
     for (name, proxy), need in sorted(needs.items()):
@@ -123,15 +128,15 @@
         name: sum(count for (tenant_name, _), count in current.items() if tenant_name == name)
         for name in names
     }
-    shares = dict(zip(names, fill(budget, claims), strict=True))
-    totals = round_shares(shares, current_totals, {name: tie_break(server, name, "") for name in names})
+    shares = dict(zip(names, weighted_max_min(budget, claims), strict=True))
+    totals = round_shares(shares, current_totals, {name: tie_break_key(server, name, "") for name in names})
     connections: dict[tuple[str, str], int] = {}
     for name in names:
         proxies = list(usable[name])
         proxy_claims = [Claim(1.0, tenants[name].router_floor, usable[name][proxy]) for proxy in proxies]
-        proxy_shares = dict(zip(proxies, fill(totals[name], proxy_claims), strict=True))
+        proxy_shares = dict(zip(proxies, weighted_max_min(totals[name], proxy_claims), strict=True))
         current_here = {proxy: current.get((name, proxy), 0) for proxy in proxies}
-        order = {proxy: tie_break(server, name, proxy) for proxy in proxies}
+        order = {proxy: tie_break_key(server, name, proxy) for proxy in proxies}
         connections |= {
             (name, proxy): count for proxy, count in round_shares(proxy_shares, current_here, order).items()
         }
--- a/tests/test_fleet_split.py
+++ b/tests/test_fleet_split.py
@@ -6,7 +6,7 @@
 import highspy
 import pytest
 
-from leadslip.fleet.pools.split import Claim, Tenant, fill, split
+from leadslip.fleet.pools.split import Claim, Tenant, split, weighted_max_min
 
 
 def exact(total, claims):
@@ -75,7 +75,7 @@
     compared = 0
     for seed in range(block * 50, block * 50 + 50):
         total, claims = random_claims(random.Random(seed))
-        actual = fill(total, claims)
+        actual = weighted_max_min(total, claims)
         assert sum(actual) <= total + 1e-6
         assert all(
             -1e-9 <= share <= claim.ceiling + 1e-9 for share, claim in zip(actual, claims, strict=True)
@@ -123,10 +123,10 @@
     for name in names:
         usable_total, claim = sum(usable[name].values()), tenants[name].claim
         claims.append(Claim(claim.weight, min(claim.floor, usable_total), min(claim.ceiling, usable_total)))
-    for name, share in zip(names, fill(budget, claims), strict=True):
+    for name, share in zip(names, weighted_max_min(budget, claims), strict=True):
         total = sum(count for (tenant, _), count in connections.items() if tenant == name)
         assert abs(total - share) < 1.0
-        proxy_shares = fill(
+        proxy_shares = weighted_max_min(
             total, [Claim(1.0, tenants[name].router_floor, ceiling) for ceiling in usable[name].values()]
         )
         for proxy, proxy_share in zip(usable[name], proxy_shares, strict=True):
@@ -152,6 +152,6 @@
 
 
 def test_floors_that_do_not_fit_are_reduced_in_proportion_and_no_need_gets_nothing():
-    assert fill(10, [Claim(1, 10, 50), Claim(5, 30, 50)]) == pytest.approx([2.5, 7.5])
+    assert weighted_max_min(10, [Claim(1, 10, 50), Claim(5, 30, 50)]) == pytest.approx([2.5, 7.5])
     tenants = {"a": Tenant(Claim(1, 20, math.inf)), "b": Tenant(Claim(1, 0, math.inf))}
     assert split("s", 10, tenants, {("a", "p"): 0, ("b", "p"): 30}) == {("a", "p"): 0, ("b", "p"): 10}
