--- a/leadslip/parts/agreement/part.py
+++ b/leadslip/parts/agreement/part.py
@@ -1,4 +1,4 @@
-"""Connects the agreement to a proxy: fleet messages, the disk thread of a voter, a filter and control endpoints."""
+"""Connects the agreement to a running proxy: fleet messages, a voter's disk, the request filter and endpoints."""
 
 from __future__ import annotations
 
@@ -27,8 +27,11 @@
 from leadslip.operators import Answer, Endpoint, Endpoints, OperatorRequest, as_json, problem
 from leadslip.parts.part import Part
 
-DEFAULT_WAIT_MS, MAX_WAIT_MS = 3000.0, 30_000.0  # how long a request waits for a majority
-CLOSE_TIMEOUT_S = 1.0
+DEFAULT_WAIT_MS, MAX_WAIT_MS = (
+    3000.0,
+    30_000.0,
+)  # how long an operator's request waits for its change to be committed
+CLOSE_TIMEOUT_S = 1.0  # how long a shutdown waits for queued saves to be written
 
 
 class NoDocumentError(OperatorError):
@@ -39,7 +42,7 @@
 
 
 class AgreementPart(Part):
-    """Runs this proxy's agreement member, as a voter if its name is in the list, and applies the agreed rules."""
+    """Runs this proxy's agreement member, as a voter if the settings list its name, and applies the rules in effect."""
 
     agreement: Agreement | None = None
     saver: Saver | None = None
@@ -65,19 +68,19 @@
             disk = Disk(conf.disk)
             self.agreement.make_voter(disk.id, disk.starts, disk.load([]))
             self.saver = Saver(disk, node.reactor.callFromThread, self.saved, self.agreement.on_save_failed)
-        self.carrier = self.peers.add_part("agreement", self.agreement, self.save)
+        self.transport = self.peers.add_part("agreement", self.agreement, self.save)
         self.peers.publish_metadata()
         node.rebuild_filters()
 
-    # Between the fleet transport and the agreement.
+    # Saves of a voter, and metadata.
 
     def saved(self, number: int) -> None:
-        """Handles the report of the disk thread that a save is durable."""
+        """Handles the disk thread's report that the save with this number is durable."""
         self.agreement.saved(self.peers.clock.now_ms(), number)
-        self.carrier.flush()
+        self.transport.flush()
 
     def save(self) -> None:
-        """Queues the pending saves for the disk thread."""
+        """Passes new saves to the disk thread; publishes the metadata, as the first of them changes `blank`."""
         agreement = self.agreement
         saves, agreement.saves = agreement.saves, []
         for save in saves:
@@ -141,7 +144,10 @@
         return self.agreement
 
     def get_settings(self, request: OperatorRequest) -> Answer:
-        """Answers with all that is agreed, or with one document."""
+        """Answers with this member's status, the documents' hashes and the latest changes, or with one document.
+
+        Only voters have the history of changes; it is empty at learners.
+        """
         agreement = self.require_agreement()
         if not request.path:
             documents = {
@@ -162,7 +168,9 @@
             return as_json(status | {"documents": documents, "history": history})
         name = "/".join(request.path)
         if name not in agreement.current.bodies:
-            raise NoDocumentError(f"no document {name} is agreed on")
+            raise NoDocumentError(
+                f"no document {name} is agreed on; there are: {', '.join(agreement.current.bodies) or 'none'}"
+            )
         answer = {
             "name": name,
             "revision": agreement.current.revision,
@@ -171,7 +179,11 @@
         return as_json(answer)
 
     def put_settings(self, request: OperatorRequest) -> Answer | None:
-        """Proposes a change of the named document, or of those in the body, if unchanged since revision `expect`."""
+        """Proposes a change of the document that the path names, or without a name of all documents in the body.
+
+        An empty body, or null in place of a document, deletes it. The change is applied only if its documents have not
+        changed since revision `expect` of the query; by default that is the revision which this proxy applies.
+        """
         agreement, name = self.require_agreement(), "/".join(request.path)
         if name:
             bodies = {name: request.body}
@@ -183,7 +195,9 @@
                     for key, document in documents.items()
                 }
             except (ValueError, AttributeError) as error:
-                raise RefusedError(f"the body must be a JSON object of documents by name: {error}") from error
+                raise RefusedError(
+                    f"the body must be a JSON object that maps document names to documents: {error}"
+                ) from error
         expect = query_number(request, "expect", agreement.current.revision)
         query = request.query
         change = Proposal(
@@ -194,28 +208,31 @@
             query.get("why", ""),
             self.node.clock.now_ms(),
         )
+        # A voter has the documents and checks the change at once; for a learner the leader checks it.
         agreement.documents.check(change) if agreement.raft is not None else None
         return self.propose(request, Propose(change.id, change))
 
     def get_voters(self, request: OperatorRequest) -> Answer:
-        """Answers with the voters as this proxy knows them, and the voter ids of all live members."""
+        """Answers with this proxy's status as a voter (null if it is none), and all live members that are voters."""
         agreement = self.require_agreement()
-        there = {
+        live_voters = {
             str(member.facts["voter"]): {"name": member.name, "blank": bool(member.facts.get("blank"))}
             for member in self.peers.view.members()
             if "voter" in member.facts
         }
-        return as_json({"voter": agreement.status(self.peers.clock.now_ms())["voter"], "there": there})
+        return as_json({"voter": agreement.status(self.peers.clock.now_ms())["voter"], "there": live_voters})
 
     def put_voters(self, request: OperatorRequest) -> Answer | None:
-        """Proposes a new list of voters (comma-separated ids), with one voter more or one less than now."""
+        """Proposes a new list of voters (`ids`, separated by commas), with one voter more or one less than now."""
         ids = [id_ for id_ in request.query.get("ids", "").split(",") if id_]
         if not ids:
-            raise RefusedError("ids is empty: it must list the voters' ids, separated by commas")
+            raise RefusedError(
+                "the query has no `ids`: it must list the ids of all voters, separated by commas"
+            )
         return self.propose(request, Propose(secrets.token_hex(8), None, ids))
 
     def propose(self, request: OperatorRequest, proposal: Propose) -> None:
-        """Proposes a change and replies once its result is known."""
+        """Proposes a change, or a list of voters, and replies once its result is known or `wait_ms` has passed."""
         wait_ms = min(query_number(request, "wait_ms", DEFAULT_WAIT_MS), MAX_WAIT_MS)
 
         def done(result: ChangeResult | OperatorError) -> None:
@@ -225,11 +242,11 @@
                 request.reply(as_json({"revision": result.revision, "id": proposal.id}))
 
         self.agreement.propose(self.peers.clock.now_ms(), proposal, wait_ms, done)
-        self.carrier.flush()
+        self.transport.flush()
 
 
 def query_number(request: OperatorRequest, key: str, default: float) -> float:
-    """Returns a number of a request's query. Raises RefusedError if it is not one."""
+    """Returns the number under a key of a request's query. Raises RefusedError if the value is not a number."""
     try:
         return float(request.query.get(key, default))
     except ValueError as error:
--- a/leadslip/parts/agreement/settings.py
+++ b/leadslip/parts/agreement/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the agreement part. It requires the fleet part and, like that, is off on the platform."""
+"""Settings of the agreement part. It requires the fleet part, and is disabled wherever that is (parts/fleet)."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 )
 from leadslip.parts import PartSettings, SettingsContext
 
+# Numeric settings key -> (default, minimum, maximum).
 KEYS = {
     "in_force_ms": (2000.0, 200.0, 600_000.0),
     "isolated_most_tries": (1, 1, 16),
-}  # default, minimum, maximum
+}
 MAX_VOTERS = 9
 
 
 @dataclass(frozen=True, slots=True)
 class AgreementConfig:
-    """The voters, the file of a voter's persistent state, and how long a revision applies without confirmation."""
+    """Validated settings of the agreement."""
 
-    voters: tuple[str, ...]  # member names
-    disk: str  # path of the voter's file; only voters need one
-    in_force_ms: float
-    isolated_most_tries: (
-        int  # attempts per call under the fallback rules until a document `isolated` is agreed on
-    )
+    voters: tuple[str, ...]  # names of the members that vote
+    disk: str  # path of the file for a voter's persistent state; only voters need one
+    in_force_ms: float  # how long a revision is applied after it was last known to be the newest
+    # Maximum attempts per call under the fallback rules until a document `isolated` is agreed on:
+    isolated_most_tries: int
 
 
 def settings(table: Mapping, context: SettingsContext) -> AgreementConfig | None:
@@ -47,12 +47,12 @@
         raise TakenError(f"agreement.voters names a voter twice: {voters!r}")
     disk = table.get("disk", "")
     if not isinstance(disk, str) or disk.endswith("/"):
-        raise MalformedError(f"agreement.disk must be the path of a file: {disk!r}")
+        raise MalformedError(f"agreement.disk must be the path of a file, not of a directory: {disk!r}")
     return AgreementConfig(tuple(voters), disk, **bounded_numbers(table, "agreement", KEYS))
 
 
 class AgreementSettings(PartSettings):
-    """The settings file of the agreement part."""
+    """Describes the settings file of the agreement part."""
 
     name, environment_variable, restart_keys = "agreement", "LEADSLIP_AGREEMENT", "agreement"
     settings = staticmethod(settings)
