--- a/tests/test_fleet_agreed.py
+++ b/tests/test_fleet_agreed.py
@@ -1,4 +1,7 @@
-"""The agreement in a simulated fleet: bootstrap, learners, freshness of rules, voter changes, diverging replicas."""
+"""The agreement in a simulated fleet: bootstrap, learners, freshness of rules, voter changes, diverging replicas.
+
+The simulation checks invariants A1 to A3 (drill/check.py): `violations` and `lost_changes` list what broke them.
+"""
 
 import random
 
@@ -10,6 +13,7 @@
 
 
 def assert_converged(lab, timeout_ms=20_000.0):
+    """Waits until all members apply the newest revision; fails if that takes too long or an invariant was broken."""
     assert lab.fleet.until(lab.converged, timeout_ms) < timeout_ms, [
         (name, host.agreement.status(host.now_ms)) for name, host in lab.fleet.hosts.items()
     ]
@@ -24,6 +28,7 @@
 
 
 def bootstrapped(seed, members=7, **options):
+    """Returns a simulated fleet whose revision 1 has fallback rules that bar prefix 9."""
     lab = Agreed(seed, members, **options)
     assert_converged(lab)
     change_and_converge(lab, lab.names[-1], "isolated", {"bars": {"prefixes": ["9"]}}, "first")
@@ -127,7 +132,11 @@
     name = next(name for name in lab.voters if name != lab.leader_name())
     id_, starts, disk = lab.disks[name]
     lab.fleet.kill(name)
-    lab.disks[name] = id_, starts - 1, disk
+    lab.disks[name] = (
+        id_,
+        starts - 1,
+        disk,
+    )  # as in the older copy, so the next start announces `starts` again
     host = lab.start(name)
     lab.fleet.run(5000.0)
     assert host.agreement.raft is None and "older copy" in host.agreement.stop_reason
@@ -146,7 +155,7 @@
     assert [fields["documents"] for _, event, fields in lab.logged if event == "agreement.quarantined"] == [
         "isolated"
     ]
-    lab.violations.clear()
+    lab.violations.clear()  # the simulation has reported the diverging contents as a violation of A1
     assert_converged(lab)
     assert host.agreement.current.mark == contents.mark
 
@@ -166,7 +175,7 @@
     lab = bootstrapped(100 + seed, 6)
     rng = random.Random(seed)
     for i in range(25):
-        match rng.choice(("kill", "stall", "part", "loss", "change", "change")):
+        match rng.choice(("kill", "stall", "partition", "loss", "change", "change")):
             case "kill":
                 name = rng.choice(list(lab.fleet.hosts))
                 lab.fleet.kill(name)
@@ -174,7 +183,7 @@
                 lab.start(name)
             case "stall":
                 lab.fleet.hosts[rng.choice(list(lab.fleet.hosts))].stall(rng.uniform(300.0, 4000.0))
-            case "part":
+            case "partition":
                 one_side = rng.sample(lab.names, rng.randrange(1, 5))
                 lab.fleet.partition(one_side, [name for name in lab.names if name not in one_side])
                 lab.fleet.run(rng.uniform(100.0, 4000.0))
--- a/tests/test_fleet_agreed_processes.py
+++ b/tests/test_fleet_agreed_processes.py
@@ -1,4 +1,7 @@
-"""The agreement among processes of the program under fault injection: A1 to A3 are judged by their histories."""
+"""The agreement among processes of the program under fault injection, and the validation of its settings.
+
+After a run, the checker (drill/check.py) searches the processes' event histories for violations of A1 to A3.
+"""
 
 import json
 
@@ -44,6 +47,7 @@
     ],
 )
 def test_the_checker_detects_a_faulty_agreement(tmp_path, broken, invariant, fault):
+    """Guards against a checker that finds nothing: the processes run a variant that breaks an invariant on purpose."""
     report = run_drill(tmp_path, fault, broken=broken, settle_s=3.0, processes=4)
     assert invariant in {breach["invariant"] for breach in report["breaches"]}, report
 
--- a/tests/test_fleet_disk.py
+++ b/tests/test_fleet_disk.py
@@ -1,4 +1,4 @@
-"""The disk of a voter: writes are atomic at each point of failure; damaged and foreign files give an error."""
+"""The file of a voter: a write that fails changes nothing; damaged files and those of other programs give an error."""
 
 import os
 
@@ -48,7 +48,11 @@
 
 
 def test_a_write_that_fails_at_any_statement_changes_nothing(tmp_path):
-    """Each statement of each save fails once; afterwards the file contains the state before that save."""
+    """Guards against saves that are written in part.
+
+    Each SQL statement of each save fails once, as on a full disk; afterwards the file contains the state before that
+    save.
+    """
     failure_points = 0
     for save_index in range(1, len(SAVES)):
         failing_statement = 0
@@ -59,13 +63,13 @@
                 disk.write(save)
             remaining = [failing_statement]
 
-            def fail(*arguments, remaining=remaining):
+            def fail_at_statement(*arguments, remaining=remaining):
                 remaining[0] -= 1
                 if remaining[0] < 0:
-                    raise apsw.FullError("on purpose")
+                    raise apsw.FullError("injected by the test")
                 return True
 
-            disk.connection.exec_trace = fail
+            disk.connection.exec_trace = fail_at_statement
             try:
                 disk.write(SAVES[save_index])
                 failed = False
@@ -92,7 +96,7 @@
     return Disk(disk.path)
 
 
-def test_damaged_and_foreign_files_give_an_error(tmp_path):
+def test_damaged_files_and_files_of_other_programs_give_an_error(tmp_path):
     path = str(tmp_path / "voter")
     disk = Disk(path)
     for save in SAVES[:3]:
@@ -104,12 +108,12 @@
     with pytest.raises(StoreError, match="entry 3 is damaged, or one before it is missing"):
         disk.load([])
     disk.close()
-    foreign = str(tmp_path / "other")
-    connection = apsw.Connection(foreign)
+    other_path = str(tmp_path / "other")
+    connection = apsw.Connection(other_path)
     connection.execute("CREATE TABLE theirs (x)")
     connection.close()
     with pytest.raises(StoreError, match="not a voter file"):
-        Disk(foreign)
+        Disk(other_path)
     with open(path, "r+b") as file:
         file.write(os.urandom(64))
     with pytest.raises(StoreError):
--- a/tests/test_fleet_documents.py
+++ b/tests/test_fleet_documents.py
@@ -17,12 +17,13 @@
 }
 
 
-def change(id_, expect, **documents):
+def change(id_, expected_revision, **documents):
     bodies = {name: json.dumps(document).encode() for name, document in documents.items()}
-    return Proposal(id_, expect, bodies, "ops", "a test", 1.0)
+    return Proposal(id_, expected_revision, bodies, "ops", "a test", 1.0)
 
 
 def with_isolated():
+    """Returns documents whose revision 1 has the fallback rules ISOLATED."""
     state = Documents()
     state.apply(change("first", 0, isolated=ISOLATED))
     return state
@@ -93,9 +94,10 @@
     )
 )
 def test_the_same_changes_give_the_same_state_also_through_a_snapshot(changes):
+    """Guards against state that a snapshot loses: one copy is serialized and restored after each change."""
     direct, restored = Documents(), Documents()
-    for id_, expect, name, value in changes:
-        proposal = change(str(id_), expect, **{name: {"odd": value}})
+    for id_, expected_revision, name, value in changes:
+        proposal = change(str(id_), expected_revision, **{name: {"odd": value}})
         result = direct.apply(proposal)
         assert restored.apply(proposal) == result
         restored = Documents.load(restored.dump())
@@ -105,6 +107,7 @@
 
 
 def test_history_and_results_are_bounded(monkeypatch):
+    """Guards against memory and snapshots that grow with the number of changes ever made."""
     monkeypatch.setattr(documents_module, "MAX_HISTORY", 5)
     monkeypatch.setattr(documents_module, "MAX_RESULTS", 7)
     state = Documents()
--- a/tests/test_fleet_filter.py
+++ b/tests/test_fleet_filter.py
@@ -1,4 +1,4 @@
-"""The filter of the agreed rules: bars, drained servers, classes and attempts are those in effect at each call."""
+"""The filter of the agreed rules: each call is decided by the bars, drained servers, classes and attempts in effect."""
 
 import json
 
@@ -20,7 +20,7 @@
     )
 
 
-class Agreed(World):
+class WorldWithAgreedRules(World):
     """An engine with the filter of the agreed rules; the test sets the rules in effect."""
 
     def __init__(self, **more):
@@ -52,7 +52,7 @@
 
 
 def test_bars_refuse_by_number_and_destination_from_the_next_call_on():
-    world = Agreed()
+    world = WorldWithAgreedRules()
     world.offer_call("a", number="9001")
     assert len(world.sent) == 1
     world.rules = rules(2, bars={"prefixes": ["900"], "destinations": [7]})
@@ -63,14 +63,14 @@
 
 
 def test_a_drained_server_gets_no_set_up_until_it_is_back_in_rotation():
-    world = Agreed(drain_grace_ms=0.0)
+    world = WorldWithAgreedRules(drain_grace_ms=0.0)
     world.rules = rules(2, held={"servers": ["s0"]})
     for i in range(5):
         world.offer_call(f"a{i}")
     assert {attempt.server for attempt in world.sent} == {"s1"}
     entry = interface.ListEntry("s0", 0, interface.ServerState.READY)
     world.engine.update_servers(interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry,)))
-    world.offer_call("told anew")
+    world.offer_call("after the update")
     assert {attempt.server for attempt in world.sent} == {"s1"}, "a server list update does not end the drain"
     world.rules = BASE
     for i in range(5):
@@ -79,7 +79,7 @@
 
 
 def test_classes_and_attempts_are_those_in_effect_and_are_restored():
-    world = Agreed()
+    world = WorldWithAgreedRules()
     agreed_class = {"name": PLAIN, "worth": 9.0, "late_worth": 1.0, "aim_ms": 500.0, "deadline_ms": 900.0}
     world.rules = rules(2, classes={"classes": [agreed_class], "most_tries": 1}, reserve={"lines": {"g": 4}})
     request = world.offer_call("a")
@@ -93,15 +93,15 @@
     assert world.engine.settings == world.own_settings and world.reserved_lines[-1] == {}
 
 
-def test_reports_name_the_applied_revision_and_until_when_the_previous_one_applied():
-    world = Agreed()
+def test_reports_name_the_applied_revision_and_when_the_last_call_before_it_was_decided():
+    world = WorldWithAgreedRules()
     world.offer_call("a")
     world.wait(100)
     world.offer_call("b")
-    at_ms = world.now_ms()
+    last_decision_ms = world.now_ms()
     world.wait(100)
     world.rules = rules(2, bars={"prefixes": ["1"]})
     world.offer_call("c")
     assert [report["revision"] for report in world.reports] == [1, 2] and world.reports[1][
         "until_ms"
-    ] == at_ms
+    ] == last_decision_ms
--- a/tests/test_fleet_raft.py
+++ b/tests/test_fleet_raft.py
@@ -1,4 +1,8 @@
-"""Raft in the simulation: elections, disks, crashes, partitions, snapshots, membership changes."""
+"""Raft in a simulation: elections, crashes, partitions, message loss, snapshots and changes of the voters; freshness.
+
+The simulation records violations: two voters that commit different entries at one index, and acknowledged entries that
+are missing from the committed state.
+"""
 
 import random
 
@@ -126,7 +130,7 @@
 
 
 class CommitsWithoutMajority(Raft):
-    """Commits what is on its own disk, without a majority."""
+    """Faulty variant: commits entries that are on its own disk only."""
 
     def _advance(self, now_ms):
         if self.role is Role.LEADER:
@@ -134,6 +138,7 @@
 
 
 def test_the_simulation_detects_a_leader_that_commits_without_a_majority():
+    """Guards against a simulation that finds nothing: a faulty variant of Raft must be reported."""
     lab = Voters(2, kind=CommitsWithoutMajority)
     assert lab.until(lambda: lab.leader() is not None, 10_000.0) < 10_000.0
     lab.run(300.0)
--- a/tests/test_fleet_split.py
+++ b/tests/test_fleet_split.py
@@ -1,4 +1,4 @@
-"""Division of a budget, compared with an independent exact solution (HiGHS), and its stability under small changes."""
+"""Division of a budget, compared with an exact solution by the HiGHS solver, and its stability under small changes."""
 
 import math
 import random
@@ -9,14 +9,14 @@
 from leadslip.fleet.pools.split import Claim, Tenant, split, weighted_max_min
 
 
-def exact(total, claims):
-    """Weighted max-min by repeated linear programs.
+def exact_max_min(total, claims):
+    """Weighted max-min shares by repeated linear programs; None if the floors alone use up the total.
 
-    Each maximizes the smallest share relative to weight, then fixes the claims that cannot get more.
+    Each program maximizes the smallest share relative to weight; then the claims that can't get more are fixed.
     """
     floors = [min(claim.floor, claim.ceiling) for claim in claims]
     if sum(floors) >= total:
-        return None  # floors are reduced in proportion, which has a test of its own
+        return None  # then floors are reduced in proportion, which another test checks
     fixed = {}
     while len(fixed) < len(claims):
         solver = highspy.Highs()
@@ -30,19 +30,20 @@
             if i in fixed:
                 solver.addConstr(shares[i] == fixed[i])
             else:
-                # A floor above level * weight holds, and a ceiling below it limits the level.
+                # The share is at least level * weight (`slack` is fixed to 0). A floor above that still holds, and a
+                # ceiling below it limits the level.
                 slack = solver.addVariable(lb=0.0, ub=1e9)
                 solver.addConstr(shares[i] + slack >= level * claim.weight)
                 solver.addConstr(slack <= 0.0)
         solver.addConstr(sum(shares[1:], shares[0] + 0.0) <= total)
         solver.maximize(level)
-        best = solver.val(level)
-        if best >= 1e9 - 1:
+        best_level = solver.val(level)
+        if best_level >= 1e9 - 1:
             break
         at_ceiling = [
             i
             for i, claim in enumerate(claims)
-            if i not in fixed and claim.ceiling <= best * claim.weight + 1e-6
+            if i not in fixed and claim.ceiling <= best_level * claim.weight + 1e-6
         ]
         for i in at_ceiling:
             fixed[i] = claims[i].ceiling
@@ -50,14 +51,14 @@
             at_floor = [
                 i
                 for i, claim in enumerate(claims)
-                if i not in fixed and floors[i] > best * claim.weight + 1e-6
+                if i not in fixed and floors[i] > best_level * claim.weight + 1e-6
             ]
             if at_floor:
                 for i in at_floor:
                     fixed[i] = floors[i]
                 continue
             for i, claim in enumerate(claims):
-                fixed.setdefault(i, best * claim.weight)
+                fixed.setdefault(i, best_level * claim.weight)
     return [fixed[i] for i in range(len(claims))]
 
 
@@ -80,7 +81,7 @@
         assert all(
             -1e-9 <= share <= claim.ceiling + 1e-9 for share, claim in zip(actual, claims, strict=True)
         )
-        expected = exact(total, claims)
+        expected = exact_max_min(total, claims)
         if expected is not None and sum(claim.ceiling for claim in claims) > total:
             compared += 1
             assert actual == pytest.approx(expected, abs=1e-5), (seed, total, claims)
@@ -143,11 +144,11 @@
     changed[rng.choice(list(needs))] += 1
     after = split("s0", budget, tenants, changed, before)
     without_current = split("s0", budget, tenants, changed)
-    assert moves(before, after) <= max(2, moves(before, without_current))
+    assert connections_moved(before, after) <= max(2, connections_moved(before, without_current))
 
 
-def moves(before, after):
-    """The sum of the differences between two divisions."""
+def connections_moved(before, after):
+    """The number of connections that differ between two divisions."""
     return sum(abs(before[key] - after[key]) for key in before)
 
 
