--- a/leadslip/fleet/agreement/member.py
+++ b/leadslip/fleet/agreement/member.py
@@ -286,7 +286,7 @@
         self.fallback_rules = Rules.fallback(isolated)
         self.fetch: Fetch | None = None
         self.pending: dict[str, PendingProposal] = {}  # by change id
-        # Used by voters only. Voter id and start counter, whether the disk has no list of voters yet, why it stopped:
+        # Used by voters only. Voter id, start counter, whether its snapshot has no list of voters yet, why it stopped:
         self.id, self.starts, self.blank, self.stop_reason = "", 0, True, ""
         self.persistent_state: PersistentState | None = None  # None: this member is no voter
         self.raft: Raft | None = None  # None: not voting (yet, or because it has stopped)
@@ -516,9 +516,8 @@
             proposal = msgspec.msgpack.decode(entry.data, type=Proposal)
             self._on_result(proposal.id, self.documents.apply(proposal))
         self.revisions_by_index.append((entry.index, self.documents.revision))
-        del self.revisions_by_index[
-            :-64
-        ]  # bounds the memory; a confirmed index before these gives no freshness
+        # Bounds the memory; a confirmed index that is older than these gives no freshness.
+        del self.revisions_by_index[:-64]
         if self.documents.revision > self.newest.revision:
             self.newest = RevisionContents.from_bodies(self.documents.revision, self.documents.bodies)
 
@@ -532,7 +531,7 @@
             self._send(run, reply)
 
     def _after_raft_step(self, now_ms: float) -> None:
-        """Work after each Raft step: records freshness if leader, collects messages and saves, compacts the log."""
+        """Runs after each Raft step: records freshness if leader, collects messages and saves, compacts the log."""
         raft = self.raft
         if raft is None:
             return
@@ -816,6 +815,7 @@
                 )
                 continue
             if now_ms >= pending.asked_ms + RETRY_MS:
+                # Whether the last send went to the presumed leader, which has not replied since:
                 unanswered = pending.asked_ms == pending.leader_asked_ms > -float("inf")
                 pending.asked_ms = now_ms
                 live_voters = self._live_voters()
@@ -849,7 +849,7 @@
         self.wake_ms = next_ms
 
     def status(self, now_ms: float) -> dict:
-        """Returns the status shown to operators."""
+        """Returns the status shown to operators; `newest` is null while no revision has been reported."""
         rules = self.rules_in_effect(now_ms)
         newest = self.freshness.report(now_ms)
         raft = self.raft
