--- a/leadslip/fleet/agreement/filter.py
+++ b/leadslip/fleet/agreement/filter.py
@@ -59,6 +59,7 @@
         rules = self.agreement.rules_in_effect(fleet_now_ms)
         if rules is not self.rules:
             self._apply_rules(rules, fleet_now_ms)
+            # The engine has set the maximum of this request by the previous rules.
             request.max_attempts = self.target.settings().max_attempts
             if rules.max_attempts is not None:
                 request.max_attempts = min(request.max_attempts, rules.max_attempts)
--- a/leadslip/fleet/agreement/raft.py
+++ b/leadslip/fleet/agreement/raft.py
@@ -56,7 +56,10 @@
 
 
 class RaftMessage(msgspec.Struct, array_like=True, frozen=True):
-    """Fields common to all messages between voters."""
+    """Fields common to all messages between voters: ids of the sender and the receiver, and the sender's term.
+
+    A pre-vote and its reply contain the term that the sender of the request would raise its own to.
+    """
 
     source: str
     target: str
@@ -152,7 +155,7 @@
     number: int  # counts the saves since the start of the process
     term: int
     vote: str
-    after: int = 0  # entries after this index are replaced by `entries`
+    after: int = 0  # entries after this index are replaced by `entries`, unless that is empty
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None  # replaces the previous snapshot and the entries up to its index
     replaces_log: bool = False  # the snapshot replaces the entire log, as the log does not match it
@@ -364,9 +367,8 @@
         if pre or self.durable_save == self.issued_save:
             self._on_vote_reply(now_ms, own_vote)
         else:
-            self.deferred.append(
-                (self.issued_save, own_vote)
-            )  # our own vote counts only once it is on disk, too
+            # Our own vote, too, counts only once it is on disk.
+            self.deferred.append((self.issued_save, own_vote))
 
     def _on_vote_request(self, now_ms: float, request: VoteRequest) -> None:
         has_leader = self.role is Role.LEADER or (
--- a/leadslip/fleet/pools/policy.py
+++ b/leadslip/fleet/pools/policy.py
@@ -65,9 +65,7 @@
 
     kind: str  # weight, floor or ceiling
     value: float
-    is_fraction: (
-        bool  # whether the value is a fraction of the budget (given in percent), not a number of connections
-    )
+    is_fraction: bool  # whether it is a fraction of the budget, given in percent, not an absolute number
     line: int
     column: int
 
@@ -163,7 +161,10 @@
     routers: RoutersRule
 
     def budget(self, server: str) -> int:
-        """Returns the number of connections to a server that may be open; 0 if no rule matches its name."""
+        """Returns how many connections to a server may be open, without those kept free; 0 if no rule matches its name.
+
+        The first matching rule applies.
+        """
         rule = next((rule for rule in self.budgets if fnmatchcase(server, rule.servers)), None)
         return 0 if rule is None else int(rule.connections * (1.0 - rule.free_fraction) + 1e-9)
 
--- a/leadslip/fleet/pools/split.py
+++ b/leadslip/fleet/pools/split.py
@@ -69,6 +69,7 @@
             break
         below = level
     used = sum(shares_at(below))
+    # Above this level, the sum grows by the weights of the claims that are not held at their floor or ceiling.
     slope = sum(
         claim.weight
         for claim, floor in zip(claims, floors, strict=True)
@@ -114,6 +115,7 @@
     `needs` is the number that each could use, and `current` the number that each has from the previous division.
     """
     current = current or {}
+    # Tenant -> proxy -> its need, within the bounds of a proxy's share:
     usable: dict[str, dict[str, float]] = {name: {} for name in tenants}
     for (name, proxy), need in sorted(needs.items()):
         tenant = tenants[name]
