--- a/leadslip/choice.py
+++ b/leadslip/choice.py
@@ -2,7 +2,8 @@
 
 Each gateway runs one Controller, a percentage throttle after R-SOCA: once per interval it smooths the load
 value of each server, maps it linearly to a refusal probability, smooths that as well, and refuses new set-ups
-with this probability before sending. Limits around it cover what R-SOCA leaves open; see docs/design.md.
+with this probability before sending. Limits that R-SOCA doesn't define (on the rate of set-ups, on unanswered
+set-ups, on lines, at a cold start) complement it; docs/design.md gives the reasons.
 """
 
 from __future__ import annotations
@@ -19,28 +20,28 @@
 MINOR_MS = 200.0  # delay above the baseline at which refusal begins
 MAJOR_MS = 800.0  # delay above the baseline at which every set-up is refused
 STALE_INTERVALS = 2  # intervals after which a load value that was not renewed counts as 0
-BASELINE_SLOT_MS = 10_000.0  # time slot of the baseline delay; long, so that a minute takes few values
+BASELINE_SLOT_MS = 10_000.0  # the least delay of each slot is kept; long, so that a minute needs few slots
 BASELINE_SLOTS = 6  # slots kept: one minute in all
-BURST_FACTOR = 1.7  # multiple of the calm rate to which a warm server's calls are limited, unless exempt
-BURST_DEPTH_MS = 1000.0  # token bucket depth, as time at the rate limit; calls bunch by chance
-CALM_RATE_WINDOW_MS = 10_000.0  # over which the calm rate is learned: some tens of calls at small sites
-OVERLOADED_WEIGHT = 0.2  # of overloaded intervals in the calm rate: it outlasts bursts but follows a change
-BUSY_RETRY_MS = 2000.0  # between trial calls to a number whose lines are all busy: a part of a usual call
-COLD_MARGIN = 0.5  # fraction of push_multiple, which overloads a cold server; leaves room for chance
-MIX_WINDOW_CALLS = 200.0  # over which worths and tenants' fractions are learned: some tens of seconds
-FAIR_FRACTION = 0.33  # of the mean calm rate that a server gets although few calls name it
-RATE_KNOWN_MS = 2000.0  # after which the calm rate counts as known: a few intervals
-RATE_KNOWN_CALLS = 10  # after which the calm rate limits what is sent: fewer calls show no rate
-UTILISATION_THRESHOLDS = (0.85, 1.0)  # minor and major of reported utilisation: where queues begin and end
+BURST_FACTOR = 1.7  # rate limit of a warm server, as a multiple of its calm rate; see _exempt
+BURST_DEPTH_MS = 1000.0  # token bucket depth, as time at the rate limit; random arrivals come in bursts
+CALM_RATE_WINDOW_MS = 10_000.0  # averaging window of the calm rate: some tens of calls at small sites
+OVERLOADED_WEIGHT = 0.2  # of overloaded intervals in the calm rate: bursts count little, lasting changes do
+BUSY_RETRY_MS = 2000.0  # between trial calls to a number whose lines are all busy; less than a usual call
+COLD_MARGIN = 0.5  # part of push_multiple that a cold server gets; the rest is margin for random bursts
+MIX_WINDOW_CALLS = 200.0  # averaging window of worths and tenants' fractions: some tens of seconds
+MIN_RATE_FRACTION = 0.33  # least calm rate assumed for a server, as a fraction of the mean of all servers
+RATE_KNOWN_MS = 2000.0  # learning time after which the calm rate counts as known: a few intervals
+RATE_KNOWN_CALLS = 10  # calls after which the calm rate limits set-ups; fewer give no useful estimate
+UTILISATION_THRESHOLDS = (0.85, 1.0)  # minor and major of reported utilisation: queues begin, and saturation
 QUEUE_THRESHOLDS = (8.0, 32.0)  # minor and major of reported queues, in set-ups; same ratio as the delays
-RESERVATION_MS = 20.0  # of all gateways' calm rate, reserved as lines for worthier calls: age of a report
-UNANSWERED_WINDOW_MS = 400.0  # of the calm rate that may be unanswered; between minor and major delay
-URGENT_WORTH_RATIO = 3.0  # a class worth this many times the least is urgent: well above mere preference
-BUSY_TRIAL_FRACTION = 0.2  # of the calls to a busy number that may be sent as a trial
-SAMPLE_LIFETIME_GAPS = 3.0  # mean gaps between set-ups for which a load value counts; outlasts an overload
+RESERVATION_MS = 20.0  # lines reserved for calls worth more, as time at the rate of all gateways: report age
+UNANSWERED_WINDOW_MS = 400.0  # unanswered set-ups allowed, as time at the calm rate; between minor and major
+URGENT_WORTH_RATIO = 3.0  # a class worth this many times the least is urgent; lower ratios are preferences
+BUSY_TRIAL_FRACTION = 0.2  # probability that a call to a busy number is sent as a trial when one is due
+SAMPLE_LIFETIME_GAPS = 3.0  # lifetime of a load value, in mean gaps between set-ups: outlasts an overload
 MAX_SAMPLE_LIFETIME_MS = 30_000.0  # upper bound of that time; half of what the baseline delay is kept for
-LOSS_THRESHOLD = 0.7  # recent lost set-ups from which more are expected: one within a few seconds
-MAX_LOG_LINES = 60  # of one controller; few people read the log
+LOSS_THRESHOLD = 0.7  # recent_losses from which more are expected: reached by one in the last few seconds
+MAX_LOG_LINES = 60  # written by one Controller; the log is read by few people
 
 
 class _Server:
@@ -49,17 +50,17 @@
     def __init__(self, entry: interface.ListEntry, started_ms: float, now_ms: float) -> None:
         self.entry = entry
         self.started_ms = started_ms  # when it started cold; 0: long ago
-        self.established = 0  # calls established in this interval
+        self.established_count = 0  # calls established in this interval
         self.tokens, self.refilled_ms = 0.0, now_ms  # set-ups it may get while limited; time of last refill
         self.sample, self.sampled_ms = 0.0, 0.0  # newest load value, as delay above the baseline; its time
-        self.answer_sample, self.timed_out = 0.0, False  # newest value of an answer; time-out since then
+        self.answer_sample, self.timed_out = 0.0, False  # newest load value of an answer; time-out since
         self.peak = 0.0  # largest load value in this interval
         self.load, self.refusal_probability = 0.0, 0.0  # both smoothed
         self.baselines: dict[float, float] = {}  # time slot -> least delay in it
-        self.unanswered: dict[str, float] = {}  # call -> when sent, oldest first
-        self.answered_sent_ms = 0.0  # send time of the newest established set-up; refusals may overtake
-        self.overloaded = False  # as last logged
-        self.free_lines: float | None = None  # as last reported, less what was sent since
+        self.unanswered: dict[str, float] = {}  # call -> send time of its set-up, oldest first
+        self.answered_sent_ms = 0.0  # latest send time of an established set-up; a refusal may overtake
+        self.overloaded = False  # state last logged
+        self.free_lines: float | None = None  # as last reported, less those taken by set-ups since
 
 
 class _Call:
@@ -71,10 +72,10 @@
         self.offered, self.call_class = offered, call_class
         self.attempts, self.max_attempts = 0, max_attempts  # the bound stays when settings change
         self.server: _Server | None = None  # where an attempt is in progress
-        self.established = self.may_have_run = False
+        self.established = self.may_have_run = False  # the latter: one may have been processed
         self.failed_servers: list[str] = []
         self.retry_at_ms = 0.0  # not to be sent before
-        self.uniform = 1.0  # drawn anew at each decision; tokens below 1 are granted with that probability
+        self.uniform = 1.0  # random in [0, 1), drawn at each decision; grants parts of a set-up by chance
 
 
 class Controller:
@@ -85,17 +86,17 @@
         self.worths: dict[str, float] = {}  # class -> worth
         self.apply_settings(settings)
         self.rng = random.Random(seed)
-        self.servers: dict[str, _Server] = {}
-        self.calls: dict[str, _Call] = {}
-        self.gone_servers: dict[str, float] = {}  # server -> when it was reported gone, oldest first
+        self.servers: dict[str, _Server] = {}  # by id
+        self.calls: dict[str, _Call] = {}  # by id; until answered finally or ended
+        self.gone_servers: dict[str, float] = {}  # server -> time at which it was reported gone
         self.list_received = False
         self.timer_started = False
-        self.busy_numbers: dict[str, float] = {}  # number called -> not to be tried before
-        self.calm_rates: dict[int, float] = {}  # server number -> set-ups per millisecond
-        self.offered_counts: dict[int, int] = {}  # first-choice number -> calls offered in this interval
+        self.busy_numbers: dict[str, float] = {}  # number called -> time of its next trial call
+        self.calm_rates: dict[int, float] = {}  # server number -> calls per millisecond
+        self.offered_counts: dict[int, int] = {}  # server number -> calls naming it in this interval
         self.learned_ms, self.learned_calls = 0.0, 0  # time and calls over which rates have been learned
         self.logged_lines = 0
-        self.recent_losses = 0.0  # set-ups recently found lost, decaying
+        self.recent_losses = 0.0  # number of set-ups found lost, decaying over time
         self.actions: list[interface.Action] = []
 
     def apply_settings(self, settings: interface.Settings) -> None:
@@ -106,12 +107,13 @@
         self.min_worth = min((item.worth for item in settings.classes if item.worth > 0), default=1.0)
         self.max_worth = max((item.worth for item in settings.classes), default=1.0)
         worths = {call_class.name: call_class.worth for call_class in settings.classes}
-        if worths != self.worths:  # otherwise worths of removed classes would still weigh on the others
-            self.worths, self.mean_worth = worths, self.min_worth
+        if worths != self.worths:  # otherwise the mean would still contain removed classes
+            self.worths, self.mean_worth = worths, self.min_worth  # the latter: of the calls offered here
         total = sum(tenant.quota_per_s for tenant in settings.tenants) or 1.0
         quotas = {tenant.name: tenant.quota_per_s / total for tenant in settings.tenants}
         if quotas != self.quotas or not quotas:
-            self.quotas, self.tenant_mix = quotas, dict(quotas)  # the latter: of the calls offered here
+            # tenant_mix: tenant -> fraction of the calls offered at this gateway.
+            self.quotas, self.tenant_mix = quotas, dict(quotas)
 
     def learned_rates(self) -> tuple[float, int, dict[int, float]]:
         """Returns the time and calls over which rates were learned, and the calm rates by server number."""
@@ -170,8 +172,8 @@
             if old is not None and entry.online_since_ms <= old.entry.online_since_ms:
                 old.entry = entry
                 continue
-            # A newer start time or a new id means a new processor, to which nothing learned applies. A server
-            # without a start time that appears after the first list counts as started now.
+            # A newer start time or a new id means a new processor, to which no learned state applies. A
+            # server without a start time that appears after the first list counts as started now.
             started_ms = entry.online_since_ms or (now_ms if self.list_received else 0.0)
             self.servers[entry.server] = _Server(entry, started_ms, now_ms)
         self.list_received = True
@@ -194,21 +196,23 @@
             elif load.queue is not None:
                 sample = _to_delay(load.queue, QUEUE_THRESHOLDS)
         self._record_sample(now_ms, server, sample)
+        # A quick answer after a time-out: the set-up that timed out was lost, not delayed by load.
         self.recent_losses += server.timed_out and sample <= MINOR_MS
         server.timed_out = False
 
     def _pending_send_times(self, server: _Server, now_ms: float) -> list[float]:
-        """Send times of the set-ups that wait for an answer, oldest first, less one that may be lost."""
-        # Quick answers after set-ups that were never answered show that answers get lost. One late answer
-        # among quick ones is then no sign of load, it takes two; otherwise all servers would look
-        # overloaded. It may harm where a server fails meanwhile.
+        """Returns the send times of unanswered set-ups, oldest first, less one that may be lost."""
+        # Quick answers after set-ups that were never answered show that answers get lost. Then one overdue
+        # answer among quick ones is no sign of load, two are; otherwise all servers would look overloaded.
+        # Drawback: a server that fails meanwhile is noticed later.
         pending = [sent_ms for sent_ms in server.unanswered.values() if sent_ms > server.answered_sent_ms]
         lossy = self.recent_losses >= LOSS_THRESHOLD and server.answer_sample <= MINOR_MS
         return pending[1:] if pending and lossy and now_ms - pending[0] > MINOR_MS else pending
 
     def _above_baseline(self, now_ms: float, server: _Server, delay_ms: float) -> float:
-        oldest = now_ms // BASELINE_SLOT_MS - BASELINE_SLOTS
-        server.baselines = {slot: least for slot, least in server.baselines.items() if slot > oldest}
+        """Returns the excess of a delay over the least delay of the last BASELINE_SLOTS slots."""
+        expired = now_ms // BASELINE_SLOT_MS - BASELINE_SLOTS
+        server.baselines = {slot: least for slot, least in server.baselines.items() if slot > expired}
         return delay_ms - min(server.baselines.values(), default=0.0)
 
     def _record_sample(self, now_ms: float, server: _Server, sample: float) -> None:
@@ -223,8 +227,8 @@
             if retry_ms + BUSY_RETRY_MS > now_ms
         }
         self.learned_ms += INTERVAL_MS
-        # Servers may be replaced under new ids. Deleting those that are gone bounds the table, and keeps the
-        # mean calm rate from falling with their number.
+        # Servers may be replaced under new ids. Deleting those that are gone bounds the table, and keeps
+        # them from lowering the mean calm rate, which is taken over all servers in it.
         for name in [
             name for name, gone_ms in self.gone_servers.items() if gone_ms + MAX_SAMPLE_LIFETIME_MS < now_ms
         ]:
@@ -234,14 +238,14 @@
         self.recent_losses *= 1.0 - INTERVAL_MS / CALM_RATE_WINDOW_MS
         for server in self.servers.values():
             # A silent server yields no sample. The age of its oldest unanswered set-up is a lower bound of
-            # its delay, in a crash, a hang and slowness alike. A set-up sent before one that was already
+            # its delay, whether it has crashed, hangs or is slow. A set-up sent before one that is already
             # established counts as lost.
             oldest = min(self._pending_send_times(server, now_ms), default=now_ms)
             age = self._above_baseline(now_ms, server, now_ms - oldest)
             if age > MINOR_MS and age > server.sample:
                 server.sample, server.sampled_ms, server.peak = age, now_ms, max(server.peak, age)
-            # One gateway among hundreds gets an answer of a server every few seconds: a sample counts until
-            # the next one is due.
+            # Among hundreds of gateways, each gets an answer from a given server only every few seconds.
+            # Therefore a sample counts until the next one is due.
             gap_ms = min(SAMPLE_LIFETIME_GAPS / max(self._calm_rate(server), 1e-9), MAX_SAMPLE_LIFETIME_MS)
             fresh = now_ms - server.sampled_ms < max(STALE_INTERVALS * INTERVAL_MS, gap_ms)
             server.load += SMOOTHING_FACTOR * ((server.sample if fresh else 0.0) - server.load)
@@ -255,11 +259,14 @@
         self.offered_counts = {}
 
     def _update_calm_rate(self, now_ms: float, server: _Server) -> None:
-        """Learns the calm rate of a number: of the calls offered while calm, else of those established."""
-        # Without the latter a gateway whose traffic has grown for good would stay limited; calls offered
-        # under overload include redials. A server that drains, is gone or cold keeps its rate, except at a
-        # gateway that has just started.
-        established, server.established = server.established, 0
+        """Updates the calm rate of a server's number.
+
+        While the server is calm, the offered calls that name it are counted, else those it established: calls
+        offered under overload include redials, but with no update a gateway whose traffic has grown for good
+        would stay limited. A server that drains, is gone or cold keeps its rate, except at a gateway that has
+        just started.
+        """
+        established, server.established_count = server.established_count, 0
         stable = server.entry.state is READY and self._warm_fraction(now_ms, server) >= 1.0
         if not stable and self.learned_ms > RATE_KNOWN_MS:
             return
@@ -282,12 +289,12 @@
         server.overloaded = overloaded
 
     def _calm_rate(self, server: _Server) -> float:
-        """Returns the set-ups per millisecond sent to a calm server; too low until the rate is known.
+        """Returns the calm rate of a server, in calls per millisecond; too low until the rate is known.
 
-        It is kept by the first choice that calls name, so that a new processor inherits it with the number.
+        Rates are kept by server number, so that a new processor inherits the rate of its number.
         """
         mean = sum(self.calm_rates.values()) / max(1, len(self.servers))
-        return max(self.calm_rates.get(server.entry.number, 0.0), FAIR_FRACTION * mean)
+        return max(self.calm_rates.get(server.entry.number, 0.0), MIN_RATE_FRACTION * mean)
 
     # Calls.
 
@@ -305,13 +312,13 @@
         self._decide(now_ms, call)
 
     def _decide(self, now_ms: float, call: _Call) -> None:
-        """Sends, delays or answers a call; the only place where this is decided."""
+        """Sends a call to a server or answers its caller; all set-ups are decided here."""
         if call.server is not None or call.established or now_ms < call.retry_at_ms:
             return
         timeout_at_ms = call.offered.valid_until_ms - 2 * self.settings.tick_ms
         repeat_unsafe = call.may_have_run and call.call_class.repeat is not interface.Repeat.FREE
-        # While all lines of a number are busy, calls to it only cost work. Refusing them keeps one number
-        # from taking the servers' capacity; it may harm a number that becomes free quickly.
+        # While all lines of a number are busy, calls to it only cost work. Refusing them prevents one number
+        # from taking the servers' capacity. Drawback: a number that becomes free quickly loses calls.
         if now_ms < self.busy_numbers.get(call.offered.number_called, 0.0):
             self._answer_caller(call, failed=repeat_unsafe, busy=True)
             return
@@ -336,6 +343,7 @@
         self.actions.append(interface.SetUp(call.offered.call, server.entry.server, timeout_at_ms))
 
     def _eligible(self, now_ms: float, call: _Call, server: _Server) -> bool:
+        """Whether a call may be sent to a server: by its state, class, free lines, rate limit and window."""
         pools, offered, number = call.call_class.allowed_pools, call.offered, server.entry.number
         if server.entry.state is not READY or server.entry.server in call.failed_servers:
             return False
@@ -351,12 +359,13 @@
     def _reserved(self, call: _Call, server: _Server) -> float:
         """Returns the lines reserved for calls worth more than this one (trunk reservation).
 
-        Without it, lines would go to whoever asks first where lines run short and not the processor. Free
-        lines are as old as a report, so what all gateways send meanwhile is reserved. Redials count as late.
+        Where lines run short before the processor does, they would otherwise go to the calls that come first.
+        The free lines are as old as their report, so the reservation covers what all gateways send meanwhile.
+        A redialled call counts with its late worth.
         """
         worth = call.call_class.worth * (call.call_class.late_worth if call.offered.redialled else 1.0)
         if server.refusal_probability > CALM_PROBABILITY:
-            return 0.0  # its processor is overloaded, where the window already favours those calls
+            return 0.0  # under overload of the processor the window already favours those calls
         lines = self._calm_rate(server) * self.settings.gateways * RESERVATION_MS
         return lines * (1.0 - worth / max(self.max_worth, 1e-9))
 
@@ -366,8 +375,8 @@
     def _window_scale(self, call: _Call) -> float:
         """Returns the worth of a call relative to the mean, from 0.5 to 2.0, by which its window is scaled.
 
-        Calls of a tenant beyond its quota are worth less, so they are refused first under overload. A gateway
-        takes its own mix of calls for the fleet's; where they differ, a tenant may lose half a window.
+        Calls of a tenant beyond its quota are worth less, so they are refused first under overload. Tenants'
+        fractions are those at this gateway; where the fleet's differ, a tenant may lose half its window.
         """
         tenant, worth = call.offered.tenant, call.call_class.worth / self.mean_worth
         if tenant in self.quotas:
@@ -376,19 +385,19 @@
         return min(2.0, max(0.5, worth))
 
     def _within_window(self, now_ms: float, call: _Call, server: _Server) -> bool:
-        """Whether fewer set-ups are unanswered than the calm rate yields in the window."""
-        # Unanswered set-ups over the rate give the wait to come, known at once where delays show it late. The
-        # window damps the swing between sending nothing and everything, and bounds what a silent server can
-        # absorb. It holds for urgent calls too, which would otherwise overload the last small servers. Calls
-        # bunch, so a calm server may have one more unanswered, by chance below a rate of one a second.
+        """Whether fewer set-ups are unanswered than the calm rate yields in UNANSWERED_WINDOW_MS."""
+        # Unanswered set-ups divided by the rate estimate the coming wait at once; delays show it late. The
+        # window damps oscillation between sending nothing and everything, and bounds what a silent server
+        # can absorb. It applies to urgent calls too, which would otherwise overload the last small servers.
+        # Calls come in bursts, so a calm server may have one more (at less than one a second, by chance).
         rate = self._calm_rate(server)
         if (
             self.learned_ms < RATE_KNOWN_MS
             and server.refusal_probability <= CALM_PROBABILITY
             and self._warm_fraction(now_ms, server) >= 1.0
         ):
-            # No rate is known yet: a window would refuse all but one of the calls that wait at a start. It
-            # may harm a fleet that starts while its servers are overloaded.
+            # No rate is known yet: a window would refuse all but one of the calls that wait at a start.
+            # Drawback: a fleet that starts while its servers are overloaded adds to their load.
             return True
         window = max(1.0, rate * UNANSWERED_WINDOW_MS * self._window_scale(call))
         if server.refusal_probability <= CALM_PROBABILITY:
@@ -396,23 +405,23 @@
         return len(self._pending_send_times(server, now_ms)) + call.uniform < window
 
     def _rate_limit(self, now_ms: float, server: _Server) -> float:
-        """Returns the rate limit, in set-ups per millisecond: a multiple of the calm rate, or for a cold
-        server a part of what would overload it, without a lower bound, as those of many gateways add up.
+        """Returns the rate limit in set-ups per millisecond: a multiple of the calm rate, or for a cold
+        server a part of what would overload it, with no lower bound: those of many gateways would add up.
         """
-        part = self._warm_fraction(now_ms, server)
-        if part < 1.0:
+        warm_fraction = self._warm_fraction(now_ms, server)
+        if warm_fraction < 1.0:
             return (
                 self.calm_rates.get(server.entry.number, 0.0)
-                * part
+                * warm_fraction
                 * COLD_MARGIN
                 * self.settings.push_multiple
             )
         return BURST_FACTOR * self._calm_rate(server)
 
     def _tokens(self, now_ms: float, server: _Server) -> float:
-        """Returns the set-ups a server may get now; a value below 1 is the probability of one.
+        """Returns the set-ups that a server may get now; a value below 1 is the probability of one.
 
-        Without that, hundreds of gateways would each send their first set-up at the same time.
+        If one were always allowed, hundreds of gateways would send their first set-ups at the same time.
         """
         limit = self._rate_limit(now_ms, server)
         return min(limit * BURST_DEPTH_MS, server.tokens + limit * (now_ms - server.refilled_ms))
@@ -420,11 +429,11 @@
     def _exempt(self, now_ms: float, call: _Call, server: _Server) -> bool:
         """Whether a call is exempt from the rate limit: urgent, or naming this server while it is calm.
 
-        So are all calls until RATE_KNOWN_CALLS have been learned from; none is at a cold server.
+        All calls are exempt until RATE_KNOWN_CALLS have been offered. At a cold server none is.
         """
-        # Calls of another first choice are limited: when a large server drains or falls silent, they would
-        # overload the small ones before their delays show it. It may harm where a server could take more
-        # than this for long.
+        # Calls that name another server are limited: when a large server drains or falls silent, they would
+        # overload the small ones before their delays show it. Drawback: the limit also holds where a server
+        # could take more than this for long.
         if self._warm_fraction(now_ms, server) < 1.0:
             return False
         named = (
@@ -433,14 +442,14 @@
         return named or self._urgent(call) or self.learned_calls < RATE_KNOWN_CALLS
 
     def _warm_fraction(self, now_ms: float, server: _Server) -> float:
-        """Returns the fraction of its full load that a server of this age can take at least."""
+        """Returns the least fraction of its full load that a server of this age can take."""
         if not server.started_ms or now_ms >= server.started_ms + self.settings.warm_after_ms:
             return 1.0
         progress = max(0.0, now_ms - server.started_ms) / self.settings.warm_after_ms
         return self.settings.cold_fraction + (1.0 - self.settings.cold_fraction) * progress
 
     def _choose_server(self, now_ms: float, call: _Call) -> _Server | None:
-        """Returns the calm first choice, else the less loaded of two eligible servers drawn at random."""
+        """Returns the server that the call names if calm, else the less loaded of two drawn at random."""
         eligible = [server for server in self.servers.values() if self._eligible(now_ms, call, server)]
         for server in eligible:
             if (
@@ -454,7 +463,7 @@
         return min(candidates, key=lambda server: (server.refusal_probability, len(server.unanswered)))
 
     def _refuses(self, now_ms: float, call: _Call, server: _Server) -> bool:
-        """Whether a new set-up is refused by chance, before it is sent."""
+        """Whether chance refuses a set-up; never if the server is calm or the call urgent."""
         if server.refusal_probability <= CALM_PROBABILITY or self._urgent(call):
             return False
         return self.rng.random() < server.refusal_probability
@@ -464,7 +473,7 @@
         if call is None or call.server is None or call.server.entry.server != event.server:
             return
         call.established = True
-        call.server.established += 1
+        call.server.established_count += 1
         self.busy_numbers.pop(call.offered.number_called, None)
         call.server.unanswered.pop(event.call, None)
         call.server.answered_sent_ms = max(call.server.answered_sent_ms, now_ms - event.elapsed_ms)
@@ -485,9 +494,9 @@
         never_ran = (interface.Outcome.FULL, interface.Outcome.NO_CONNECTION, interface.Outcome.NOT_SENT)
         call.may_have_run = call.may_have_run or outcome not in never_ran
         if event.cause is interface.Cause.NO_LINE and server is not None:
-            # Free lines are reported late, and a set-up refused for want of one costs work and a detour. This
-            # covers full servers and broken groups; it may harm where free lines are reported seldom
-            # and lines become free quickly.
+            # A server that reports free lines and refuses for lack of one gets no set-ups until its next
+            # report: it is full or its trunk group is broken, and each set-up would cost work and a detour.
+            # Drawback: lines that become free quickly stay unused where reports are rare.
             server.free_lines = 0.0 if server.free_lines is not None else None
         if event.cause is interface.Cause.NUMBER_BUSY:
             self.busy_numbers[call.offered.number_called] = now_ms + BUSY_RETRY_MS
@@ -503,11 +512,11 @@
         self._decide(now_ms, call)
 
     def _record_end(self, now_ms: float, server: _Server, event: interface.AttemptEnded) -> None:
-        """Records what the end of an attempt shows about its server."""
+        """Updates the load and the free lines of a server from the end of an attempt."""
         server.unanswered.pop(event.call, None)
         outcome, load = event.outcome, event.load
         if load is not None and load.free_lines is not None:
-            # Each report gives the free lines as of its sending. Else a server would be taken for full until
+            # Reports at the end of an attempt count too. Otherwise a full server would count as full until
             # its next unsolicited report, although lines become free there all the time.
             server.free_lines = load.free_lines
         server.timed_out = server.timed_out or outcome is interface.Outcome.TIMED_OUT
@@ -520,6 +529,7 @@
             server.refusal_probability = 1.0
 
     def _answer_caller(self, call: _Call, failed: bool, busy: bool = False) -> None:
+        """Fails or refuses a call; if the number called is busy, the caller is asked to pause."""
         name, settings = call.offered.call, self.settings
         pause_ms = settings.max_pause_ms if busy and settings.callers_obey_pause else 0.0
         self.actions.append(interface.Fail(name) if failed else interface.Refuse(name, pause_ms))
@@ -527,13 +537,13 @@
 
 
 def _to_delay(value: float, thresholds: tuple[float, float]) -> float:
-    """Converts a load value of another unit to the delay at the same place between minor and major."""
+    """Converts a reported load value to a delay, linearly: its thresholds become MINOR_MS and MAJOR_MS."""
     minor, major = thresholds
     return max(0.0, MINOR_MS + (value - minor) / (major - minor) * (MAJOR_MS - MINOR_MS))
 
 
 def _validate(settings: interface.Settings) -> None:
-    """Raises SettingsError, which names the field, for values out of range."""
+    """Raises SettingsError, which names the field, for the first value that is out of range."""
     positive = ("gateways", "max_attempts", "cold_fraction", "push_multiple", "tick_ms")
     wrong = [field for field in positive if not getattr(settings, field) > 0]
     wrong += [field for field in ("warm_after_ms", "release_wait_ms") if not getattr(settings, field) >= 0]
@@ -541,6 +551,6 @@
     wrong += ["classes"] if not settings.classes or min(item.worth for item in settings.classes) < 0 else []
     if wrong:
         raise interface.SettingsError(
-            f"{wrong[0]} is out of range: {getattr(settings, wrong[0])!r} (waiting times and worths must be "
-            "at least 0, all else above 0, fractions at most 1; one class at least)"
+            f"{wrong[0]} is out of range: {getattr(settings, wrong[0])!r} (must be above 0; warm_after_ms, "
+            "release_wait_ms and worths may be 0; cold_fraction is at most 1; at least one class is needed)"
         )
--- a/leadslip/interface.py
+++ b/leadslip/interface.py
@@ -1,7 +1,8 @@
 """Settings, events and actions of the Controller in leadslip/choice.py.
 
-All times are in milliseconds on the gateway's clock. A server is a core switch (or a pool of agents), a call is
-one request, and an attempt is one set-up of a call at one server; attempts of a call are numbered from 0.
+All times are in milliseconds on the gateway's clock. A gateway is one proxy. A server is a setup server: a core
+switch or a pool of agents; it has an id, and a number by which calls name their first choice. A call is one request
+of a caller, and an attempt is one set-up of a call at one server; attempts of a call are numbered from 0.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 
 
 class SettingsError(OperatorError, ValueError):
-    """The Controller can't use the settings; the error message names the field."""
+    """A value of the Controller's settings is out of range; the error message names the field."""
 
     code, status = "decisions.settings", 400
     action = (
-        "Correct the value of the field named in the proxy's settings; "
+        "Correct the value of the named field in the proxy's settings; "
         "a running proxy keeps its current settings."
     )
 
@@ -25,49 +26,49 @@
 class Repeat(Enum):
     """Whether set-ups of a class may be sent again."""
 
-    FREE = "free"  # any number of times
-    DEDUPED = "deduped"  # the servers of one group discard duplicates
-    ONCE = "once"  # only if no earlier attempt can have been processed
+    FREE = "free"  # may be sent again even if an earlier attempt may have been processed
+    DEDUPED = "deduped"  # the servers of one group discard duplicates; the Controller treats it like ONCE
+    ONCE = "once"  # may be sent again only if no earlier attempt can have been processed
 
 
 class UpdateKind(Enum):
     """How a server list update relates to the current list."""
 
-    CHANGES = "changes"  # a delta
-    SNAPSHOT = "whole"  # a snapshot
-    CACHED = "cached"  # a snapshot that may be out of date
-    FAILED = "failed"  # the list could not be obtained
+    CHANGES = "changes"  # entries that were added or have changed; all others stay
+    SNAPSHOT = "whole"  # the complete list; servers that it lacks are removed
+    CACHED = "cached"  # a complete list that may be out of date
+    FAILED = "failed"  # the list could not be obtained; the current one stays
 
 
 class ServerState(Enum):
     """State of a server in the server list."""
 
     READY = "ready"
-    DRAINING = "draining"
-    GONE = "gone"
+    DRAINING = "draining"  # gets no new set-ups; its calls go on
+    GONE = "gone"  # removed from service
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """How an attempt, or the call established by it, ended."""
 
-    SERVED = "served"
-    ERROR = "error"
-    FULL = "full"
-    TIMED_OUT = "timed_out"
-    NO_CONNECTION = "no_connection"
-    CUT = "cut"
-    WITHDRAWN = "withdrawn"
-    NOT_SENT = "not_sent"
+    SERVED = "served"  # the call was established and has ended normally
+    ERROR = "error"  # the server failed the set-up
+    FULL = "full"  # the server refused the set-up before it processed it
+    TIMED_OUT = "timed_out"  # no answer by the time-out
+    NO_CONNECTION = "no_connection"  # no connection to the server could be opened
+    CUT = "cut"  # the connection or the call was lost
+    WITHDRAWN = "withdrawn"  # cancelled by the gateway or its caller
+    NOT_SENT = "not_sent"  # the set-up was not sent, or its server discarded it unprocessed
 
 
 class Cause(Enum):
     """Why a server refused an attempt."""
 
-    NONE = "none"
-    NO_LINE = "no_line"
-    BOUNCED = "bounced"
-    PROCESSOR_FULL = "processor_full"
-    NUMBER_BUSY = "number_busy"
+    NONE = "none"  # no cause given, or not refused
+    NO_LINE = "no_line"  # too few free lines
+    BOUNCED = "bounced"  # turned back, for example because of overload beyond the server
+    PROCESSOR_FULL = "processor_full"  # the server's processor is overloaded
+    NUMBER_BUSY = "number_busy"  # all lines of the number called are busy
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,10 +76,10 @@
     """One class of calls and its worth, deadlines and repetition rule."""
 
     name: str
-    worth: float
-    late_worth: float
-    aim_ms: float
-    deadline_ms: float
+    worth: float  # of a call established within aim_ms; relative to the other classes
+    late_worth: float  # factor on the worth of a call that is established later, or redialled
+    aim_ms: float  # target for the time until a call is established
+    deadline_ms: float  # time after which callers no longer wait for an answer
     repeat: Repeat = Repeat.FREE
     allowed_pools: tuple[int, ...] | None = None  # server numbers; None: every server
 
@@ -93,48 +94,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings of a Controller; adopted at its start and whenever they change."""
+    """Settings of a Controller, applied at its start and whenever they change.
 
-    gateways: int
-    index: int
+    The Controller doesn't use `index`, `may_withdraw`, `may_probe`, `may_tell_peers`, `push_window_ms` and `resend_ms`;
+    they complete the site's description.
+    """
+
+    gateways: int  # number of gateways that share the servers
+    index: int  # of this gateway among them, from 0
     classes: tuple[CallClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    over_share_worth: float = 1.0
-    max_attempts: int = 1
-    may_withdraw: bool = False
-    may_probe: bool = False
-    may_tell_peers: bool = False
-    callers_obey_pause: bool = False
-    max_pause_ms: float = 0.0
-    drain_grace_ms: float = 0.0
-    cold_fraction: float = 1.0
-    warm_after_ms: float = 0.0
-    push_multiple: float = 1.0
-    push_window_ms: float = 0.0
-    release_wait_ms: float = 0.0
+    over_share_worth: float = 1.0  # factor on the worth of a tenant's calls beyond its quota
+    max_attempts: int = 1  # per call
+    may_withdraw: bool = False  # whether attempts may be cancelled
+    may_probe: bool = False  # whether servers may be probed
+    may_tell_peers: bool = False  # whether messages to other gateways are permitted
+    callers_obey_pause: bool = False  # whether callers wait for the time given in a refusal
+    max_pause_ms: float = 0.0  # the longest time given
+    drain_grace_ms: float = 0.0  # time for which set-ups to a draining server are still permitted
+    cold_fraction: float = 1.0  # fraction of its full load that a server can take right after its start
+    warm_after_ms: float = 0.0  # time after its start at which a server can take its full load
+    push_multiple: float = 1.0  # multiple of a cold server's capacity that overloads it within the window
+    push_window_ms: float = 0.0  # length of the window over which set-ups are counted for this
+    release_wait_ms: float = 0.0  # wait for the next attempt after one that was cut, timed out or withdrawn
     resend_ms: float = 0.0
-    tick_ms: float = 1.0
-    list_on_request: bool = False
-    own_number: int = -1
+    tick_ms: float = 1.0  # resolution of timers; attempts time out two ticks before the caller's deadline
+    list_on_request: bool = False  # whether the server list must be subscribed to
+    own_number: int = -1  # a server number that gets no set-ups from this gateway; -1: none
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A load report; None for each value that the server does not report."""
+    """A load report; None for each value that the server does not report.
+
+    The Controller uses `free_lines` and one of `wait_ms`, `utilisation` and `queue`.
+    """
 
     free_lines: float | None = None
-    lines: float | None = None
-    active: float | None = None
-    queue: float | None = None
-    utilisation: float | None = None
-    wait_ms: float | None = None
-    set_ups_per_s: float | None = None
-    hold_back: float | None = None
+    lines: float | None = None  # in all
+    active: float | None = None  # calls or set-ups in progress
+    queue: float | None = None  # set-ups waiting
+    utilisation: float | None = None  # of the processor; 1.0: saturated
+    wait_ms: float | None = None  # mean waiting time of set-ups
+    set_ups_per_s: float | None = None  # `max_rate` of a report
+    hold_back: float | None = None  # `reduce` of a report
 
 
 @dataclass(frozen=True, slots=True)
 class ListEntry:
-    """One server in the server list; online_since_ms is its start time, 0 for long ago."""
+    """One server in the server list; `online_since_ms` is its start time, 0 if that is long ago or unknown."""
 
     server: str
     number: int
@@ -156,14 +164,14 @@
 
     call: str
     call_class: str
-    valid_until_ms: float
-    destination: int = -1
-    lines: float = 1.0
+    valid_until_ms: float  # the caller's deadline
+    destination: int = -1  # number of the server that is the call's first choice; -1: none
+    lines: float = 1.0  # that the call takes
     number_called: str = ""
     tenant: str = ""
-    in_transit: bool = False
-    cut_before: bool = False
-    redialled: bool = False
+    in_transit: bool = False  # only its destination may set it up
+    cut_before: bool = False  # it replaces an established call that was cut
+    redialled: bool = False  # the caller repeats a call that was not established
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,21 +188,21 @@
     call: str
     server: str
     attempt: int
-    elapsed_ms: float
+    elapsed_ms: float  # since the set-up was sent
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """One attempt has ended; call_over: the call has ended as well and needs no answer."""
+    """One attempt, or the call established by it, has ended."""
 
     call: str
     server: str
     attempt: int
     outcome: Outcome
-    elapsed_ms: float
-    call_over: bool = False
+    elapsed_ms: float  # since the set-up was sent
+    call_over: bool = False  # the call has ended as well and needs no answer
     cause: Cause = Cause.NONE
-    wait_ms: float = 0.0
+    wait_ms: float = 0.0  # reported by a server whose processor is full; not used by the Controller
     load: Load | None = None
 
 
@@ -217,7 +225,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another gateway."""
+    """A message from another gateway; the Controller ignores it."""
 
     sender: int
     content: bytes
