--- a/leadslip/core.py
+++ b/leadslip/core.py
@@ -1,9 +1,9 @@
 """Call engine: tracks requests and attempts and carries out the Controller's decisions, without network I/O.
 
-The downstream side offers requests and receives exactly one final answer for each; the upstream side sends the
-attempts to setup servers and reports their outcomes. Whatever the Controller or a peer does, the engine enforces
-one final answer, one attempt in progress, deadlines, the wait after a release, and drains. All times are Unix
-milliseconds of one clock.
+The downstream side offers requests and receives exactly one final answer for each, unless the caller cancels; the
+upstream side sends the attempts to setup servers and reports their outcomes. Whatever the Controller or a peer does,
+the engine enforces one final answer, one attempt in progress per request, deadlines, the release wait before another
+attempt, and drains. All times are Unix milliseconds of one clock.
 """
 
 from __future__ import annotations
@@ -21,22 +21,28 @@
 from leadslip.metrics import Metrics
 from leadslip.request import Attempt, Request, State
 
+# After these outcomes the server may still be releasing the attempt's resources; the next attempt waits.
 RELEASE_WAIT_OUTCOMES = (interface.Outcome.TIMED_OUT, interface.Outcome.CUT, interface.Outcome.WITHDRAWN)
 
 
 class Upstream(Protocol):
-    """Sends attempts to setup servers and reports their results through Engine.stood and Engine.ended."""
+    """Sends attempts to setup servers; reports results to Engine.on_established and Engine.on_attempt_ended."""
 
     def send(self, attempt: Attempt) -> interface.Outcome | None:
-        """Send a set-up; returns an outcome if it could not be sent, else None."""
+        """Send or queue a set-up; returns an outcome if neither is possible, else None."""
 
-    def cancel(self, attempt: Attempt) -> None: ...
+    def cancel(self, attempt: Attempt) -> None:
+        """Cancel a set-up that has not been answered, at its server if it has been sent."""
 
-    def release(self, attempt: Attempt) -> None: ...
+    def release(self, attempt: Attempt) -> None:
+        """Release the established call of an attempt."""
 
 
 class Observer(Protocol):
-    """Notified of ended attempts and answered requests, for traces and metrics."""
+    """Notified of ended attempts and answered requests, for traces and metrics.
+
+    `answer` is `stands` (established), `refused`, `failed`, or `cancelled` if the caller left before an answer.
+    """
 
     def attempt_ended(self, attempt: Attempt, outcome: interface.Outcome, now_ms: float) -> None: ...
 
@@ -87,17 +93,19 @@
         self.counters = counters or Counters()
         self.counters.add_classes(call_class.name for call_class in settings.classes)
         self.counters.add_gauge("active", self.active_count)
-        # upper limit per attempt, so that a silent peer leaves time for another
+        # Upper limit for the duration of each attempt, so that after a silent peer time is left for another.
         self.max_attempt_ms = max_attempt_ms
         self.chain = Chain(metrics, log)
-        self.open: dict[str, Request] = {}
-        self.established: dict[str, Request] = {}
-        self.states: dict[str, interface.ServerState] = {}
-        self.entries: dict[str, interface.ListEntry] = {}  # as in the server list, before local drains
-        self.out_of_rotation: frozenset[str] = frozenset()  # servers taken out of rotation by operators
-        self.unavailable_since_ms: dict[str, float] = {}  # when each server was reported as draining or gone
-        self.events: deque[interface.Event] = deque()
-        self.dispatching = False
+        self.open: dict[str, Request] = {}  # by id; no final answer given yet
+        self.established: dict[str, Request] = {}  # by id; answered, and the call goes on
+        self.states: dict[str, interface.ServerState] = {}  # by server, with local drains applied
+        self.entries: dict[str, interface.ListEntry] = {}  # by server, as listed, without local drains
+        self.out_of_rotation: frozenset[str] = (
+            frozenset()
+        )  # servers drained by operators, whatever the list reports
+        self.unavailable_since_ms: dict[str, float] = {}  # by server: since when it drains or is gone
+        self.events: deque[interface.Event] = deque()  # not yet passed to the Controller
+        self.dispatching = False  # while `_dispatch` runs, so that nested calls only queue their events
         self.stopped = False  # the process is shutting down: nothing more is sent
 
     def apply_settings(self, settings: interface.Settings, max_open_requests: int) -> None:
@@ -105,7 +113,7 @@
 
         Raises SettingsError, before anything changes, for settings that the Controller rejects.
         """
-        # First, since the Controller raises for invalid settings and nothing may have changed by then.
+        # The Controller goes first: it raises for invalid settings, and then nothing may have changed here.
         self.controller.apply_settings(settings)
         self.settings, self.max_open_requests = settings, max_open_requests
         self.counters.add_classes(call_class.name for call_class in settings.classes)
@@ -119,7 +127,7 @@
     # Server list updates.
 
     def update_servers(self, update: interface.ServerListUpdate) -> None:
-        """Apply a server list update, and note when servers start to drain for the drain grace."""
+        """Apply a server list update, and record since when servers drain or are gone, for the drain grace."""
         update = self._mask_drained(update)
         if update.kind is not interface.UpdateKind.CHANGES:
             listed = {entry.server for entry in update.entries}
@@ -127,7 +135,8 @@
                 self._set_state(server, interface.ServerState.GONE)
         for entry in update.entries:
             self._set_state(entry.server, entry.state)
-        # Prevents unbounded growth where servers are repeatedly replaced by new ones under new ids.
+        # Servers gone for longer than the drain grace are deleted: where servers are repeatedly replaced under new
+        # ids, the tables would otherwise grow without bound.
         drained_before_ms = self.clock.now_ms() - self.settings.drain_grace_ms
         for server, since_ms in list(self.unavailable_since_ms.items()):
             if self.states[server] is interface.ServerState.GONE and since_ms <= drained_before_ms:
@@ -135,7 +144,7 @@
         self._dispatch(update)
 
     def _mask_drained(self, update: interface.ServerListUpdate) -> interface.ServerListUpdate:
-        """Return the update with servers out of rotation marked as draining, whatever the list reports."""
+        """Return the update with locally drained servers marked as draining if the list reports them as ready."""
         if update.kind is not interface.UpdateKind.CHANGES:
             self.entries.clear()
         for entry in update.entries:
@@ -154,7 +163,7 @@
         return replace(update, entries=tuple(masked_entries))
 
     def drain_servers(self, servers: frozenset[str]) -> None:
-        """Take exactly these servers out of rotation; others taken out earlier return to it."""
+        """Drain exactly these servers locally; servers drained by an earlier call return to their listed state."""
         changed, self.out_of_rotation = servers ^ self.out_of_rotation, servers
         entries = tuple(self.entries[name] for name in sorted(changed) if name in self.entries)
         if entries:
@@ -170,12 +179,12 @@
     # Called by the downstream side.
 
     def offer(self, request: Request, has_capacity: bool = True) -> None:
-        """Accept a request; `downstream` gets its one final answer. Without `has_capacity` it is refused at once."""
+        """Take over a request; its `downstream` gets one final answer. Without `has_capacity` it is refused at once."""
         now_ms = request.received_at_ms = self.clock.now_ms()
         request.max_attempts = self.settings.max_attempts
         self.metrics.add("requests")
         if request.id in self.open or request.id in self.established:
-            # Ids must be unique: the second request fails, the first keeps its call.
+            # The id is in use: this request fails, and the first one with the id goes on.
             self.metrics.add("requests.doubled")
             request.state = State.ENDED
             self.counters.count_answer(request.call_class, "errors")
@@ -187,9 +196,9 @@
             self._refuse(request, 0.0)
             return
         if self.chain.filters:
-            refused = self.chain.admit(request, now_ms)
-            if refused is not None:
-                self._refuse(request, refused.pause_ms)
+            refusal = self.chain.admit(request, now_ms)
+            if refusal is not None:
+                self._refuse(request, refusal.pause_ms)
                 return
         # Prevents a request from staying unanswered if the Controller never decides about it.
         request.overall_deadline = self.deadlines.call_at(
@@ -209,9 +218,9 @@
         )
 
     def cancel(self, request: Request) -> None:
-        """The caller has left: no answer is due any more, and an attempt in progress is cancelled at its server."""
+        """The caller has left: the request gets no answer, and an attempt in progress is cancelled at its server."""
         if request.state is not State.OPEN:
-            return  # the cancellation crossed the answer
+            return  # the request was answered before its cancellation arrived
         self._mark_closed(request)
         self.metrics.add("requests.cancelled")
         self._notify_filters_ended(request)
@@ -261,16 +270,17 @@
     ) -> None:
         """An attempt, or the call established by it, has ended."""
         if not attempt.active:
-            return  # the report crossed the end of the attempt on this side
+            return  # the attempt was ended on this side before the report arrived
         if outcome is interface.Outcome.WITHDRAWN or outcome is interface.Outcome.TIMED_OUT:
             # The server may still be working on it: cancel it there, so that its resources are released.
             self.upstream.cancel(attempt)
         self._finish(attempt, outcome, cause, load)
 
     def on_ended_unanswered(self, attempt: Attempt) -> None:
-        """A call was established and has ended although its answer never arrived.
+        """The server reports the end of an established call whose answer never arrived.
 
-        Prevents another attempt: the call has already taken place, and its end would be attributed to the new one.
+        The request fails. Another attempt would be wrong: the call has already taken place, and its end would be
+        attributed to the new attempt.
         """
         request = attempt.request
         if not attempt.active:
@@ -282,22 +292,21 @@
         self.on_attempt_ended(attempt, interface.Outcome.CUT)
 
     def active_count(self) -> int:
-        """Number of requests that are open or answered with a call still established."""
+        """Number of requests that are open, or whose call is still established."""
         return len(self.open) + len(self.established)
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether a set-up may be sent now; the upstream side checks just before it writes one.
+        """Whether a set-up may still be sent; the upstream side checks this just before it writes one.
 
-        Prevents set-ups for a caller that has left: its cancellation may still be unread, after other data received
-        in the same read or while the process got no CPU time; and a set-up that waited for a connection may have
-        passed its attempt time-out.
+        The caller may have left with its cancellation still unread: behind other data of the same read, or because
+        the process got no CPU time. A set-up that waited for a connection may have passed its attempt time-out.
         """
         request = attempt.request
         request.downstream.read_pending(request)
         return attempt.active and request.state is State.OPEN and self.clock.now_ms() < attempt.timeout_at_ms
 
     def on_set_up_written(self, attempt: Attempt) -> None:
-        """The upstream side has fully written an attempt's set-up; counts as a try."""
+        """The upstream side has fully written an attempt's set-up; counted as `tries`."""
         self.counters.count_attempt(attempt.request.call_class)
 
     def on_load_report(self, server: str, load: interface.Load) -> None:
@@ -305,7 +314,10 @@
         self._dispatch(interface.LoadReported(server, interface.Outcome.SERVED, 0.0, load))
 
     def accepts_set_ups(self, server: str) -> bool:
-        """Whether new set-ups may be sent to a server; checked again for those that waited for a connection."""
+        """Whether new set-ups may be sent to a server: it is known, and ready or within the drain grace.
+
+        The upstream side checks this again for set-ups that waited for a connection.
+        """
         since_ms = self.unavailable_since_ms.get(server)
         if server not in self.states:
             return False
@@ -321,6 +333,10 @@
         load: interface.Load | None = None,
         notify: bool = True,
     ) -> None:
+        """End an attempt: start the release wait, end an established call, and report to the Controller.
+
+        `notify` is False if the downstream side ended the call itself.
+        """
         request, now_ms = attempt.request, self.clock.now_ms()
         attempt.active = False
         self.deadlines.cancel(attempt.deadline)
@@ -352,7 +368,7 @@
         )
 
     def _dispatch(self, event: interface.Event) -> None:
-        """Pass events to the Controller in order; events caused by its actions are queued until these are done."""
+        """Pass events to the Controller in order; events caused by its actions wait until all actions are done."""
         self.events.append(event)
         if self.dispatching:
             return
@@ -385,7 +401,8 @@
             case interface.Log(text):
                 self.log("decision", text=text)
             case _:
-                # The server list is pushed to this engine; polling it, probes and peer messages are unsupported.
+                # The server list is pushed to this engine: it supports neither polling the list nor subscribing to it,
+                # and neither probes nor messages to peers.
                 self.metrics.add("actions.unsupported")
 
     def _on_timer(self, token: str) -> None:
@@ -419,6 +436,7 @@
         self.on_attempt_ended(attempt, interface.Outcome.TIMED_OUT)
 
     def _on_overall_deadline(self, request: Request) -> None:
+        """Fail a request that is still open and cancel its attempt."""
         if request.state is not State.OPEN:
             return
         self.metrics.add("requests.overdue")
@@ -428,7 +446,7 @@
             self.on_attempt_ended(request.attempt, interface.Outcome.TIMED_OUT)
 
     def _mark_closed(self, request: Request) -> None:
-        """Record that a request needs no further answer."""
+        """Mark an open request as ended, just before its final answer is given or because its caller has left."""
         self.metrics.check_invariant(request.state is State.OPEN, "one final answer")
         request.state = State.ENDED
         self.deadlines.cancel(request.overall_deadline)
