--- a/leadslip/deadlines.py
+++ b/leadslip/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadline scheduler: a heap of callbacks behind a single timer. Pure: clock and scheduler are passed in."""
+"""Deadline scheduler: a heap of callbacks behind a single timer. Clock and timers are passed in; it does no I/O."""
 
 from __future__ import annotations
 
@@ -10,68 +10,75 @@
 
 
 class Clock(Protocol):
-    """Returns the time in Unix milliseconds."""
+    """A source of the current time."""
 
-    def now_ms(self) -> float: ...
+    def now_ms(self) -> float:
+        """Returns the time in Unix milliseconds."""
 
 
 class Timer(Protocol):
-    """A pending timer that can be rescheduled."""
+    """A timer that can be rescheduled until it fires (Twisted's IDelayedCall)."""
 
-    def active(self) -> bool: ...
+    def active(self) -> bool:
+        """Whether it has neither fired nor been cancelled."""
 
-    def reset(self, seconds: float) -> None: ...
+    def reset(self, seconds: float) -> None:
+        """Makes it fire this long from now."""
 
 
 class Scheduler(Protocol):
-    """Calls a function once after a delay in seconds."""
+    """Calls a function once after a delay in seconds (Twisted's IReactorTime)."""
 
     def callLater(self, seconds: float, callback: Callable[[], None]) -> Timer: ...  # noqa: N802
 
 
 class Deadline:
-    """One entry of the heap; a cancelled one has no callback (`work` is None)."""
+    """One entry of the heap; `callback` is None once it has been cancelled or run.
 
-    __slots__ = ("due_ms", "order", "callback", "argument")
+    `sequence` is the order of scheduling, in which deadlines of the same time run.
+    """
 
-    def __init__(self, due_ms: float, order: int, callback: Callable | None, argument: object) -> None:
-        self.due_ms, self.order, self.callback, self.argument = due_ms, order, callback, argument
+    __slots__ = ("due_ms", "sequence", "callback", "argument")
+
+    def __init__(self, due_ms: float, sequence: int, callback: Callable | None, argument: object) -> None:
+        self.due_ms, self.sequence, self.callback, self.argument = due_ms, sequence, callback, argument
 
     def __lt__(self, other: Deadline) -> bool:
-        return (self.due_ms, self.order) < (other.due_ms, other.order)
+        return (self.due_ms, self.sequence) < (other.due_ms, other.sequence)
 
 
 class Deadlines:
-    """Runs callbacks at their due times from a single timer, so that a request needs none of its own."""
+    """Runs callbacks at their due times from a single timer, so that requests need no timers of their own."""
 
     def __init__(self, clock: Clock, scheduler: Scheduler) -> None:
         self.clock, self.scheduler = clock, scheduler
         self.heap: list[Deadline] = []
-        self.last_order = self.cancelled = 0
+        self.last_sequence = self.cancelled_count = 0  # the latter: cancelled deadlines still in the heap
         self.timer: Timer | None = None
         self.timer_due_ms = 0.0
 
     def call_at(self, due_ms: float, callback: Callable, argument: object = None) -> Deadline:
         """Schedule `callback(argument)` at a time in Unix milliseconds."""
-        self.last_order += 1
-        entry = Deadline(due_ms, self.last_order, callback, argument)
+        self.last_sequence += 1
+        entry = Deadline(due_ms, self.last_sequence, callback, argument)
         heapq.heappush(self.heap, entry)
         if self.heap[0] is entry:
             self._arm()
         return entry
 
     def cancel(self, entry: Deadline | None) -> None:
-        """Cancel a deadline; the heap is compacted when most of its entries are cancelled."""
+        """Cancel a deadline, if it is pending; the heap is compacted when most of its entries are cancelled."""
         if entry is None or entry.callback is None:
             return
         entry.callback = entry.argument = None
-        self.cancelled += 1
-        if self.cancelled > MIN_CANCELLED_TO_COMPACT and self.cancelled * 2 > len(self.heap):
+        self.cancelled_count += 1
+        if self.cancelled_count > MIN_CANCELLED_TO_COMPACT and self.cancelled_count * 2 > len(self.heap):
             self.heap = [pending for pending in self.heap if pending.callback is not None]
             heapq.heapify(self.heap)
-            self.cancelled = 0
+            self.cancelled_count = 0
 
     def _arm(self) -> None:
+        """Set the timer for the earliest deadline, unless it fires by then anyway."""
         if not self.heap:
             return
         due_ms = self.heap[0].due_ms
@@ -86,14 +93,16 @@
             self.timer = self.scheduler.callLater(seconds, self._fire)
 
     def _fire(self) -> None:
-        """The timer fired: run due callbacks one reactor turn later, after pending socket data has been read.
+        """The timer has fired: run due callbacks one reactor turn later, after pending socket data has been read.
 
-        Timers run before sockets. After a period without CPU time, the process would otherwise cancel attempts that
-        have been answered, probe peers that have sent data, and send set-ups for callers that have left.
+        In each turn the reactor runs timers before it reads sockets. After a period without CPU time, the process would
+        otherwise cancel attempts that have been answered, test connections on which data waits to be read, and send
+        set-ups for callers that have left.
         """
         self.timer = self.scheduler.callLater(0.0, self._run)
 
     def _run(self) -> None:
+        """Run all due callbacks, and set the timer for the next deadline even if one of them raises."""
         self.timer = None
         now_ms = self.clock.now_ms()
         try:
@@ -101,7 +110,7 @@
                 entry = heapq.heappop(self.heap)
                 callback, argument = entry.callback, entry.argument
                 if callback is None:
-                    self.cancelled -= 1
+                    self.cancelled_count -= 1
                     continue
                 entry.callback = entry.argument = None
                 callback(argument)
--- a/leadslip/request.py
+++ b/leadslip/request.py
@@ -1,4 +1,4 @@
-"""Requests and their attempts, as tracked by the engine and passed to filters. No I/O."""
+"""Requests and their attempts, as tracked by the engine and passed to filters. Does no I/O."""
 
 from __future__ import annotations
 
@@ -13,11 +13,15 @@
 
     OPEN = "open"  # no final answer sent yet
     ESTABLISHED = "standing"  # answered; the call is established
-    ENDED = "over"
+    ENDED = "over"  # refused, failed, cancelled, or the call has ended
 
 
 class Request:
-    """One request from the downstream side, which receives exactly one final answer."""
+    """One request from the downstream side, which gets exactly one final answer unless its caller cancels it.
+
+    `number` is the number called, `destination` the number of the server that is its first choice (-1: none), `lines`
+    how many lines the call takes. Times are Unix milliseconds.
+    """
 
     __slots__ = (
         "id",
@@ -47,24 +51,24 @@
     ) -> None:
         self.id, self.call_class, self.valid_until_ms = id_, call_class, valid_until_ms
         self.number, self.destination, self.lines = "", -1, 1.0
+        # The caller repeats a call that was not established; the call replaces one that was cut.
         self.redialled = self.cut_before = False
         self.downstream, self.payload = downstream, payload
         self.context: object = None  # private data of the downstream side
         self.state = State.OPEN
         self.attempt: Attempt | None = None  # in progress, or carrying the established call
         self.attempt_count = 0
-        self.not_before_ms = 0.0  # no attempt before: resources of the last one may still be in use
+        self.not_before_ms = 0.0  # no attempt before: the last one's server may still release its resources
         self.overall_deadline: Deadline | None = None
         self.received_at_ms = 0.0
-        self.max_attempt_ms = float("inf")  # upper limit for the duration of one attempt
-        self.admitted_by: tuple = ()  # the filters to notify of its progress
-        self.max_attempts = (
-            0  # attempts allowed by the settings when it was received; later changes do not apply
-        )
+        self.max_attempt_ms = float("inf")  # upper limit for the duration of one attempt, set by filters
+        self.admitted_by: tuple = ()  # filters to notify when it is established and ends
+        # As in the settings when it was received; later changes do not apply.
+        self.max_attempts = 0
 
 
 class Attempt:
-    """One set-up of a request at one server."""
+    """One set-up of a request at one server; `index` counts the request's attempts from 0."""
 
     __slots__ = (
         "request",
@@ -82,20 +86,24 @@
     ) -> None:
         self.request, self.server, self.index = request, server, index
         self.sent_ms, self.timeout_at_ms = sent_ms, timeout_at_ms
-        self.deadline: Deadline | None = None
-        self.active, self.established = True, False
+        self.deadline: Deadline | None = None  # scheduled for timeout_at_ms, until it is answered or ends
+        self.active, self.established = True, False  # not ended yet; answered
 
 
 class Downstream(Protocol):
     """The side a request came from: receives its one final answer, and the end of an established call."""
 
-    def established(self, request: Request, payload: object) -> None: ...
+    def established(self, request: Request, payload: object) -> None:
+        """Final answer: the call is established; `payload` is the server's answer."""
 
-    def refused(self, request: Request, pause_ms: float) -> None: ...
+    def refused(self, request: Request, pause_ms: float) -> None:
+        """Final answer: refused; the caller is asked to retry after `pause_ms` (0: no time is given)."""
 
-    def failed(self, request: Request) -> None: ...
+    def failed(self, request: Request) -> None:
+        """Final answer: failed."""
 
-    def call_ended(self, request: Request, cut: bool) -> None: ...
+    def call_ended(self, request: Request, cut: bool) -> None:
+        """The established call has ended other than by its caller; `cut` unless it ended normally."""
 
     def read_pending(self, request: Request) -> None:
-        """Read what its sender has already sent: it may have cancelled the request or disconnected."""
+        """Process what the caller has sent and is still unread: it may have cancelled the request or disconnected."""
