--- a/leadslip/counters.py
+++ b/leadslip/counters.py
@@ -1,9 +1,10 @@
-"""Request counters and gauges of one process, in the text form that operators read. No I/O.
+"""Request counters and gauges of one process, in the text form that operators read. Does no I/O.
 
 Counters start from 0 in each process. For each class of the settings: `ok` (requests whose call was established),
 `shed` (refused), `errors` (failed) and `tries` (attempts fully written to setup servers). In addition: `active`
-(requests received and not yet ended), `pool_size` (setup servers listed), `pool_ejected` (listed servers avoided
-now), `config_applied` and `config_rejected` (configuration files accepted and rejected at SIGHUP).
+(requests that are open or whose call is established), `pool_size` (setup servers listed), `pool_ejected` (listed
+servers that count as unreachable now), `config_applied` and `config_rejected` (configurations accepted and rejected
+at SIGHUP).
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-OUTCOMES = ("ok", "shed", "errors", "tries")
+CLASS_COUNTERS = ("ok", "shed", "errors", "tries")  # fields of ClassCounters
 
 
 @dataclass(slots=True)
@@ -27,9 +28,9 @@
 class Counters:
     """The counters and gauges of one process.
 
-    Only requests of the given `classes` are counted, which bounds the number of names whatever clients send.
-    `active`, `pool_size` and `pool_ejected` are gauges: they are read when printed, from the callables registered
-    by `add_gauge`.
+    Only requests of known classes are counted, so that the number of counters is bounded whatever clients send.
+    `active`, `pool_size` and `pool_ejected` are gauges: they are read when they are output, by the functions registered
+    with `add_gauge`.
     """
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
@@ -39,12 +40,12 @@
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Also counts these classes from now on; classes counted before keep their counters."""
+        """Counts these classes as well from now on; known classes keep their counters."""
         for name in classes:
             self.by_class.setdefault(name, ClassCounters())
 
     def add_gauge(self, name: str, read: Callable[[], int]) -> None:
-        """Registers a gauge, a value that is read when printed, such as `active`."""
+        """Registers a gauge: `read` is called whenever the values are output."""
         self.gauges[name] = read
 
     def count_answer(self, call_class: str, outcome: str) -> None:
@@ -60,11 +61,11 @@
             counters.tries += 1
 
     def values(self) -> dict[str, int]:
-        """Returns all values by the names that operators read."""
+        """Returns the values of all counters and gauges, by the names shown to operators."""
         values = {}
         for name, counters in sorted(self.by_class.items()):
-            for outcome in OUTCOMES:
-                values[f"proxy.responses.{name}.{outcome}"] = getattr(counters, outcome)
+            for counter in CLASS_COUNTERS:
+                values[f"proxy.responses.{name}.{counter}"] = getattr(counters, counter)
         for name, read in sorted(self.gauges.items()):
             values[f"proxy.{name}"] = read()
         values["proxy.config_applied"] = self.config_applied
@@ -72,5 +73,5 @@
         return values
 
     def text(self) -> bytes:
-        """Returns all values as `name=value` lines."""
+        """Returns the values of all counters and gauges as `name=value` lines."""
         return "".join(f"{name}={value}\n" for name, value in self.values().items()).encode()
--- a/leadslip/metrics.py
+++ b/leadslip/metrics.py
@@ -1,4 +1,4 @@
-"""Named counters of the process, and invariant checks: asserted in debug builds, counted under python -O."""
+"""Named counters of the process, and invariant checks: asserted by default, counted under `python -O`."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, by: int = 1) -> None:
-        """Increments a counter of events that may occur in normal operation."""
+        """Increments a counter; violated invariants are counted by `check_invariant` instead."""
         self.counts[name] += by
 
     def check_invariant(self, holds: bool, name: str) -> bool:
-        """Asserts an invariant, or counts its violation; returns whether it holds, so that callers can recover."""
+        """Asserts an invariant; under `python -O`, counts a violation as `broken.NAME` instead.
+
+        Returns whether it holds, so that callers can recover.
+        """
         if __debug__:
             assert holds, name
         elif not holds:
