--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,8 @@
-"""Rule 4 for a whole fleet in virtual time: the set-ups of all gateways to a server in slow start, per window."""
+"""Rule 4 for a whole fleet: the set-ups that all gateways together send to a server in slow start, per window.
+
+Each gateway limits only its own set-ups, so that many gateways, or many that start again without learned rates, could
+together exceed what a server that has just started can take. Runs in virtual time.
+"""
 
 import math
 import random
@@ -8,8 +12,10 @@
 from leadslip import interface
 from tests.helpers import Gateway, entry, set_ups
 
+# A server is overloaded if it gets MULTIPLE times its capacity within WINDOW_MS. Its capacity rises from COLD_FRACTION
+# to 1 within WARM_UP_MS after its start.
 SERVERS, MULTIPLE, WINDOW_MS, WARM_UP_MS, COLD_FRACTION = 4, 2.5, 1500.0, 14_000.0, 0.3
-LOAD = 0.9  # fraction of the capacity of warmed-up servers
+LOAD = 0.9  # calls offered, as a fraction of the capacity of warmed-up servers
 SERVERS_REPLACED_MS, END_MS = 20_000.0, 34_000.0
 CLASSES = tuple(
     interface.CallClass(name, worth, 0.2, 1500.0, 9000.0) for name, worth in (("a", 1.0), ("b", 3.0))
@@ -17,9 +23,9 @@
 
 
 class Fleet:
-    """Gateways with uneven traffic to servers, half of which are replaced.
+    """Gateways with uneven traffic to servers, half of which are replaced at SERVERS_REPLACED_MS.
 
-    `budget` is N, the set-ups allowed per window, at the time when a server starts cold.
+    `budget` is N, the number of set-ups allowed per window, at the time when a server starts cold.
     """
 
     def __init__(self, gateways: int, budget: float, seed: int) -> None:
@@ -27,13 +33,14 @@
         self.capacity = budget / (
             MULTIPLE * COLD_FRACTION * WINDOW_MS / 1000.0
         )  # set-ups per second of a warmed-up server
+        # Relative traffic of each gateway.
         self.weights = [self.rng.choice((1, 1, 1, 1, 3)) for _ in range(gateways)]
         self.running = [self.start_gateway(0.0) for _ in range(gateways)]
-        self.started: dict[str, float] = {}
-        self.sent: dict[str, list[float]] = {}
+        self.started: dict[str, float] = {}  # server -> start time of its replacement
+        self.sent: dict[str, list[float]] = {}  # server -> send times of set-ups
 
     def start_gateway(self, now: float) -> Gateway:
-        """Start a gateway process that knows only the server list."""
+        """Start a gateway process without learned rates, which knows only the server list."""
         self.seed += 1
         gateway = Gateway(
             SERVERS,
@@ -45,48 +52,52 @@
             warm_after_ms=WARM_UP_MS,
             cold_fraction=COLD_FRACTION,
         )
-        gateway.timers = [(now + after - gateway.now, token) for after, token in gateway.timers]
-        gateway.now = now
+        gateway.timers = [(now + after - gateway.now_ms, token) for after, token in gateway.timers]
+        gateway.now_ms = now
         return gateway
 
     def listed(self, kind: interface.UpdateKind) -> interface.ServerListUpdate:
         """Return the current server list as an update."""
         names = [(f"s{i}", i) for i in range(SERVERS)]
         return interface.ServerListUpdate(
-            kind, tuple(entry(name, i, since=self.started.get(name, 0.0)) for name, i in names)
+            kind, tuple(entry(name, i, online_since_ms=self.started.get(name, 0.0)) for name, i in names)
         )
 
     def replace_servers(self) -> None:
+        """Replace half of the servers by processors in slow start, and notify all gateways."""
         self.started = {f"s{i}": SERVERS_REPLACED_MS for i in range(SERVERS // 2)}
         for gateway in self.running:
-            gateway.wait(SERVERS_REPLACED_MS - gateway.now)
+            gateway.wait(SERVERS_REPLACED_MS - gateway.now_ms)
             gateway.handle(self.listed(interface.UpdateKind.CHANGES))
 
     def restart(self, indices: list[int], now: float) -> None:
+        """Replace these gateways by new processes."""
         for i in indices:
             self.running[i] = self.start_gateway(now)
             self.running[i].handle(self.listed(interface.UpdateKind.SNAPSHOT))
 
-    def serve(self, until: float, up: list[int]) -> None:
-        """Offer calls with random (Poisson) arrivals to the gateways that are up."""
+    def serve(self, until: float, gateways_up: list[int]) -> None:
+        """Offer calls with random (Poisson) arrivals to the gateways that are up, until the given time."""
         rate = self.capacity * SERVERS * LOAD / 1000.0
-        weights = [self.weights[i] for i in up]
-        now = max(gateway.now for gateway in self.running)
+        weights = [self.weights[i] for i in gateways_up]
+        now = max(gateway.now_ms for gateway in self.running)
         while (now := now + self.rng.expovariate(rate)) < until:
-            gateway = self.running[self.rng.choices(up, weights)[0]]
-            actions = gateway.wait(max(0.0, now - gateway.now))
+            gateway = self.running[self.rng.choices(gateways_up, weights)[0]]
+            actions = gateway.wait(max(0.0, now - gateway.now_ms))
             call_class = self.rng.choice(("a", "a", "a", "b"))
-            for action in set_ups(actions + gateway.call(to=self.rng.randrange(SERVERS), kind=call_class)):
+            for action in set_ups(
+                actions + gateway.call(destination=self.rng.randrange(SERVERS), call_class=call_class)
+            ):
                 self.sent.setdefault(action.server, []).append(now)
                 gateway.establish(action, 30.0)
 
     def windows(self) -> list[tuple[int, float]]:
-        """Return the set-ups and N of each window that ends with a set-up to a server in slow start."""
+        """Return the number of set-ups and N for each window that ends with a set-up to a server in slow start."""
         windows = []
         for name, started in self.started.items():
             times = [now for now in self.sent[name] if started <= now < started + WARM_UP_MS]
-            for last, now in enumerate(times):
-                count = sum(now - WINDOW_MS < before <= now for before in times[: last + 1])
+            for index, now in enumerate(times):
+                count = sum(now - WINDOW_MS < sent_at <= now for sent_at in times[: index + 1])
                 warmed = max(0.0, now - WINDOW_MS - started) / WARM_UP_MS
                 capacity = self.capacity * (COLD_FRACTION + (1.0 - COLD_FRACTION) * warmed)
                 windows.append((count, MULTIPLE * capacity * WINDOW_MS / 1000.0))
@@ -116,8 +127,8 @@
         fleet.serve(END_MS, all_gateways)
     windows = fleet.windows()
     assert windows and max(count - limit for count, limit in windows) <= 0.0
-    # An excess over N of 2 * sqrt(N) + 2 is attributed to chance; the mean is so far below N that chance alone almost
-    # never reaches it.
+    # Up to 2 * sqrt(N) + 2 set-ups above N count as chance. The mean must be so far below N that a Poisson count with
+    # this mean almost never exceeds even that.
     mean = sum(count / limit for count, limit in windows) / len(windows)
     assert mean <= 0.6 and poisson_tail(mean * budget, budget + 2.0 * math.sqrt(budget) + 2.0) < 1e-4
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,12 +1,17 @@
-"""The five rules of the proxy, each kept by one gateway on its own, and permitted edge cases."""
+"""The five rules that each gateway must keep on its own, and edge cases.
+
+1: one final answer per call, in time. 2: one attempt of a call at a time, and a limited number of attempts. 3: no
+set-ups to servers that drain or are gone. 4: a server in slow start gets only part of its normal traffic. 5: a retry
+waits for the release of the attempt before it.
+"""
 
 import pytest
 
 from leadslip import interface
 from leadslip.choice import INTERVAL_MS, Controller
-from tests.helpers import Gateway, entry, finals, set_ups, settings
+from tests.helpers import Gateway, entry, final_answers, set_ups, settings
 
-RELEASED_OUTCOMES = ["timed_out", "cut", "withdrawn"]
+RELEASE_WAIT_OUTCOMES = ["timed_out", "cut", "withdrawn"]
 
 
 def answers(gateway: Gateway, call: str) -> list:
@@ -20,8 +25,8 @@
 def test_rule_1_an_unanswered_call_times_out_before_its_deadline_and_fails_once():
     gateway = Gateway()
     (sent,) = set_ups(gateway.call(valid_for_ms=2000.0))
-    assert sent.timeout_at_ms < gateway.now + 2000.0
-    gateway.wait(sent.timeout_at_ms - gateway.now)
+    assert sent.timeout_at_ms < gateway.now_ms + 2000.0
+    gateway.wait(sent.timeout_at_ms - gateway.now_ms)
     gateway.end_attempt(sent, "timed_out")
     gateway.wait(3000.0)
     assert answers(gateway, "c1") == [interface.Fail("c1")]
@@ -48,7 +53,7 @@
     assert not gateway.controller.calls
 
 
-@pytest.mark.parametrize("outcome", ["full", "no_connection", "not_sent", "error", *RELEASED_OUTCOMES])
+@pytest.mark.parametrize("outcome", ["full", "no_connection", "not_sent", "error", *RELEASE_WAIT_OUTCOMES])
 def test_rule_2_one_attempt_at_a_time_and_at_most_max_attempts(outcome):
     gateway = Gateway(6)
     open_attempts = 0
@@ -74,13 +79,13 @@
     gateway.handle(interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry("s0", 0, state),)))
     for _ in range(20):
         gateway.wait(50.0)
-        assert all(sent.server == "s1" for sent in set_ups(gateway.call(to=0)))
+        assert all(sent.server == "s1" for sent in set_ups(gateway.call(destination=0)))
 
 
 def test_rule_3_a_server_absent_from_a_snapshot_gets_no_set_ups():
     gateway = Gateway()
     gateway.handle(interface.ServerListUpdate(interface.UpdateKind.SNAPSHOT, (entry("s1", 1),)))
-    assert set_ups(gateway.call(to=0))[0].server == "s1"
+    assert set_ups(gateway.call(destination=0))[0].server == "s1"
 
 
 @pytest.mark.parametrize("as_new_id", [False, True])
@@ -88,38 +93,42 @@
     gateway = Gateway()
     gateway.serve(30, per_s=8.0)
     name = "s7" if as_new_id else "s0"
-    since = 0.0 if as_new_id else gateway.now
+    online_since_ms = 0.0 if as_new_id else gateway.now_ms
     gateway.handle(
         interface.ServerListUpdate(
-            interface.UpdateKind.SNAPSHOT, (entry(name, 0, since=since), entry("s1", 1))
+            interface.UpdateKind.SNAPSHOT, (entry(name, 0, online_since_ms=online_since_ms), entry("s1", 1))
         )
     )
-    to_cold = 0
+    sent_to_cold = 0
     for _ in range(80):
-        for sent in set_ups(gateway.wait(25.0)) + set_ups(gateway.call(to=0)):
-            to_cold += sent.server == name
+        for sent in set_ups(gateway.wait(25.0)) + set_ups(gateway.call(destination=0)):
+            sent_to_cold += sent.server == name
             gateway.establish(sent, 30.0)
-    # Two seconds at 4 a second: 8 for a warm server, 0.4 to 0.52 of that and a little more for a cold one.
-    assert 2 <= to_cold <= 7
+    # Two seconds at a calm rate of 4 a second: 8 for a warm server, for a cold one 0.4 to 0.52 of that and a few more.
+    assert 2 <= sent_to_cold <= 7
 
 
 def test_rule_4_a_restarted_gateway_sends_little_to_a_cold_server():
     gateway = Gateway(servers=0)
-    since = gateway.now - 100.0
-    gateway.handle(interface.ServerListUpdate(interface.UpdateKind.CACHED, (entry("s0", 0, since=since),)))
+    online_since_ms = gateway.now_ms - 100.0
+    gateway.handle(
+        interface.ServerListUpdate(
+            interface.UpdateKind.CACHED, (entry("s0", 0, online_since_ms=online_since_ms),)
+        )
+    )
     sent = 0
     for _ in range(40):
         gateway.wait(10.0)
-        sent += len(set_ups(gateway.call(to=0)))
+        sent += len(set_ups(gateway.call(destination=0)))
     assert sent <= 1
 
 
-@pytest.mark.parametrize("outcome", RELEASED_OUTCOMES)
+@pytest.mark.parametrize("outcome", RELEASE_WAIT_OUTCOMES)
 def test_rule_5_a_retry_waits_for_the_release(outcome):
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
     gateway.wait(100.0)
-    ended_at = gateway.now
+    ended_at = gateway.now_ms
     gateway.end_attempt(sent, outcome)
     assert not set_ups(gateway.wait(249.0))
     (retry,) = set_ups(gateway.wait(50.0))
@@ -139,17 +148,17 @@
     gateway = Gateway()
     (sent,) = set_ups(gateway.call())
     actions = gateway.end_attempt(sent, "error", cause=interface.Cause.NUMBER_BUSY)
-    assert finals(actions) and not set_ups(actions)
+    assert final_answers(actions) and not set_ups(actions)
 
 
 def test_a_call_that_may_have_run_is_not_repeated_unless_its_class_permits():
     once = interface.CallClass("once", 1.0, 0.0, 1000.0, 5000.0, interface.Repeat.ONCE)
     gateway = Gateway(classes=(once,))
-    (sent,) = set_ups(gateway.call(kind="once"))
+    (sent,) = set_ups(gateway.call(call_class="once"))
     gateway.end_attempt(sent, "timed_out")
     gateway.wait(2000.0)
     assert answers(gateway, "c1") == [interface.Fail("c1")]
-    (sent,) = set_ups(gateway.call(kind="once"))
+    (sent,) = set_ups(gateway.call(call_class="once"))
     assert set_ups(gateway.end_attempt(sent, "full"))
 
 
@@ -163,8 +172,8 @@
 def test_calls_of_an_unknown_class_or_of_one_without_servers_are_answered():
     unserved = interface.CallClass("lonely", 1.0, 0.0, 1000.0, 5000.0, allowed_pools=(9,))
     gateway = Gateway(classes=(unserved,))
-    gateway.call(kind="lonely", valid_for_ms=2000.0)
-    gateway.call(kind="never heard of", valid_for_ms=2000.0)
+    gateway.call(call_class="lonely", valid_for_ms=2000.0)
+    gateway.call(call_class="never heard of", valid_for_ms=2000.0)
     gateway.wait(1990.0)
     assert len(answers(gateway, "c1")) == len(answers(gateway, "c2")) == 1
 
@@ -228,18 +237,22 @@
 
 def test_a_gateway_restarted_among_cold_servers_learns_rates_and_sends_a_little():
     gateway = Gateway(servers=0)
-    since = gateway.now - 100.0
+    online_since_ms = gateway.now_ms - 100.0
     gateway.handle(
         interface.ServerListUpdate(
-            interface.UpdateKind.CACHED, (entry("s0", 0, since=since), entry("s1", 1, since=since))
+            interface.UpdateKind.CACHED,
+            (
+                entry("s0", 0, online_since_ms=online_since_ms),
+                entry("s1", 1, online_since_ms=online_since_ms),
+            ),
         )
     )
     sent = 0
     for i in range(50):
-        for action in set_ups(gateway.wait(100.0)) + set_ups(gateway.call(to=i % 2)):
+        for action in set_ups(gateway.wait(100.0)) + set_ups(gateway.call(destination=i % 2)):
             sent += 1
             gateway.establish(action, 30.0)
-    # Ten a second are offered for five seconds; the servers could take a fraction of 0.4 to 0.7 of the 50.
+    # Ten calls a second are offered for five seconds; the servers can take 0.4 to 0.7 of the 50.
     assert 8 <= sent <= 30
 
 
@@ -255,7 +268,7 @@
 
 
 def fleet(gateways: int, servers: int, per_s: float, seconds: float) -> list[Gateway]:
-    """Gateways with light traffic each, all calm, whose calls name the servers in turn."""
+    """Returns gateways that have each had light traffic to calm servers, with calls that name the servers in turn."""
     members = [Gateway(servers, seed=seed, gateways=gateways) for seed in range(gateways)]
     for gateway in members:
         gateway.serve(seconds, per_s=per_s)
@@ -265,15 +278,15 @@
 def test_rule_4_hundreds_of_gateways_together_do_not_overload_a_cold_server():
     members = fleet(200, servers=4, per_s=2.0, seconds=20.0)
     for gateway in members:
-        cold = entry("s0", 0, since=gateway.now)
+        cold = entry("s0", 0, online_since_ms=gateway.now_ms)
         gateway.handle(interface.ServerListUpdate(interface.UpdateKind.CHANGES, (cold,)))
     sent = 0
-    for gateway in members:  # two seconds, every call names the cold server, as after a mass restart
+    for gateway in members:  # for two seconds every call names the cold server, as after a mass restart
         for _ in range(8):
-            for action in set_ups(gateway.wait(250.0)) + set_ups(gateway.call(to=0)):
+            for action in set_ups(gateway.wait(250.0)) + set_ups(gateway.call(destination=0)):
                 sent += action.server == "s0"
-    # A calm rate of 0.5 a second each is 100 a second; a cold server can take 0.4 to 0.52 of that, so that 2 x 2 x 46
-    # may be sent. One full token for each gateway would be 200 at once.
+    # A calm rate of 0.5 a second for each gateway makes 100 a second. A cold server can take 0.4 to 0.52 of that, and
+    # for two seconds push_multiple (2) times 46 a second may be sent: 184. One token for each gateway would be 200.
     assert 20 <= sent <= 184
 
 
@@ -285,8 +298,9 @@
         gateway.handle(interface.ServerListUpdate(interface.UpdateKind.CHANGES, draining))
         for i in range(4):
             gateway.wait(250.0)
-            sent += len(set_ups(gateway.call(to=1 + i % 3)))
-    # The calm rate is 100 a second: 1.7 times that and a second's burst depth may be sent, not one each at once.
+            sent += len(set_ups(gateway.call(destination=1 + i % 3)))
+    # The calm rate of all gateways is 100 a second: in one second 1.7 times that may be sent, and once more as much as
+    # the depth of the token buckets, instead of one set-up by each gateway at once.
     assert 50 <= sent <= 340
 
 
@@ -294,10 +308,10 @@
     members = fleet(100, servers=2, per_s=2.0, seconds=10.0)
     trials = 0
     for gateway in members:
-        (sent,) = set_ups(gateway.call(to=1, number_called="n"))
+        (sent,) = set_ups(gateway.call(destination=1, number_called="n"))
         gateway.end_attempt(sent, "error", cause=interface.Cause.NUMBER_BUSY)
         gateway.wait(2000.0)
-        trials += len(set_ups(gateway.call(to=1, number_called="n")))
+        trials += len(set_ups(gateway.call(destination=1, number_called="n")))
     # The retry time ends for all gateways at once: without the fraction a hundred trials would be sent.
     assert 5 <= trials <= 40
 
@@ -307,13 +321,14 @@
     sent = 0
     for gateway in members:
         server = gateway.controller.servers["s0"]
-        gateway.controller._record_sample(gateway.now, server, 2000.0)
-        for _ in range(12):  # six seconds in which every call names it: 2400 calls, none answered
+        gateway.controller._record_sample(gateway.now_ms, server, 2000.0)
+        # For six seconds every call names the silent server: 2400 calls, which it never answers.
+        for _ in range(12):
             gateway.wait(500.0)
-            for action in set_ups(gateway.call(to=0)):
+            for action in set_ups(gateway.call(destination=0)):
                 if action.server == "s0":
                     sent += 1
                 else:
                     gateway.establish(action, 30.0)
-    # Each gateway has a sample of the overload and keeps it for three gaps of two seconds.
+    # Each gateway has a load value of the overload, which counts for three mean gaps of two seconds.
     assert sent <= 200
