--- a/leadslip/core.py
+++ b/leadslip/core.py
@@ -100,9 +100,7 @@
         self.established: dict[str, Request] = {}  # by id; answered, and the call goes on
         self.states: dict[str, interface.ServerState] = {}  # by server, with local drains applied
         self.entries: dict[str, interface.ListEntry] = {}  # by server, as listed, without local drains
-        self.out_of_rotation: frozenset[str] = (
-            frozenset()
-        )  # servers drained by operators, whatever the list reports
+        self.out_of_rotation: frozenset[str] = frozenset()  # servers drained by operators, not by the list
         self.unavailable_since_ms: dict[str, float] = {}  # by server: since when it drains or is gone
         self.events: deque[interface.Event] = deque()  # not yet passed to the Controller
         self.dispatching = False  # while `_dispatch` runs, so that nested calls only queue their events
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,7 +13,10 @@
 
 
 class World:
-    """An engine with its clock; also its downstream and upstream sides, which record what the engine calls."""
+    """An engine with its clock; also its downstream and upstream sides, which record what the engine calls.
+
+    `sent` has the attempts passed to `send`, `recorded` all other calls; `outcome` is what `send` returns.
+    """
 
     def __init__(self, servers=2, **changes):
         self.time, self.metrics, self.recorded, self.sent = Clock(), Metrics(), [], []
@@ -51,20 +54,21 @@
         self.recorded.append(("over", request.id, cut))
 
     def read_pending(self, request):
-        """Does nothing: no unread data is ever pending from the callers of this fixture."""
+        """Does nothing: the callers of this fixture never have unread data."""
 
-    def offer(self, id_="a", left_ms=2000.0, to=0):
-        request = core.Request(id_, PLAIN, self.now_ms() + left_ms, self, b"c=offer")
-        request.destination = to
+    def offer(self, id_="a", valid_for_ms=2000.0, destination=0):
+        request = core.Request(id_, PLAIN, self.now_ms() + valid_for_ms, self, b"c=offer")
+        request.destination = destination
         self.engine.offer(request)
         return request
 
     def wait(self, ms):
+        """Advances the clock in steps of 1 ms, so that timers set meanwhile fire in time."""
         for _ in range(int(ms)):
             self.time.advance(0.001)
 
 
-def test_an_established_call_is_answered_once_and_released_once():
+def test_repeated_answers_and_ends_of_an_attempt_are_passed_to_the_caller_once():
     world = World()
     world.offer()
     (attempt,) = world.sent
@@ -78,7 +82,7 @@
 
 def test_with_a_silent_server_the_request_fails_before_its_deadline_and_the_attempt_is_cancelled():
     world = World()
-    world.offer(left_ms=800.0)
+    world.offer(valid_for_ms=800.0)
     world.wait(795)
     assert world.recorded == [("give up", "a"), ("failed", "a")]
     world.engine.on_established(world.sent[0], b"late")
@@ -88,7 +92,7 @@
 def test_a_request_is_answered_even_if_the_controller_never_decides_about_it():
     world = World()
     world.engine.controller.handle = lambda now_ms, event: []
-    world.offer(left_ms=500.0)
+    world.offer(valid_for_ms=500.0)
     world.wait(500)
     assert world.recorded == [("failed", "a")]
 
@@ -194,7 +198,7 @@
         world.engine.update_servers(
             interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry(f"n{i}", 0),))
         )
-        world.offer(str(i), to=0)
+        world.offer(str(i), destination=0)
         for attempt in world.sent:
             world.engine.on_attempt_ended(attempt, interface.Outcome.ERROR)
         gone_entry = entry(f"n{i}", 0, "gone")
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""The request counters of the engine, compared with the requests made and the answers given."""
+"""The request counters of the engine, compared with the requests offered and the answers given."""
 
 import random
 
@@ -9,7 +9,7 @@
 from tests.test_core import World
 
 
-def figures(world: World) -> dict[str, int]:
+def counter_values(world: World) -> dict[str, int]:
     return world.engine.counters.values()
 
 
@@ -27,13 +27,13 @@
             if rng.random() < 0.9:
                 world.engine.on_set_up_written(attempt)
                 expected[(call_class, "tries")] = expected.get((call_class, "tries"), 0) + 1
-        event = rng.random()
+        draw = rng.random()
         attempt = request.attempt
-        if attempt is not None and event < 0.5:
+        if attempt is not None and draw < 0.5:
             world.engine.on_established(attempt, b"sdp")
-        elif attempt is not None and event < 0.6:
+        elif attempt is not None and draw < 0.6:
             world.engine.on_attempt_ended(attempt, interface.Outcome.ERROR)
-        elif attempt is not None and event < 0.7:
+        elif attempt is not None and draw < 0.7:
             world.engine.cancel(request)  # the caller left: no answer is counted
             cancelled.add(request.id)
         world.wait(rng.choice((0, 5, 50)))
@@ -41,7 +41,7 @@
             if rng.random() < 0.1:
                 world.engine.on_attempt_ended(established.attempt, interface.Outcome.SERVED)
         active = len(active_requests(world, classes, cancelled))
-        assert figures(world)["proxy.active"] == active
+        assert counter_values(world)["proxy.active"] == active
         active_seen.append(active)
     world.wait(4000)
     answers = {"stands": "ok", "refused": "shed", "failed": "errors"}
@@ -49,17 +49,17 @@
         if answer in answers:
             key = (classes[id_], answers[answer])
             expected[key] = expected.get(key, 0) + 1
-    values = figures(world)
+    values = counter_values(world)
     for call_class in (PLAIN, URGENT):
-        for outcome in ("ok", "shed", "errors", "tries"):
-            assert values[f"proxy.responses.{call_class}.{outcome}"] == expected.get((call_class, outcome), 0)
-    for outcome in ("ok", "shed", "errors", "tries"):  # every counter was exercised
-        assert sum(expected.get((call_class, outcome), 0) for call_class in (PLAIN, URGENT)) > 10
+        for counter in ("ok", "shed", "errors", "tries"):
+            assert values[f"proxy.responses.{call_class}.{counter}"] == expected.get((call_class, counter), 0)
+    for counter in ("ok", "shed", "errors", "tries"):  # each was counted often enough for the comparison
+        assert sum(expected.get((call_class, counter), 0) for call_class in (PLAIN, URGENT)) > 10
     assert max(active_seen) > 10
 
 
 def active_requests(world: World, offered: dict, cancelled: set) -> set:
-    """Requests received and not ended, as seen downstream: without a final answer, or with an established call."""
+    """Ids of the requests without a final answer or with an established call, as recorded by the downstream side."""
     active = set(offered) - cancelled
     for answer, id_, *_ in world.recorded:
         if answer in ("refused", "failed", "over"):
@@ -73,7 +73,7 @@
     world.engine.offer(first)
     world.engine.offer(Request("a" * 16, PLAIN, world.now_ms() + 2000.0, world))
     world.engine.offer(Request("b" * 16, "no such class", world.now_ms() + 2000.0, world))
-    values = figures(world)
+    values = counter_values(world)
     assert values[f"proxy.responses.{PLAIN}.errors"] == 1
     assert not [name for name in values if "no such class" in name]
     assert ("refused", "b" * 16) in world.recorded
@@ -88,7 +88,7 @@
     world.engine.apply_settings(
         interface.Settings(**{**_fields(settings), "classes": (added,)}), world.engine.max_open_requests
     )
-    values = figures(world)
+    values = counter_values(world)
     assert values[f"proxy.responses.{PLAIN}.ok"] == 1 and values["proxy.responses.fresh.ok"] == 0
 
 
--- a/tests/test_filters.py
+++ b/tests/test_filters.py
@@ -1,4 +1,4 @@
-"""The filter chain: order, modifications, refusals, failing filters, and replacement while calls are open."""
+"""The filter chain: order, modifications, refusals, filters that raise, and replacement while requests are open."""
 
 import pytest
 
@@ -10,25 +10,31 @@
 class RecordingFilter:
     """A filter that records its calls and refuses, modifies or raises as configured."""
 
-    def __init__(self, name, notes, refusal=None, change=None, raises=False):
-        self.name, self.notes, self.refusal, self.change, self.raises = name, notes, refusal, change, raises
-
-    def _note(self, method, request):
-        self.notes.append((self.name, method, request.id))
+    def __init__(self, name, invocations, refusal=None, change=None, raises=False):
+        self.name, self.invocations, self.refusal, self.change, self.raises = (
+            name,
+            invocations,
+            refusal,
+            change,
+            raises,
+        )
+
+    def _record(self, method, request):
+        self.invocations.append((self.name, method, request.id))
         if self.raises:
             raise RuntimeError("filter failed")
 
     def admit(self, request, now_ms):
-        self._note("admit", request)
+        self._record("admit", request)
         if self.change is not None:
             self.change(request)
         return self.refusal
 
     def established(self, request, now_ms):
-        self._note("stood", request)
+        self._record("established", request)
 
     def ended(self, request, now_ms):
-        self._note("ended", request)
+        self._record("ended", request)
 
 
 def world_with(*filters):
@@ -38,34 +44,40 @@
 
 
 def test_filters_are_called_in_order_and_notified_of_each_end_once():
-    notes = []
-    world = world_with(RecordingFilter("a", notes), RecordingFilter("b", notes))
+    invocations = []
+    world = world_with(RecordingFilter("a", invocations), RecordingFilter("b", invocations))
     world.offer("stands")
     world.engine.on_established(world.sent[-1], b"sdp")
     world.engine.on_attempt_ended(world.sent[-1], interface.Outcome.SERVED)
     world.engine.cancel(world.offer("left"))
-    world.offer("late", left_ms=50.0)
+    world.offer("late", valid_for_ms=50.0)
     world.wait(60)
-    expected = {"stands": ["admit", "stood", "ended"], "left": ["admit", "ended"], "late": ["admit", "ended"]}
+    expected = {
+        "stands": ["admit", "established", "ended"],
+        "left": ["admit", "ended"],
+        "late": ["admit", "ended"],  # fails at its deadline
+    }
     for id_, methods in expected.items():
         for name in ("a", "b"):
-            assert [method for filter_, method, of in notes if filter_ == name and of == id_] == methods
-    assert notes[:2] == [("a", "admit", "stands"), ("b", "admit", "stands")]
-    assert notes[4:6] == [("b", "ended", "stands"), ("a", "ended", "stands")], "in reverse order"
+            assert [
+                method for filter_, method, request_id in invocations if filter_ == name and request_id == id_
+            ] == methods
+    assert invocations[:2] == [("a", "admit", "stands"), ("b", "admit", "stands")]
+    assert invocations[4:6] == [("b", "ended", "stands"), ("a", "ended", "stands")], "in reverse order"
 
 
 def test_a_refusal_is_answered_at_once_and_earlier_filters_are_notified():
-    notes = []
+    invocations = []
     world = world_with(
-        RecordingFilter("a", notes),
-        RecordingFilter("b", notes, refusal=Refusal(9e9)),
-        RecordingFilter("c", notes),
+        RecordingFilter("a", invocations),
+        RecordingFilter("b", invocations, refusal=Refusal(9e9)),
+        RecordingFilter("c", invocations),
     )
     refusals = []
     world.refused = lambda request, pause_ms: refusals.append((request.id, pause_ms))
     world.offer("x")
-    assert refusals == [("x", 2000.0)] and not world.sent, "with the pause limited to max_pause_ms"
-    assert notes == [("a", "admit", "x"), ("b", "admit", "x"), ("a", "ended", "x")]
+    assert refusals == [("x", 2000.0)] and not world.sent, "the pause is limited to max_pause_ms"
+    assert invocations == [("a", "admit", "x"), ("b", "admit", "x"), ("a", "ended", "x")]
     assert world.metrics.counts["filters.b.refused"] == 1 and not world.engine.open
 
 
@@ -75,13 +87,13 @@
         request.valid_until_ms += 60_000.0
 
     world = world_with(RecordingFilter("a", [], change=change))
-    request = world.offer("x", left_ms=800.0)
+    request = world.offer("x", valid_for_ms=800.0)
     assert world.sent[0].server == "s1" and request.valid_until_ms == world.now_ms() + 800.0
     world.wait(110)
     assert world.recorded[0] == ("give up", "x"), "its attempt timed out after 100 ms"
     world.wait(700)
     finals = [answer for answer, *_ in world.recorded if answer in ("failed", "refused")]
-    assert len(finals) == 1, "answered once, within the caller's deadline"
+    assert len(finals) == 1, "it is answered once, within the caller's deadline"
 
 
 def test_a_filter_that_raises_is_counted_logged_once_and_skipped():
@@ -97,36 +109,36 @@
 
 
 def test_calls_end_at_the_filters_that_admitted_them_after_the_chain_was_replaced():
-    notes = []
-    world = world_with(RecordingFilter("old", notes))
+    invocations = []
+    world = world_with(RecordingFilter("old", invocations))
     world.offer("x")
-    world.engine.chain.replace([RecordingFilter("new", notes)])
+    world.engine.chain.replace([RecordingFilter("new", invocations)])
     world.offer("y")
     for attempt in world.sent:
         world.engine.on_established(attempt, b"sdp")
         world.engine.on_attempt_ended(attempt, interface.Outcome.SERVED)
-    assert [note for note in notes if note[2] == "x"] == [
-        ("old", method, "x") for method in ("admit", "stood", "ended")
+    assert [item for item in invocations if item[2] == "x"] == [
+        ("old", method, "x") for method in ("admit", "established", "ended")
     ]
-    assert [note for note in notes if note[2] == "y"] == [
-        ("new", method, "y") for method in ("admit", "stood", "ended")
+    assert [item for item in invocations if item[2] == "y"] == [
+        ("new", method, "y") for method in ("admit", "established", "ended")
     ]
     with pytest.raises(ValueError, match="must be unique"):
         world.engine.chain.replace([RecordingFilter("n", []), RecordingFilter("n", [])])
 
 
 def test_observers_are_notified_in_order():
-    notes = []
+    invocations = []
 
     class RecordingObserver:
         def __init__(self, name):
             self.name = name
 
         def attempt_ended(self, attempt, outcome, now_ms):
-            notes.append((self.name, outcome))
+            invocations.append((self.name, outcome))
 
         def request_answered(self, request, answer, now_ms):
-            notes.append((self.name, answer))
+            invocations.append((self.name, answer))
 
     world = World()
     world.engine.observer = core.Observers(RecordingObserver("a"), RecordingObserver("b"))
@@ -134,4 +146,4 @@
     world.engine.on_established(world.sent[0], b"sdp")
     world.engine.on_attempt_ended(world.sent[0], interface.Outcome.SERVED)
     served = interface.Outcome.SERVED
-    assert notes == [("a", "stands"), ("b", "stands"), ("a", served), ("b", served)]
+    assert invocations == [("a", "stands"), ("b", "stands"), ("a", served), ("b", served)]
