--- a/leadslip/choice.py
+++ b/leadslip/choice.py
@@ -34,7 +34,7 @@
 RATE_KNOWN_CALLS = 10  # calls after which the calm rate limits set-ups; fewer give no useful estimate
 UTILISATION_THRESHOLDS = (0.85, 1.0)  # minor and major of reported utilisation: queues begin, and saturation
 QUEUE_THRESHOLDS = (8.0, 32.0)  # minor and major of reported queues, in set-ups; same ratio as the delays
-RESERVATION_MS = 20.0  # lines reserved for calls worth more, as time at the rate of all gateways: report age
+RESERVATION_MS = 20.0  # lines reserved for calls worth more, as time at all gateways' rate: a report's age
 UNANSWERED_WINDOW_MS = 400.0  # unanswered set-ups allowed, as time at the calm rate; between minor and major
 URGENT_WORTH_RATIO = 3.0  # a class worth this many times the least is urgent; lower ratios are preferences
 BUSY_TRIAL_FRACTION = 0.2  # probability that a call to a busy number is sent as a trial when one is due
@@ -58,13 +58,13 @@
         self.load, self.refusal_probability = 0.0, 0.0  # both smoothed
         self.baselines: dict[float, float] = {}  # time slot -> least delay in it
         self.unanswered: dict[str, float] = {}  # call -> send time of its set-up, oldest first
-        self.answered_sent_ms = 0.0  # latest send time of an established set-up; a refusal may overtake
+        self.answered_sent_ms = 0.0  # newest send time of an established set-up; refused ones may overtake
         self.overloaded = False  # state last logged
         self.free_lines: float | None = None  # as last reported, less those taken by set-ups since
 
 
 class _Call:
-    """One call that has not been answered finally."""
+    """One call that is open or established."""
 
     def __init__(
         self, offered: interface.CallOffered, call_class: interface.CallClass, max_attempts: int
@@ -72,10 +72,10 @@
         self.offered, self.call_class = offered, call_class
         self.attempts, self.max_attempts = 0, max_attempts  # the bound stays when settings change
         self.server: _Server | None = None  # where an attempt is in progress
-        self.established = self.may_have_run = False  # the latter: one may have been processed
+        self.established = self.may_have_run = False  # the latter: an attempt may have been processed
         self.failed_servers: list[str] = []
         self.retry_at_ms = 0.0  # not to be sent before
-        self.uniform = 1.0  # random in [0, 1), drawn at each decision; grants parts of a set-up by chance
+        self.uniform = 1.0  # random in [0, 1), drawn at each decision: whether a part of a set-up suffices
 
 
 class Controller:
@@ -87,7 +87,7 @@
         self.apply_settings(settings)
         self.rng = random.Random(seed)
         self.servers: dict[str, _Server] = {}  # by id
-        self.calls: dict[str, _Call] = {}  # by id; until answered finally or ended
+        self.calls: dict[str, _Call] = {}  # by id; open or established
         self.gone_servers: dict[str, float] = {}  # server -> time at which it was reported gone
         self.list_received = False
         self.timer_started = False
--- a/leadslip/interface.py
+++ b/leadslip/interface.py
@@ -96,8 +96,8 @@
 class Settings:
     """Settings of a Controller, applied at its start and whenever they change.
 
-    The Controller doesn't use `index`, `may_withdraw`, `may_probe`, `may_tell_peers`, `push_window_ms` and `resend_ms`;
-    they complete the site's description.
+    `index`, `may_withdraw`, `may_probe`, `may_tell_peers`, `push_window_ms` and `resend_ms` are read from the
+    configuration but used by neither the Controller nor the engine.
     """
 
     gateways: int  # number of gateways that share the servers
--- a/leadslip/simhost.py
+++ b/leadslip/simhost.py
@@ -150,16 +150,16 @@
         self.lists: dict[int, list[interface.ListEntry]] = {}  # by buffer number
         self.now_ms: float | None = None  # time of the current batch; None between batches
         self.gateway_id = ""  # gateway that the lines of the batch address
-        self.reply_gateway_id = ""  # gateway to which the last lines of the reply belong
+        self.reply_gateway = ""  # gateway to which the last lines of the reply belong
         self.open_list: list[interface.ListEntry] | None = None  # list to which the next ENTRY belongs
         self.missing_entries = 0  # entries that the open list still lacks
         self.reply: list[str] = []
 
     def add_line(self, line: str) -> None:
         """Adds one line of the current gateway to the reply."""
-        if self.reply_gateway_id != self.gateway_id:
+        if self.reply_gateway != self.gateway_id:
             self.reply.append(f"INSTANCE gateway_id={self.gateway_id}")
-            self.reply_gateway_id = self.gateway_id
+            self.reply_gateway = self.gateway_id
         self.reply.append(line)
 
     def run_guarded(self, function: Callable[[], list[str]]) -> None:
@@ -211,12 +211,7 @@
         if message_type == "ROUND":
             if self.now_ms is not None:
                 raise MalformedError("ROUND within a batch: EOF_BATCH is missing")
-            self.now_ms, self.gateway_id, self.reply_gateway_id, self.reply = (
-                number(fields, "t_ms"),
-                "",
-                "",
-                [],
-            )
+            self.now_ms, self.gateway_id, self.reply_gateway, self.reply = number(fields, "t_ms"), "", "", []
         elif self.now_ms is None:
             raise MalformedError(f"{message_type} outside a batch: ROUND is missing")
         elif message_type == "EOF_BATCH":
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -7,6 +7,7 @@
 
 from leadslip import simhost
 
+# Some keys and load values here, such as brand_new and novelty, are unknown to the adapter, which must ignore them.
 SETTINGS = (
     "balancers=3 index=1 services.count=1 services.0.name=plain services.0.gain=1 services.0.aim_ms=1000 "
     "services.0.deadline_ms=5000 services.0.brand_new=7 limits.most_tries=3 limits.cancel=true tick_ms=5 "
