--- a/leadslip/fleet/history.py
+++ b/leadslip/fleet/history.py
@@ -1,4 +1,4 @@
-"""Event history of one process: records with wall-clock and monotonic time, as JSON lines. Optional, for test runs."""
+"""Event history of one process, as JSON lines with wall-clock and monotonic time; fault-injection runs check it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def file_writer(path: str) -> Callable[[dict], None]:
-    """Returns a function that appends records to a file; a killed process leaves at most one truncated line."""
+    """Returns a function that appends a record to a file as one line; a kill truncates at most the last line."""
     file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
     def write_record(fields: dict) -> None:
@@ -25,23 +25,33 @@
 
 
 def record_view(view: View, write_record: Callable[[dict], None]) -> None:
-    """Records each change of a view with the digest after it, and each new generation of its own run."""
-
-    def changed(change: Change) -> None:
-        now, was = change.after, change.before
-        member = now or was
-        if was is not None and now is not None and was.live and now.run != was.run:
-            write_record({"do": "held", "run": f"{was.run:016x}", "name": was.name, "state": "dead"})
+    """Records each change of a view with the view's digest after it, and each new generation of this process.
+
+    A run that a later generation replaces while it is live is recorded as dead, as nothing else reports its end.
+    """
+
+    def record_change(change: Change) -> None:
+        new_entry, old_entry = change.after, change.before
+        member = new_entry or old_entry
+        if (
+            old_entry is not None
+            and new_entry is not None
+            and old_entry.live
+            and new_entry.run != old_entry.run
+        ):
+            write_record(
+                {"do": "held", "run": f"{old_entry.run:016x}", "name": old_entry.name, "state": "dead"}
+            )
         write_record(
             {
                 "do": "held",
                 "run": f"{member.run:016x}",
                 "name": member.name,
-                "state": now.state.name.lower() if now is not None else "forgotten",
+                "state": new_entry.state.name.lower() if new_entry is not None else "forgotten",
                 "digest": f"{view.digest():016x}",
             }
         )
 
-    view.listeners.append(changed)
+    view.listeners.append(record_change)
     view.generation_listeners.append(lambda run: write_record({"do": "reborn", "run": f"{run:016x}"}))
     write_record({"do": "started", "run": f"{view.run:016x}", "name": view.me.name})
--- a/leadslip/fleet/view/members.py
+++ b/leadslip/fleet/view/members.py
@@ -1,12 +1,13 @@
-"""Member table: the record held of each member, the order in which updates are merged, and digests of the table.
-
-A process draws its `run` at random when it starts: 47 random bits and 16 bits that count its generations. A process
-that learns that its run was declared dead continues as the next generation, which nobody has declared dead; a run that
-was declared dead is never alive again (V3). Updates about one process are ordered by generation, then whether they end
-that generation, then incarnation, then suspicion; a merge takes the greater. Metadata has an edition of its own, as an
-update about the same generation may arrive before it, and a merge takes the later edition. The merge is commutative,
-associative and idempotent, so members that have received the same updates hold the same table, in whatever order and
-however often the updates arrived. No clock takes part in the order.
+"""Member table: one entry per known process, the order in which updates are merged, and digests of the table.
+
+A process is identified by its `run`, which it draws when it starts: a random 47-bit process number, followed by 16 bits
+that count its generations. A process that learns that its run was declared dead continues as the next generation, which
+nobody has declared dead; a run that was declared dead is never alive again (invariant V3, drill/check.py). Updates
+about one process are ordered by generation, then by whether they end that generation, then by incarnation, then by
+state; a merge keeps the greatest. Metadata has an edition of its own, as a later update without metadata may arrive
+before the metadata does; a merge keeps the latest edition. The merge is commutative, associative and idempotent, so
+members that have received the same updates hold the same table, in whatever order and however often the updates
+arrived. No clock takes part in the order.
 """
 
 from __future__ import annotations
@@ -24,13 +25,10 @@
 
 GENERATION_BITS = 16
 GENERATION_MASK = (1 << GENERATION_BITS) - 1
-BUCKETS = 32  # number of parts by which two tables are compared
-MAX_FACTS, MAX_FACT_CHARS, MAX_NAME_CHARS = (
-    8,
-    64,
-    64,
-)  # metadata entries of a member; characters of a metadata key or text; of a name, zone or address
-RETENTION_MS = 24 * 3_600_000.0  # how long a member that is dead or has left is kept and contacted
+BUCKETS = 32  # hash buckets by which two tables are compared
+# Metadata entries of a member; characters of a metadata key or text; characters of a name, zone or address.
+MAX_FACTS, MAX_FACT_CHARS, MAX_NAME_CHARS = 8, 64, 64
+RETENTION_MS = 24 * 3_600_000.0  # how long a dead member is kept and contacted, and one that left is kept
 
 
 class State(IntEnum):
@@ -42,11 +40,11 @@
     LEFT = 3
 
 
-UNKNOWN = 4  # status of a member that is not in the table
+UNKNOWN = 4  # status of a run that the table has no knowledge of
 
 
 def draw_run(rng: Random) -> int:
-    """Draws the run of a process that starts; never 0."""
+    """Draws the run of a process that starts; the top bit is always set, so a run is never 0."""
     return (rng.getrandbits(47) | 1 << 46) << GENERATION_BITS
 
 
@@ -57,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member as held in a table. `since_ms` is when it entered this state, in the holder's monotonic time."""
+    """One entry of a table. `since_ms` is when the member entered this state, in the table owner's monotonic time."""
 
     run: int
     name: str
@@ -68,18 +66,20 @@
     since_ms: float = 0.0
     min_version: int = MIN_VERSION  # range of wire versions that it supports
     max_version: int = VERSION
-    facts: dict[str, str | int] = field(default_factory=dict)
+    facts: dict[str, str | int] = field(default_factory=dict)  # the metadata that it publishes about itself
     edition: int = 0  # number of changes of the metadata
 
     @property
     def live(self) -> bool:
+        """Whether it is alive or suspected."""
         return self.state < State.DEAD
 
     def precedence(self) -> tuple[int, int, int, int]:
+        """Sort key of its state among the updates about its process."""
         return precedence(self.run, self.state, self.incarnation)
 
     def is_newer_than(self, record: MemberRecord | None) -> bool:
-        """Whether this has something that another member's record of the same process lacks."""
+        """Whether this has a later state or later metadata than another member's record of the same process."""
         if record is None:
             return True
         return (
@@ -109,7 +109,7 @@
         return MemberUpdate(self.run, int(self.state), self.incarnation, suspected_by)
 
     def fingerprint(self) -> int:
-        """64-bit hash by which tables are compared: run, whether it lives, address and metadata."""
+        """64-bit hash by which tables are compared: run, address, metadata, and whether it is live, dead or left."""
         text = f"{self.run}.{0 if self.live else int(self.state)}.{self.address}.{sorted(self.facts.items())}"
         return int.from_bytes(blake2b(text.encode(), digest_size=8).digest())
 
@@ -124,7 +124,7 @@
 class Change:
     """One change of the table, reported once: the entry before (None: added) and after it (None: removed)."""
 
-    number: int
+    number: int  # 1 for the first change of the table
     before: Member | None
     after: Member | None
 
@@ -155,9 +155,8 @@
     def __init__(self, max_members: int, metrics: Metrics) -> None:
         self.max_members, self.metrics = max_members, metrics
         self.by_process: dict[int, Member] = {}  # process -> its latest generation
-        self.ended: dict[
-            int, None
-        ] = {}  # processes whose latest generation is dead or has left, in the order of arrival
+        # Processes whose latest generation is dead or has left, in the order in which this became known.
+        self.ended: dict[int, None] = {}
         self.live_digest = 0  # XOR of the fingerprints of live members, suspected or not
         self.suspect_digest = 0  # XOR of the fingerprints of suspected members
         self.buckets = [0] * BUCKETS  # digests of all members, by bucket
@@ -172,7 +171,7 @@
         return iter(self.by_process.values())
 
     def get(self, run: int) -> Member | None:
-        """Returns the entry of the process of a run, whichever its generation."""
+        """Returns the entry of the process that a run belongs to, which may be of another generation."""
         return self.by_process.get(process_of(run))
 
     def live_members(self) -> list[Member]:
@@ -183,7 +182,7 @@
         )
 
     def status(self, run: int) -> int:
-        """Returns the state of a run; one that a later generation has replaced is dead."""
+        """Returns the state of a run, or UNKNOWN; a run that a later generation has replaced is dead."""
         member = self.get(run)
         if member is None:
             return UNKNOWN
@@ -192,7 +191,7 @@
         return State.DEAD if member.run > run else UNKNOWN
 
     def merge(self, record: MemberRecord, now_ms: float) -> Member | None:
-        """Merges a received record; returns the new entry if it changed, else None."""
+        """Merges a received record; returns the new entry if its state or metadata changed, else None."""
         if not is_valid(record):
             self.metrics.add("fleet.unsound")
             return None
@@ -209,7 +208,7 @@
                 self._put(current, member)
                 return member
             if current.run == record.run and not current.live and current.state == record.state:
-                # Two members that learned of one end at different times agree on the earlier time.
+                # Members that learned of the same end at different times agree on the earliest time.
                 since_ms = min(current.since_ms, now_ms - record.age_ms)
                 self.by_process[process_of(record.run)] = replace(current, since_ms=since_ms)
             return None
@@ -222,7 +221,8 @@
         state = State(record.state)
         same_state = current is not None and current.run == record.run and current.state is state
         since_ms = current.since_ms if same_state else now_ms - record.age_ms
-        metadata_current = current is None or record.edition >= current.edition  # else it has changed since
+        # Else a later edition of the metadata has been received already, and is kept.
+        metadata_current = current is None or record.edition >= current.edition
         member = Member(
             record.run,
             record.name,
@@ -240,7 +240,10 @@
         return member
 
     def apply_update(self, update: MemberUpdate, now_ms: float) -> Member | None:
-        """Merges an update about a known process; an update about an unknown one has no address and is ignored."""
+        """Merges an update about a known process; returns the new entry if it changed, else None.
+
+        An update about an unknown process is ignored, as it has no address.
+        """
         current = self.get(update.run)
         if current is None or not 0 <= update.state <= State.LEFT or not 0 <= update.incarnation < 1 << 32:
             return None
@@ -258,13 +261,13 @@
         return member
 
     def clear_suspicion(self, run: int, now_ms: float) -> None:
-        """Marks a suspected member alive once a message from it arrives; other members are not notified of it."""
+        """Marks a suspected member alive after a message from it has arrived; other members are not notified."""
         member = self.get(run)
         if member is not None and member.run == run and member.state is State.SUSPECT:
             self._put(member, replace(member, state=State.ALIVE, since_ms=now_ms))
 
     def evict_ended(self, now_ms: float) -> None:
-        """Evicts members that ended before the retention period, and the oldest ones above `max_members`."""
+        """Evicts members that ended longer ago than the retention period, and the oldest ones above `max_members`."""
         evicted = [
             process for process in self.ended if now_ms - self.by_process[process].since_ms > RETENTION_MS
         ]
@@ -281,7 +284,7 @@
             self._notify(member, None)
 
     def in_buckets(self, numbers: Iterable[int]) -> list[Member]:
-        """Returns the members of some buckets."""
+        """Returns the members in the buckets with these numbers."""
         selected = set(numbers)
         return [member for process, member in self.by_process.items() if process % BUCKETS in selected]
 
@@ -306,13 +309,13 @@
         if member.state is State.SUSPECT:
             self.suspect_digest ^= fingerprint
 
-    def _notify(self, was: Member | None, now: Member | None) -> None:
+    def _notify(self, old_entry: Member | None, new_entry: Member | None) -> None:
         self.change_count += 1
-        self.on_change(Change(self.change_count, was, now))
+        self.on_change(Change(self.change_count, old_entry, new_entry))
 
 
 def rendezvous_order(key: bytes, members: Iterable[Member]) -> list[Member]:
-    """Sorts members by rendezvous hash of a key: the first stays first while it lives, whoever joins or leaves."""
+    """Sorts members by rendezvous hash of a key; members that join or leave do not reorder the others."""
 
     def weight(member: Member) -> tuple[bytes, int]:
         hashed = key + member.name.encode()
--- a/leadslip/fleet/view/view.py
+++ b/leadslip/fleet/view/view.py
@@ -1,14 +1,15 @@
 """Membership protocol of the fleet: SWIM failure detection with Lifeguard's local health, and anti-entropy syncs.
 
-One object per process, driven by `received`, `due` and the methods of a sync; it leaves messages in `outbox` and the
-time of its next timer in `wake_ms`. Times are milliseconds of the process's monotonic clock. Pure: time and randomness
-are passed in; net/peers.py, the fault-injection runs and the simulation all run this code.
+Each process has one `View`, driven by `received`, `due` and the methods of a sync; it leaves messages in `outbox` and
+the time of its next timer in `wake_ms`. Times are milliseconds of the process's monotonic clock. Pure: time and
+randomness are passed in; net/peers.py, the fault-injection runs and the simulation all run this code.
 
 Each `probe_interval_ms` the next member of a shuffled list is pinged. A member that does not answer in
-`ack_timeout_ms` is pinged through three relays; if no answer arrives in twice that time more, it is suspected, and
-declared dead unless it refutes in time (suspicion.py). Updates are piggybacked on pings and answers, and sent by
-themselves while they are fresh. Members that missed updates find out by the digest in every ping, and sync tables over
-TCP. Once a second a dead member or a seed is pinged, whichever process is there, so that a partition heals.
+`ack_timeout_ms` is pinged through up to three relays; if no answer arrives in twice that time more, it is suspected,
+and declared dead unless it refutes the suspicion in time (suspicion.py). Updates are piggybacked on pings and answers,
+and sent in messages of their own while they are fresh. Members that missed updates detect that by the digest in every
+ping and answer, and sync their tables over TCP. Once a second a ping is sent to the address of a dead member or of a
+seed, to be answered by whichever process is there, so that a partition heals.
 """
 
 from __future__ import annotations
@@ -36,30 +37,29 @@
 from leadslip.fleet.view.token_bucket import TokenBucket
 from leadslip.metrics import Metrics
 
-GOSSIP_ROOM_BYTES = wire.MAX_DATAGRAM_BYTES - wire.SEAL_BYTES - 155  # bytes of a datagram left for updates
+GOSSIP_ROOM_BYTES = wire.MAX_DATAGRAM_BYTES - wire.SEAL_BYTES - 155  # of a ping or answer, left for updates
 SUSPECT_PING_INTERVAL_MS = 250.0  # between two pings of a suspected member
-SUSPECT_PINGS_PER_MS, SUSPECT_PINGS_PER_MS_PARTITIONED = (
-    0.012,
-    0.002,
-)  # to all suspected members together; while a partition is assumed
+# Pings to all suspected members together; the lower rate applies while a partition is assumed.
+SUSPECT_PINGS_PER_MS, SUSPECT_PINGS_PER_MS_PARTITIONED = 0.012, 0.002
 SUSPECTS_PINGED_ON_RECOVERY = 3  # suspects pinged at once when one of them is heard from again
 FINAL_PROBES = 2  # sent before a member is declared dead
-FINAL_PROBE_FACTOR = 3.2  # wait for a final probe and its relays, as a multiple of the answer time-out
+FINAL_PROBE_FACTOR = 3.2  # time for a final probe and its relays, as a multiple of the answer time-out
 CONFIRMERS = 3  # members that are asked to probe a newly suspected member themselves
-PARTITION_SUSPICIONS = 8  # more suspicions at once are taken for a partition; more queued updates are batched
+# With more suspicions than this a partition is assumed; with more queued updates, gossip is sent less frequently.
+PARTITION_SUSPICIONS = 8
 RELAYS = 3  # members asked to ping one that does not answer
 GOSSIP_FANOUT = 3  # members that fresh updates are sent to at once
-MAX_SYNC_UPDATES = 8  # if a sync changes more members, they are spread by further syncs, not by gossip
-DIVERGED_MEMBERS = 4  # views whose numbers of live members differ by this much are synced at once
-CONFIRMED_ALIVE_MS = 1500.0  # no member is declared dead by one not confirmed alive for longer than this ...
-UNCONFIRMED_LIMIT_MS = 10_000.0  # ... unless it has waited this long, as nobody may be left to confirm it
-REFUTATION_REPEAT_MS = 2000.0  # how long after a refutation every message carries it
+MAX_SYNC_UPDATES = 8  # if a sync changes more members, the changes are spread by further syncs, not by gossip
+DIVERGED_MEMBERS = 4  # views whose live counts differ by this much are synced without a grace period
+CONFIRMED_ALIVE_MS = 1500.0  # a process not confirmed alive by any member for longer declares none dead ...
+UNCONFIRMED_LIMIT_MS = 10_000.0  # ... until this long after the time-out, as nobody may be left to confirm it
+REFUTATION_REPEAT_MS = 2000.0  # how long after a refutation every ping and answer carries it
 PAUSE_THRESHOLD_MS = 400.0  # a timer later than this shows that the process was paused
 RELAY_REQUESTS_PER_MS, RELAY_REQUEST_BURST = 0.003, 18.0  # token bucket of requests to relays ...
-FINAL_PROBE_RESERVE = 6.0  # ... of which this many tokens are reserved for final probes
+FINAL_PROBE_RESERVE = 6.0  # ... of which this many are reserved for final probes
 FINAL_PROBE_MAX_DELAY_MS = 2000.0  # longest wait of a final probe for relay tokens
 SYNC_BYTES_PER_MS, SYNC_BURST_BYTES = 0.3, 14_000.0  # token bucket of syncs initiated here
-RELAYED_PROBES = 3  # the direct path counts as blocked after this many answers in a row through relays only
+RELAYED_PROBES = 3  # after this many probes in a row answered through relays only, a path counts as blocked
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,8 +68,8 @@
 
     probe_interval_ms: float = 90.0
     ack_timeout_ms: float = 120.0  # after which relays are asked to ping
-    gossip_interval_ms: float = 150.0  # between two rounds of fresh updates
-    reconnect_interval_ms: float = 1000.0  # between two pings of dead members or seeds
+    gossip_interval_ms: float = 150.0  # between two rounds in which fresh updates are sent
+    reconnect_interval_ms: float = 1000.0  # between two pings to dead members or seeds
     sync_interval_ms: float = 20_000.0  # between two syncs with a random member
     min_sync_gap_ms: float = 600.0  # between any two syncs initiated here
     divergence_grace_ms: float = 1500.0  # how long digests may differ while updates are being disseminated
@@ -102,7 +102,7 @@
 
 
 class Probe:
-    """An unanswered ping, and the relays asked about it."""
+    """A ping that has not been answered yet, and the relays asked to ping the same member."""
 
     __slots__ = ("run", "address", "sent_ms", "max_relays", "final", "asked", "nacks")
 
@@ -110,26 +110,26 @@
         self, run: int, address: str, sent_ms: float, max_relays: int = 0, final: bool = False
     ) -> None:
         self.run, self.address, self.sent_ms = run, address, sent_ms  # run 0: whichever process answers
-        self.final = final  # the member is declared dead unless this is answered
-        self.max_relays = max_relays  # how many members may be asked to ping it ...
-        self.asked: list[int] = []  # ... and the processes that were asked
-        self.nacks = 0
+        self.final = final  # sent to a suspected member after the time-out, before it is declared dead
+        self.max_relays = max_relays  # how many relays may be asked at first; a Nack may name a further one
+        self.asked: list[int] = []  # process numbers of the relays asked
+        self.nacks = 0  # relays that reported that the target has not answered them
 
 
 @dataclass(slots=True)
 class RelayedPing:
     """A ping sent on behalf of another member."""
 
-    requester: int  # run
-    address: str
-    seq: int  # the requester's sequence number
-    target: int
+    requester: int  # run of the member that asked for it
+    address: str  # the requester's
+    seq: int  # of the requester's ping
+    target: int  # run of the member to ping
 
 
 class View:
-    """One process's view of the fleet."""
+    """One process's view of the fleet: its member table and the protocol that keeps it up to date."""
 
-    max_version: ClassVar[int] = wire.VERSION
+    max_version: ClassVar[int] = wire.VERSION  # newest wire version that this process supports
 
     def __init__(
         self,
@@ -144,10 +144,10 @@
         self.rng, self.metrics, self.pace = rng, metrics, pace
         self.outbox: list[Datagram | StartSync] = []
         self.listeners: list[Callable[[Change], None]] = []
-        self.generation_listeners: list[
-            Callable[[int], None]
-        ] = []  # called with our new run after the previous one was declared dead
-        # Freshness reports are piggybacked on answers: ours as of now; received ones are as of when the ping was sent.
+        # Called with our new run after the previous one was declared dead.
+        self.generation_listeners: list[Callable[[int], None]] = []
+        # Reports of the agreed settings' freshness (fleet/agreement), piggybacked on answers. The first callback
+        # returns ours; the second gets another member's run, when we sent the ping that it answers, and its report.
         self.freshness_report: Callable[[float], list[int]] = lambda now_ms: []
         self.on_freshness_report: Callable[[int, float, list[int]], None] = lambda run, sent_ms, report: None
         self.table = Table(most_members, metrics)
@@ -160,32 +160,30 @@
         self.edition = 0  # of our metadata
         self.leaving = False
         self.joined = False  # whether a sync with another member has completed
-        self.refuted_ms = -float("inf")
-        self.confirmed_alive_ms = -float(
-            "inf"
-        )  # when the latest ping was sent that a member answered holding us live
-        self.probes: dict[int, Probe] = {}
-        self.relayed_pings: dict[int, RelayedPing] = {}
-        self.suspicions: dict[int, Suspicion] = {}
+        self.refuted_ms = -float("inf")  # when we last refuted a suspicion of us
+        # When we sent the latest ping whose answer shows us as live in a member's table.
+        self.confirmed_alive_ms = -float("inf")
+        self.probes: dict[int, Probe] = {}  # by the ping's seq
+        self.relayed_pings: dict[int, RelayedPing] = {}  # by the seq of the ping sent for another member
+        self.suspicions: dict[int, Suspicion] = {}  # by process
         self.last_relays: dict[int, int] = {}  # process -> process that last relayed its answer
-        self.relayed_counts: dict[
-            int, int
-        ] = {}  # process -> probes in a row that it answered through relays only
-        self.probe_order: list[int] = []
+        self.relayed_counts: dict[int, int] = {}  # process -> probes in a row answered through relays only
+        self.probe_order: list[int] = []  # processes still to be probed in this round; the last one is next
         self.live_others: list[Member] | None = None  # cached live members but ourselves; None: invalidated
-        self.seq = rng.getrandbits(24)
+        self.seq = rng.getrandbits(24)  # number of the last ping
+        # Heap of (due time, number, callback, argument); the number orders timers that are due at the same time.
         self.timers: list[tuple[float, int, Callable, int]] = []
         self.timer_number = 0
-        self.wake_ms = float("inf")
-        self.diverged_since_ms = 0.0  # since when digests of other members have differed from ours
-        self.last_diverged_ms = -float("inf")  # when one last differed
-        self.last_sync_ms = -float("inf")
+        self.wake_ms = float("inf")  # when `due` is to be called next
+        self.diverged_since_ms = 0.0  # since when digests received from other members have differed from ours
+        self.last_diverged_ms = -float("inf")  # when a digest last differed
+        self.last_sync_ms = -float("inf")  # when we last initiated a sync
         self.relay_tokens, self.sync_tokens = (
             TokenBucket(RELAY_REQUESTS_PER_MS, RELAY_REQUEST_BURST),
             TokenBucket(SYNC_BYTES_PER_MS, SYNC_BURST_BYTES),
         )
-        self.pending_changes: list[Change] = []
-        self.notifying = False
+        self.pending_changes: list[Change] = []  # not yet reported to the listeners
+        self.notifying = False  # whether listeners are being called
 
     # Queries by other parts of this process.
 
@@ -198,7 +196,7 @@
         return self.table.live_digest ^ self.table.suspect_digest
 
     def confirmed_age_ms(self, now_ms: float) -> float:
-        """Returns how long ago a member last confirmed us alive: the age of the latest ping so answered."""
+        """Returns the age of the latest ping that a member answered with us as live in its table; inf if none."""
         return now_ms - self.confirmed_alive_ms
 
     def version_for(self, run: int) -> int:
@@ -217,6 +215,7 @@
     # Start, timers and leaving.
 
     def start(self, now_ms: float) -> None:
+        """Enters this process into its table and starts the timers; joining begins with pings to the seeds."""
         self._publish_self(now_ms)
         pace = self.pace
         self._schedule(now_ms + self.rng.random() * pace.probe_interval_ms, self._probe_next)
@@ -227,7 +226,7 @@
         self._update_wake_ms()
 
     def change_facts(self, now_ms: float, facts: dict[str, str | int]) -> None:
-        """Publishes changed metadata of ourselves."""
+        """Replaces our metadata and disseminates it; does nothing if it is unchanged or we are leaving."""
         if facts == self.me.facts or self.leaving:
             return
         self.me = OwnMember(self.me.name, self.me.address, self.me.zone, facts)
@@ -237,7 +236,7 @@
         self._update_wake_ms()
 
     def leave(self, now_ms: float) -> None:
-        """Leaves in good order: other members are notified, so that none suspects us."""
+        """Leaves the fleet: notifies other members, so that none suspects us."""
         if self.leaving:
             return
         self.leaving = True
@@ -248,7 +247,7 @@
         self._update_wake_ms()
 
     def due(self, now_ms: float) -> None:
-        """Runs the timers that are due; to be called at `wake_ms`, earlier or later calls do no harm."""
+        """Runs the timers that are due; to be called at `wake_ms`. A call long after that counts as a pause."""
         late_ms = now_ms - self.wake_ms
         if late_ms > PAUSE_THRESHOLD_MS:
             self._on_pause(late_ms)
@@ -258,7 +257,7 @@
         self._update_wake_ms()
 
     def _on_pause(self, late_ms: float) -> None:
-        """This process was paused: answers missed in that time are no evidence against other members."""
+        """Handles a pause of this process: answers missed meanwhile are no evidence against other members."""
         self.metrics.add("fleet.stalls")
         self.health.worse(2)
         self.probes.clear()
@@ -285,7 +284,8 @@
         if process_of(message.run) in self.suspicions:
             self._clear_suspicion(now_ms, message.run)
         if message.to and process_of(message.to) != process_of(self.run):
-            if isinstance(message, wire.Ping):  # meant for a process that had our address before us
+            if isinstance(message, wire.Ping):
+                # For an earlier process at our address: our answer shows the sender that it has ended.
                 self._send(message.address, self._ack(now_ms, message.run, message.seq, same_view=True))
             else:
                 self.metrics.add("fleet.for_another")
@@ -306,7 +306,8 @@
         self._update_wake_ms()
 
     def _on_ping(self, now_ms: float, ping: wire.Ping) -> None:
-        if ping.to:  # else it may have been recorded before our start: it is answered, but not merged
+        # A ping addressed to no run may have been recorded before our start: it is answered, but not merged.
+        if ping.to:
             self._apply_gossip(now_ms, ping)
             self._check_divergence(now_ms, ping)
         same_view = ping.digest == self.table.live_digest
@@ -315,7 +316,7 @@
         self._send(ping.address, self._ack(now_ms, ping.run, ping.seq, same_view))
 
     def _ack(self, now_ms: float, to: int, seq: int, same_view: bool) -> wire.Ack:
-        """Builds an answer; to a member with the same view as ours it carries no queued updates."""
+        """Builds an answer; with `same_view`, the receiver needs no queued updates, and gets none."""
         updates, records = self._priority_updates(now_ms, to), []
         if not same_view:
             updates, records = self._select_updates(now_ms, to, updates)
@@ -354,7 +355,7 @@
             return
         probe = self.probes.pop(ack.seq, None)
         if probe is None:
-            return  # late, or a second answer
+            return  # the answer is late, or another one came first
         answering_run = ack.relayed_from or ack.run
         if not probe.run:
             self._on_contact(now_ms, ack, probe.address)
@@ -381,7 +382,7 @@
             self.on_freshness_report(ack.run, probe.sent_ms, ack.freshness)
 
     def _on_own_status(self, now_ms: float, ack: wire.Ack, sent_ms: float) -> None:
-        """Handles the status that a member reports of us, if it is about our current run."""
+        """Handles our state in the table of a member that answers our ping of `sent_ms`; ignored for an earlier run."""
         if ack.to != self.run:
             return
         if ack.status in (State.ALIVE, State.SUSPECT):
@@ -390,15 +391,16 @@
             self._start_generation(now_ms, self.run)
 
     def _on_contact(self, now_ms: float, ack: wire.Ack, address: str) -> None:
-        """A member held dead, or a seed, answers: syncs with it, unless both hold each other alive already."""
+        """Handles an answer from a dead member's or a seed's address: syncs unless each has the other as alive."""
         self._on_own_status(now_ms, ack, -float("inf"))
         if ack.status != State.ALIVE or self.table.status(ack.run) != State.ALIVE or not self.joined:
             self._start_sync(now_ms, address)
 
     def _check_divergence(self, now_ms: float, message: wire.Ping | wire.Ack) -> None:
-        """Compares a member's digest with ours; updates may be on their way, but a lasting difference starts a sync.
+        """Compares a member's digest with ours; starts a sync if digests have differed for longer than a grace period.
 
-        Members that agree with us meanwhile do not end the difference: half of the fleet may hold another view.
+        Updates still being disseminated make digests differ for a short time. An equal digest from another member does
+        not reset the period, as half of the fleet may have a different view.
         """
         if message.digest == self.table.live_digest:
             return
@@ -412,6 +414,7 @@
                 self._start_sync(now_ms, member.address)
 
     def _on_ping_request(self, now_ms: float, request: wire.PingRequest) -> None:
+        """Pings the target on the requester's behalf, unless too many such pings are open."""
         if len(self.relayed_pings) >= 256:
             self.metrics.add("fleet.errands_refused")
             return
@@ -422,6 +425,7 @@
         self._schedule(now_ms + 4 * self.pace.ack_timeout_ms, self._expire_relayed_ping, seq)
 
     def _send_nack(self, now_ms: float, seq: int) -> None:
+        """Tells the requester of a relayed ping that the target has not answered yet."""
         relayed_ping = self.relayed_pings.get(seq)
         if relayed_ping is not None:
             last_relay = self.table.by_process.get(self.last_relays.get(process_of(relayed_ping.target), 0))
@@ -434,7 +438,7 @@
             )
 
     def _on_nack(self, nack: wire.Nack) -> None:
-        """A relay works but did not reach the target; if it names another relay that did, that one is asked too."""
+        """Handles a Nack: if it names another relay that has reached the target, that relay is asked too."""
         probe = self.probes.get(nack.seq)
         if probe is None:
             return
@@ -452,7 +456,8 @@
         if process not in probe.asked:
             probe.asked.append(process)
             if process != self.last_relays.get(process_of(probe.run)):
-                self.relay_tokens.spend(1)  # a relay known to work is as cheap as a probe, also under faults
+                # The relay known to work is not charged: asking it costs no more than a probe, also under faults.
+                self.relay_tokens.spend(1)
             request = wire.PingRequest(
                 next(self.message_counter),
                 self.run,
@@ -470,8 +475,8 @@
     # Received updates.
 
     def _apply_gossip(self, now_ms: float, message: wire.Ping | wire.Ack | wire.Gossip) -> None:
-        # Prevents a member that receives nothing, and so takes all others for dead, from having them declared dead
-        # here: suspicions and deaths are merged only from a sender that is held alive.
+        # Prevents a member that receives nothing, and therefore declares all others dead, from having them declared
+        # dead here: suspicions and deaths are merged only from a sender that is alive in our table.
         trusted = self.table.status(message.run) == State.ALIVE
         for record in message.records:
             if not self._handle_own_update(now_ms, record.run, record.state, record.incarnation):
@@ -493,14 +498,17 @@
             elif member.state is State.SUSPECT:
                 self._verify_suspicion(now_ms, member, update.suspected_by)
             elif suspecting and member.live:
-                self._send_update(member, suspecting)  # a refutation, to those who suspect it
+                self._send_update(member, suspecting)  # a refutation, for the members that suspect it
             elif not (member.live and before.live and member.run == before.run):
                 self.gossip_queue.add(member, complete=False)
 
     def _handle_own_update(
         self, now_ms: float, run: int, state: int, incarnation: int, suspected_by: int = 0
     ) -> bool:
-        """Whether an update is about this process; a wrong state in it is refuted."""
+        """Returns whether an update is about this process; refutes a suspicion in it.
+
+        If it declares this run dead, or is about a later generation, this process continues as a new generation.
+        """
         if process_of(run) != process_of(self.run):
             return False
         if self.leaving:
@@ -551,7 +559,10 @@
             self.gossip_queue.add(member, complete=not same_metadata)
 
     def _start_generation(self, now_ms: float, run: int) -> None:
-        """Our run was declared dead: continues as the next generation, which owns nothing granted before (V3)."""
+        """Continues as the next generation after our run was declared dead: a dead run never lives again (V3).
+
+        The new generation owns nothing that was granted to the previous one.
+        """
         if self.leaving:
             return
         self.metrics.add("fleet.reborn")
@@ -569,21 +580,26 @@
             listener(self.run)
 
     def _on_table_change(self, change: Change) -> None:
-        """Updates derived state after a change of the table and notifies all listeners in the same order."""
-        was, now = change.before, change.after
-        process = process_of((now or was).run)
-        if now is None:
+        """Updates derived state after a change of the table and notifies the listeners, all in the same order."""
+        old_entry, new_entry = change.before, change.after
+        process = process_of((new_entry or old_entry).run)
+        if new_entry is None:
             self.last_relays.pop(process, None)
-        if now is None or not now.live:
+        if new_entry is None or not new_entry.live:
             self.relayed_counts.pop(process, None)
         self.live_others = None
-        if now is not None and now.live and (was is None or not was.live) and process != process_of(self.run):
+        if (
+            new_entry is not None
+            and new_entry.live
+            and (old_entry is None or not old_entry.live)
+            and process != process_of(self.run)
+        ):
             self.probe_order.insert(self.rng.randrange(len(self.probe_order) + 1), process)
         suspicion = self.suspicions.get(process)
-        if suspicion is not None and not suspicion.is_about(now):
+        if suspicion is not None and not suspicion.is_about(new_entry):
             del self.suspicions[process]
         self.pending_changes.append(change)
-        if self.notifying:
+        if self.notifying:  # a listener caused this change; the outer call reports it
             return
         self.notifying = True
         try:
@@ -597,7 +613,7 @@
     # Suspicion.
 
     def _suspect(self, now_ms: float, run: int) -> None:
-        """Suspects a member after our own probe of it has failed."""
+        """Suspects a member, or confirms a suspicion of it, after our own probe of it has failed."""
         current = self.table.get(run)
         if current is None or current.run != run or not current.live:
             return
@@ -610,7 +626,7 @@
             self.metrics.add("fleet.suspected")
             self._start_suspicion(now_ms, member, suspected_by)
             # A few members are asked to probe it themselves; the suspicion is not disseminated to the whole fleet.
-            # While a partition is assumed they could add nothing, and would be asked again and again.
+            # While a partition is assumed nobody is asked: the probes would add nothing and be requested repeatedly.
             if len(self.suspicions) <= PARTITION_SUSPICIONS:
                 candidates = [other for other in self._live_others() if other.state is State.ALIVE]
                 self._send_update(
@@ -627,11 +643,11 @@
         self._schedule(now_ms + SUSPECT_PING_INTERVAL_MS, self._reping_suspect, process)
 
     def _reping_suspect(self, now_ms: float, process: int) -> None:
-        """Pings a suspected member repeatedly, so that it can refute as soon as it can be reached."""
+        """Pings a suspected member and schedules the next ping, so that it can refute as soon as it is reachable."""
         suspicion = self.suspicions.get(process)
         if suspicion is not None:
             self._ping_suspect(now_ms, process, suspicion)
-            # During a partition, the pings of all suspected members together keep to one rate.
+            # The rate limits the pings to all suspected members together, as a partition may cut off half of the fleet.
             rate = (
                 SUSPECT_PINGS_PER_MS
                 if len(self.suspicions) <= PARTITION_SUSPICIONS
@@ -652,9 +668,9 @@
         self._schedule(now_ms + 4 * self.pace.ack_timeout_ms, self._expire_probe, seq)
 
     def _clear_suspicion(self, now_ms: float, run: int) -> None:
-        """Clears a suspected member that was heard from; others may be reachable again too, so some are pinged.
+        """Ends the suspicion of a member that was heard from, and pings others that may be reachable again too.
 
-        Prevents suspicions from one break of an unstable network from expiring during the next break.
+        Prevents suspicions raised in one outage of an unstable network from expiring during the next outage.
         """
         self.table.clear_suspicion(run, now_ms)
         if self.suspicions:
@@ -679,15 +695,15 @@
                 self._send_update(self.table.get(update.run), suspecting, self.run)
 
     def _suspecting_runs(self, run: int) -> set[int]:
+        """Returns the runs known to suspect a member, our own included."""
         suspicion = self.suspicions.get(process_of(run))
         return set(suspicion.suspected_by) if suspicion is not None else set()
 
     def _verify_suspicion(self, now_ms: float, member: Member, suspected_by: int) -> None:
-        """Another member suspects this one: probes it at once, to confirm or clear the suspicion."""
+        """Probes a member at once that another member suspects, to confirm or clear the suspicion."""
         self._start_suspicion(now_ms, member, suspected_by)
-        self._start_probe(
-            now_ms, member, max_relays=1
-        )  # few relays: the suspecting member wants our own result
+        # A single relay: the suspecting member asked for the result of this process itself.
+        self._start_probe(now_ms, member, max_relays=1)
 
     def _send_update(self, member: Member, to: set[int], suspected_by: int = 0) -> None:
         """Sends our state of a member to some other members at once."""
@@ -700,6 +716,11 @@
                 )
 
     def _on_suspicion_timeout(self, now_ms: float, process: int) -> None:
+        """Timer: after the time-out, sends the final probes of a suspected member, then declares it dead.
+
+        This is put off while relay tokens are short, while other members may declare the death first, and while no
+        member confirms that this process itself is alive; each delay is limited.
+        """
         suspicion = self.suspicions.get(process)
         if suspicion is None:
             return
@@ -707,7 +728,7 @@
             self._schedule(suspicion.expires_ms(), self._on_suspicion_timeout, process)
             return
         late_ms = now_ms - suspicion.expires_ms()
-        if suspicion.final_probes < FINAL_PROBES:
+        if suspicion.final_probes_sent < FINAL_PROBES:
             if self.relay_tokens.available(now_ms) < RELAYS and late_ms < FINAL_PROBE_MAX_DELAY_MS:
                 self._schedule(now_ms + 2 * self.pace.ack_timeout_ms, self._on_suspicion_timeout, process)
                 return
@@ -716,8 +737,8 @@
                     now_ms + DEFERRAL_MS * (1.0 + self.rng.random()), self._on_suspicion_timeout, process
                 )
                 return
-            # A final probe carries the suspicion: a member that lives and can be reached refutes it now.
-            suspicion.final_probes += 1
+            # The ping of a final probe contains the suspicion, so a live member that it reaches refutes it now.
+            suspicion.final_probes_sent += 1
             max_relays = RELAYS if len(self.suspicions) <= PARTITION_SUSPICIONS else 1
             self._start_probe(now_ms, self.table.by_process[process], max_relays, final=True)
             self._schedule(
@@ -734,7 +755,7 @@
         self._declare_dead(now_ms, suspicion.run, "fleet.declared_dead")
 
     def _declare_replaced(self, now_ms: float, run: int) -> None:
-        """Another process answers at a member's address: that member has ended."""
+        """Declares a member dead because another process answers at its address."""
         self._declare_dead(now_ms, run, "fleet.found_gone")
 
     def _declare_dead(self, now_ms: float, run: int, counter: str) -> None:
@@ -744,7 +765,7 @@
         member = self.table.apply_update(wire.MemberUpdate(run, State.DEAD, current.incarnation), now_ms)
         self.metrics.add(counter)
         self.gossip_queue.add(member, complete=False)
-        # It is notified as well: if it lives, it learns of the declaration at once.
+        # The member is notified as well: if it lives, it continues as a new generation at once.
         self._send(member.address, wire.Gossip(next(self.message_counter), self.run, run, [member.update()]))
 
     # Timers.
@@ -759,8 +780,9 @@
         return self.live_others
 
     def _probe_next(self, now_ms: float, _: int) -> None:
-        # Time-outs grow with the health score, but the interval between probes at most threefold: one side of a
-        # partition, which has lost most relays, looks slow to itself and still has to find out who is unreachable.
+        """Timer: probes the next member of the round."""
+        # Time-outs grow with the health score, but the interval between probes at most threefold: a process that a
+        # partition has cut off from most relays judges itself slow, but still has to detect who is unreachable.
         self._schedule(
             now_ms + min(self.health.scaled(self.pace.probe_interval_ms), 3 * self.pace.probe_interval_ms),
             self._probe_next,
@@ -778,7 +800,7 @@
         self._schedule(now_ms + self.health.scaled(self.pace.ack_timeout_ms), self._request_relays, seq)
 
     def _next_target(self) -> Member | None:
-        """Returns the next member to probe; the order is reshuffled each round, in which each is probed once."""
+        """Returns the next live member to probe: each once in a round, in an order shuffled anew for each round."""
         for _ in range(2):
             while self.probe_order:
                 member = self.table.by_process.get(self.probe_order.pop())
@@ -806,7 +828,10 @@
         self._send(address, ping)
 
     def _request_relays(self, now_ms: float, seq: int) -> None:
-        """No answer to a direct ping: asks relays to ping the target, preferring the last one that reached it."""
+        """Timer: if a direct ping has not been answered, asks relays to ping the target.
+
+        If a relay was needed to reach the target last time, only that one is asked first.
+        """
         probe = self.probes.get(seq)
         if probe is None:
             return
@@ -823,7 +848,7 @@
         ):
             max_relays = min(1, max_relays) if tokens > FINAL_PROBE_RESERVE else 0
         last_relay = self.table.by_process.get(self.last_relays.get(process, 0))
-        # Where a path is blocked for long, only the relay that worked is asked; if it fails, others are asked next.
+        # If that relay fails too, `_on_probe_failed` forgets it, and the next probe asks others.
         use_last_relay = last_relay is not None and last_relay.live
         relays = (
             [last_relay] if use_last_relay else self.rng.sample(candidates, min(max_relays, len(candidates)))
@@ -833,18 +858,20 @@
         self._schedule(now_ms + self.health.scaled(2 * self.pace.ack_timeout_ms), self._on_probe_failed, seq)
 
     def _on_probe_failed(self, now_ms: float, seq: int) -> None:
+        """Timer: suspects the target if no answer to the ping has arrived, directly or through a relay."""
         probe = self.probes.pop(seq, None)
         if probe is None:
             return
         if self.last_relays.get(process_of(probe.run)) in probe.asked:
             del self.last_relays[process_of(probe.run)]
-        # Working relays send a Nack; missing Nacks are a sign that this process itself is slow or cut off.
+        # A working relay sends a Nack if the target does not answer it; missing Nacks, or no relay to ask, are signs
+        # that this process itself is slow or cut off.
         if probe.max_relays:
             self.health.worse(max(0, len(probe.asked) - probe.nacks) if probe.asked else 1)
         self._suspect(now_ms, probe.run)
 
     def _gossip_round(self, now_ms: float, _: int) -> None:
-        many_updates = len(self.gossip_queue) > PARTITION_SUSPICIONS  # collected into fewer datagrams
+        many_updates = len(self.gossip_queue) > PARTITION_SUSPICIONS  # then collected into fewer datagrams
         self._schedule(now_ms + self.pace.gossip_interval_ms * (3 if many_updates else 1), self._gossip_round)
         if self.gossip_queue.has_fresh():
             self._send_gossip(now_ms)
@@ -862,7 +889,7 @@
                 )
 
     def _contact_absent(self, now_ms: float, _: int) -> None:
-        """Pings a dead member, or a seed at whose address no live member is, at a constant rate once joined."""
+        """Timer: pings a dead member, or a seed at whose address no live member is; until joined, all such seeds."""
         self._schedule(
             now_ms + self.pace.reconnect_interval_ms * (1.0 if self.joined else 0.3), self._contact_absent
         )
@@ -887,7 +914,11 @@
                 self._schedule(now_ms + 4 * self.pace.reconnect_interval_ms, self._expire_probe, seq)
 
     def _priority_updates(self, now_ms: float, to: int) -> list[wire.MemberUpdate]:
-        """Returns the receiver's own state unless it is alive, and our refutation while it is recent."""
+        """Returns the updates that every ping or answer to a member carries first.
+
+        These are the member's own state in our table unless it is alive, so that it can refute, and our own latest
+        refutation for a while.
+        """
         updates = []
         receiver = self.table.get(to)
         if receiver is not None and receiver.state is not State.ALIVE:
@@ -899,7 +930,7 @@
     def _select_updates(
         self, now_ms: float, to: int, priority: list[wire.MemberUpdate]
     ) -> tuple[list[wire.MemberUpdate], list[wire.MemberRecord]]:
-        """Returns what to send with a message: the priority updates, then queued ones in the remaining bytes."""
+        """Returns the updates and records for a message: the priority updates, then queued ones in the bytes left."""
         room = GOSSIP_ROOM_BYTES - UPDATE_BYTES * len(priority)
         updates, records = self.gossip_queue.select(now_ms, len(self.table), room, self.table.get)
         return priority + updates, records
@@ -930,7 +961,7 @@
             self.outbox.append(StartSync(address))
 
     def charge_sync(self, size: int) -> None:
-        """Takes the bytes that a sync initiated here has moved from the token bucket of syncs."""
+        """Charges the bytes that a sync initiated here has transferred to the token bucket of syncs."""
         self.sync_tokens.spend(size)
 
     def hello(self, token: int) -> wire.Hello:
@@ -938,7 +969,7 @@
         return wire.Hello(next(self.message_counter), self.run, 0, token)
 
     def begin_sync(self, now_ms: float, hello: wire.Hello, token: int) -> wire.SyncRequest:
-        """Initiator: returns our bucket digests and our own record."""
+        """Initiator: returns the request, with our bucket digests and our own record; `token` must be in the answer."""
         record = self.table.get(self.run).record(now_ms)
         buckets = self.table.buckets
         if self.version_for(hello.run) >= 2:
@@ -948,29 +979,35 @@
         )
 
     def answer_sync(self, now_ms: float, request: wire.SyncRequest) -> wire.SyncTable:
-        """Accepting side: returns the members of the buckets that differ."""
+        """Accepting side: merges the initiator's own record; returns our members of the buckets that differ."""
         if len(request.buckets) != BUCKETS:
             raise wire.WireError("buckets")
         self._merge(now_ms, [request.sender])
-        differ = [
+        differing_buckets = [
             i
             for i, digest in enumerate(request.buckets)
             if (digest ^ self.table.buckets[i]) & wire.DIGEST_MASK
         ]
-        members = [member.record(now_ms) for member in self.table.in_buckets(differ)]
+        members = [member.record(now_ms) for member in self.table.in_buckets(differing_buckets)]
         return wire.SyncTable(
-            next(self.message_counter), self.run, request.run, request.reply_token, 0, members, differ
+            next(self.message_counter),
+            self.run,
+            request.run,
+            request.reply_token,
+            0,
+            members,
+            differing_buckets,
         )
 
     def complete_sync(self, now_ms: float, answer: wire.SyncTable, token: int) -> wire.SyncTable:
-        """Initiator: merges the answer; returns the members for which the accepting side has no or older records."""
+        """Initiator: merges the answer; returns the records that are newer than the accepting side's, or new to it."""
         theirs = {process_of(record.run): record for record in answer.members}
         self._merge(now_ms, answer.members)
         self.joined = True
         self.diverged_since_ms = now_ms
         newer = [
             member.record(now_ms)
-            for member in self.table.in_buckets(answer.differ)
+            for member in self.table.in_buckets(answer.differing_buckets)
             if member.is_newer_than(theirs.get(process_of(member.run)))
         ]
         self._update_wake_ms()
@@ -983,6 +1020,7 @@
         self._update_wake_ms()
 
     def _merge(self, now_ms: float, records: list[wire.MemberRecord]) -> None:
+        """Merges the records of a sync and queues the changes for gossip, unless there are too many of them."""
         changed = []
         for record in records:
             if self._handle_own_update(now_ms, record.run, record.state, record.incarnation):
@@ -994,7 +1032,7 @@
                 continue
             changed.append((member, before is None or before.edition != member.edition))
             if member.live and member.address == self.me.address:
-                self._declare_replaced(now_ms, member.run)  # a predecessor at our address
+                self._declare_replaced(now_ms, member.run)  # an earlier process at our address
         if self.joined and len(changed) <= MAX_SYNC_UPDATES:
             for member, new_metadata in changed:
                 self.gossip_queue.add(member, complete=new_metadata and member.live)
--- a/leadslip/fleet/wire.py
+++ b/leadslip/fleet/wire.py
@@ -1,22 +1,25 @@
 """Wire format of the fleet's messages: structs, codec, authentication and replay protection. Pure, no I/O.
 
-A sealed message is
+A sealed message is authenticated, not encrypted. It consists of
 
-    version:1 key:1 mac:16 body       mac = BLAKE2b of version, key and body, keyed with the fleet's key
+    version (1 byte) | key id (1 byte) | MAC (16 bytes) | body
 
-and the body is MessagePack of one of the structs below, encoded as an array whose first element is the message type.
-New fields may be appended to an array and new message types may be added: a receiver ignores fields and drops types
-that it does not know. `key` is a key id, one byte of the key's own hash, so that a key can be replaced while the fleet
-runs: messages signed with any configured key are accepted, and the first key signs. Datagrams are limited to
-`MAX_DATAGRAM_BYTES` bytes, frames over TCP to `MAX_FRAME_BYTES`.
+The MAC is BLAKE2b over version, key id and body, keyed with the fleet's key. The body is MessagePack of one of the
+structs below, encoded as an array whose first element is the message type. New fields may be appended to an array and
+new message types may be added: a receiver ignores fields and drops types that it does not know. The key id is one byte
+of the key's own hash, so that a key can be replaced while the fleet runs: messages signed with any configured key are
+accepted, and the first key signs. Datagrams are limited to `MAX_DATAGRAM_BYTES` bytes, frames over TCP to
+`MAX_FRAME_BYTES`.
 
-Versions: the version byte selects the rules for everything after it. Two members use the newest version that both
+Versions: the version byte selects the format of everything after it. Two members use the newest version that both
 support; a member that is not known yet is addressed in the oldest. Version 2 added the edition of a member's metadata,
-compressed frames and shortened the digests in them. Version 3 added `PartMessage` and the freshness field of an answer.
+compressed the frames over TCP and shortened the bucket digests in them. Version 3 added `PartMessage` and
+`Ack.freshness`.
 
-Replay protection: a message names the run it is addressed to and carries a sequence number that its sender uses once.
-A message recorded before the receiver started is addressed to another run; one that was received before is recognised
-by its sequence number (`ReplayFilter`).
+Runs and replay protection: a run identifies one process from its start on (view/members.py). A message names the run
+that it is addressed to and carries a sequence number that its sender uses once. A message recorded before the receiver
+started is addressed to another run; one that was received before is recognised by its sequence number
+(`ReplayFilter`).
 """
 
 from __future__ import annotations
@@ -35,7 +38,7 @@
 VERSION = 3  # newest supported version; the oldest is MIN_VERSION
 MIN_VERSION = 1
 MAC_SIZE = 16
-SEAL_BYTES = 2 + MAC_SIZE
+SEAL_BYTES = 2 + MAC_SIZE  # of a sealed message before its body: version, key id and MAC
 MAX_DATAGRAM_BYTES = 1200
 DIGEST_MASK = (1 << 32) - 1  # from version 2 on, bucket digests are sent as their low 32 bits
 MAX_FRAME_BYTES = 1 << 22
@@ -51,11 +54,15 @@
 
 
 class WireError(Exception):
-    """A received message is rejected; the text is the reason, used as the suffix of a counter name."""
+    """A received message is rejected; the text is the reason, used as the suffix of a counter: `fleet.refused.mac`."""
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """Update about a member that the receiver may know; `suspected_by` is the run that suspects it (0: none)."""
+    """State of a member, without its address and metadata; a receiver that does not know the member ignores it.
+
+    `state` is a `State`. The member itself raises `incarnation` to refute a suspicion. `suspected_by` is the run that
+    suspects the member (0: none).
+    """
 
     run: int
     state: int
@@ -64,9 +71,10 @@
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """Complete record of a member; `age_ms` is how long it has been dead or left (0 while it is neither).
+    """Complete record of a member; `age_ms` is how long ago it died or left (0 while it is live).
 
-    `edition` counts the changes of the member's metadata; a member of wire version 1 sends none.
+    `facts` is the metadata that the member publishes about itself, and `edition` counts its changes; a member of wire
+    version 1 sends no edition.
     """
 
     run: int
@@ -83,7 +91,7 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """Common header: sequence number, sender's run, and receiver's run (0: whichever process answers)."""
+    """Common header: sequence number (`count`), sender's run, and receiver's run (0: any process at the address)."""
 
     count: int
     run: int
@@ -91,7 +99,7 @@
 
 
 class Ping(Message, tag=1, frozen=True):
-    """Probe of a member. The answer goes to `address`, as the sender may not be known yet.
+    """Probe of a member; the answer repeats `seq` and goes to `address`, as the sender may not be known yet.
 
     `live_count` and `digest` are the number and the digest of the live members in the sender's view.
     """
@@ -105,7 +113,7 @@
 
 
 class Ack(Message, tag=2, frozen=True):
-    """Answer to a ping; `status` is how the sender holds the receiver (a State, or 4: unknown)."""
+    """Answer to a ping; `status` is the receiver's state in the sender's table (a `State`, or 4: unknown)."""
 
     seq: int
     status: int
@@ -114,11 +122,13 @@
     updates: list[MemberUpdate] = []
     records: list[MemberRecord] = []
     relayed_from: int = 0  # run whose answer this relays; 0: the sender's own answer
-    freshness: list[int] = []  # newest revision known, its age in ms, a checksum of its contents; empty: none
+    # Newest revision of the agreed settings that the sender knows, how many ms ago it was known to be the newest, and
+    # a checksum of its contents; empty: the sender knows none.
+    freshness: list[int] = []
 
 
 class PingRequest(Message, tag=3, frozen=True):
-    """Asks the receiver to ping another member and to relay its answer (SWIM's ping-req)."""
+    """Asks the receiver to ping `target` for the sender and to relay the answer to `address` (SWIM's ping-req)."""
 
     seq: int
     address: str
@@ -127,27 +137,34 @@
 
 
 class Nack(Message, tag=4, frozen=True):
-    """The relay works, but its target has not answered yet; `relay` is the run it last used to reach it (0: none)."""
+    """Sent by a relay whose target has not answered yet, to show that the relay itself works.
+
+    `relay` is the run of the member that last relayed an answer of the target to the sender (0: none); it can be asked
+    instead.
+    """
 
     seq: int
     relay: int = 0
 
 
 class Gossip(Message, tag=5, frozen=True):
-    """Updates only; needs no answer."""
+    """Updates that are not piggybacked on a probe; not answered."""
 
     updates: list[MemberUpdate] = []
     records: list[MemberRecord] = []
 
 
 class Hello(Message, tag=6, frozen=True):
-    """First message on a connection, sent by the accepting side; later messages must repeat its token."""
+    """First message on a connection, sent by the accepting side; all messages to that side must repeat its token."""
 
     token: int
 
 
 class SyncRequest(Message, tag=7, frozen=True):
-    """Starts a sync: the initiator's bucket digests (64 bits to a version 1 member, else 32) and own record."""
+    """Starts a sync: the initiator's bucket digests (64 bits to a version 1 member, else 32) and own record.
+
+    `token` repeats that of the `Hello`; the answer must repeat `reply_token`.
+    """
 
     token: int
     reply_token: int
@@ -156,16 +173,19 @@
 
 
 class SyncTable(Message, tag=8, frozen=True):
-    """Members of the buckets in `differ`; the initiator returns those for which it has newer records."""
+    """Members of the buckets whose digests differ; the initiator returns those for which it has newer records."""
 
     token: int
     reply_token: int
     members: list[MemberRecord]
-    differ: list[int] = []
+    differing_buckets: list[int] = []
 
 
 class PartMessage(Message, tag=9, frozen=True):
-    """A message of another part, sent over the fleet transport in `body`; `token` is 0 in a datagram."""
+    """A message of another part, sent over the fleet transport in `body`.
+
+    `token` repeats that of the `Hello` on a connection and is 0 in a datagram.
+    """
 
     token: int
     part: str
@@ -184,7 +204,7 @@
 
 
 def decode(body: bytes | memoryview) -> AnyMessage:
-    """Decodes a body; raises WireError("unknown") for a message type or layout that this version does not know."""
+    """Decodes a body; raises WireError("unknown") if it is not a message of a known type and layout."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
@@ -192,9 +212,10 @@
 
 
 class Seal:
-    """Signs messages with the first key and verifies them with any, for versions up to `speaks`.
+    """Signs messages with the first key and verifies them with any, for versions up to `max_version`.
 
-    Raises KeysError if there is no key, if one is shorter than 16 bytes, or if two have the same key id.
+    Raises KeysError if there is no key, if one is shorter than 16 bytes, or if two have the same key id. Of longer keys
+    the first 64 bytes are used.
     """
 
     def __init__(self, keys: Sequence[bytes], max_version: int = VERSION) -> None:
@@ -208,7 +229,7 @@
                 raise KeysError(f"two fleet keys have the same key id {key_id}: replace one of them")
             self.keys_by_id[key_id] = key[:64]
         self.key_id = next(iter(self.keys_by_id))
-        self.headers = [bytes((version, self.key_id)) for version in range(VERSION + 1)]
+        self.headers = [bytes((version, self.key_id)) for version in range(VERSION + 1)]  # by version
 
     def sign(self, body: bytes, version: int = MIN_VERSION) -> bytes:
         """Returns the sealed message with this body, for a receiver of this version."""
@@ -222,7 +243,8 @@
     def verify(self, data: bytes) -> bytes:
         """Verifies a sealed message and returns its body.
 
-        Raises WireError: short, version, key or mac. The body is not parsed before the MAC has been verified.
+        Raises WireError with the reason short, version, key or mac. The body is returned unparsed, and only if the MAC
+        is correct.
         """
         if len(data) <= SEAL_BYTES:
             raise WireError("short")
@@ -239,13 +261,17 @@
 
 
 def encode_frame(message: AnyMessage, version: int) -> bytes:
-    """Encodes a message for TCP; compressed from version 2 on, as the records of one fleet are very similar."""
+    """Encodes a message for TCP; compressed from version 2 on, as the records of a fleet's members are very similar."""
     body = encode(message)
     return zlib.compress(body, 1) if version >= 2 else body
 
 
 def decode_frame(body: bytes, version: int) -> AnyMessage:
-    """Decodes the body of a frame of this version; raises WireError: unknown, long."""
+    """Decodes the body of a frame of this version.
+
+    Raises WireError with the reason unknown (not compressed, or no known message) or long (truncated, followed by other
+    bytes, or larger than the limit when decompressed).
+    """
     if version < 2:
         return decode(body)
     decompressor = zlib.decompressobj()
@@ -259,7 +285,7 @@
 
 
 class ReplayFilter:
-    """Accepts each sequence number of a sender once, and none too far behind the sender's newest.
+    """Accepts each sequence number of a sender once, and none `REPLAY_WINDOW` or more behind the sender's newest.
 
     Memory is bounded by `max_senders`; the sender heard from least recently is evicted.
     """
@@ -268,25 +294,25 @@
         self.max_senders = max_senders
         self.senders: OrderedDict[int, list[int]] = (
             OrderedDict()
-        )  # run -> [newest sequence number, bitmap of those behind it that were received]
+        )  # run -> [newest sequence number, bitmap of those received: bit n is the number n behind the newest]
 
-    def accept(self, run: int, count: int) -> bool:
-        """Whether this sequence number of a sender is new; records it as received."""
+    def accept(self, run: int, sequence_number: int) -> bool:
+        """Records a sequence number of a sender as received; returns whether it is new and within the window."""
         entry = self.senders.get(run)
         if entry is None:
-            self.senders[run] = [count, 1]
+            self.senders[run] = [sequence_number, 1]
             if len(self.senders) > self.max_senders:
                 self.senders.popitem(last=False)
             return True
         self.senders.move_to_end(run)
         newest, received = entry
-        if count > newest:
+        if sequence_number > newest:
             entry[0], entry[1] = (
-                count,
-                ((received << min(count - newest, REPLAY_WINDOW)) | 1) & ((1 << REPLAY_WINDOW) - 1),
+                sequence_number,
+                ((received << min(sequence_number - newest, REPLAY_WINDOW)) | 1) & ((1 << REPLAY_WINDOW) - 1),
             )
             return True
-        behind = newest - count
+        behind = newest - sequence_number
         if behind >= REPLAY_WINDOW or received >> behind & 1:
             return False
         entry[1] = received | 1 << behind
@@ -294,5 +320,5 @@
 
 
 def message_counter() -> itertools.count:
-    """Generates the sequence numbers of one sender; a new run starts again at 1."""
+    """Generates the sequence numbers of one sender; a restarted process begins again at 1, under another run."""
     return itertools.count(1)
