--- a/leadslip/fleet/replicas/member.py
+++ b/leadslip/fleet/replicas/member.py
@@ -1,17 +1,19 @@
 """Replication at one proxy: owner of its table, holder of others' replicas, recovery after a restart. Pure, no I/O.
 
-**Owner.** `put` numbers a change. Every `FLUSH_INTERVAL_MS` each holder is sent the changes that it lacks, in batches
-and under a rate limit that does not grow when there are faults; what is not acknowledged is sent again from the last
-acknowledged number on. A holder that needs changes which the owner's log no longer has, or that has nothing, is sent
-full buckets, each with a digest, as many as the rate limit allows; after an interruption only the buckets still missing
-follow. The owner sends its digests at intervals; a holder that has the same number but a diverging bucket reports that
-bucket by its index and requests it again.
-
-**Recovery.** When the owner of a replica is gone and another process of its name appears, the replica's holders offer
-it. The new process fetches each bucket from whoever offers the latest version, serves calls meanwhile, and adopts the
-calls that are still established; until then it reports that it is behind. The holders of the old replicas release them
-only when the holders of the new process have acknowledged everything adopted. Messages count from live runs only, and
-those of an earlier generation of a process are fenced off; a later generation goes on with the same table.
+**Owner.** `put` changes the owner's table and gives the change a sequence number. Every `FLUSH_INTERVAL_MS` each holder
+is sent the changes that it lacks, in batches and under a rate limit that does not grow when there are faults; changes
+that are not acknowledged are sent again from the last acknowledged one on. A holder that needs changes which the
+owner's log no longer has, or that has nothing, is sent full buckets, each with a digest, as many as the rate limit
+allows; after an interruption only the buckets still missing follow. The owner sends its digests at intervals; a holder
+that has the same sequence number but a diverging bucket requests that bucket again.
+
+**Recovery.** When the owner of a replica is gone and another process of its name appears, the holders of the replica
+offer it to that process. The new process fetches each bucket from the member that offers the latest version, serves
+calls meanwhile, and adopts the calls that are still established; until then it reports that it is behind. The old
+replicas are released only when the holders of the new process have acknowledged everything adopted.
+
+**Generations.** The transport delivers messages from live runs only (net/peers.py). A later generation of a process
+continues with the same table; changes from an earlier generation are rejected (fenced).
 """
 
 from __future__ import annotations
@@ -40,15 +42,18 @@
 OWNER_SILENT_MS = 2.5 * DIGEST_INTERVAL_MS  # the replica of a live owner silent for longer is not relied on
 STALE_MS = 10_000.0  # the replica of a live owner silent for longer is dropped
 ORPHAN_RETENTION_MS = 900_000.0  # how long the replica of an owner that is gone is retained
-LOCATE_TIMEOUT_MS = 300.0  # for members to answer where a call is established
-LOCATES_PER_MS, LOCATE_BURST = 0.02, 20.0
+LOCATE_TIMEOUT_MS = 300.0  # for members to answer at which server a call is established
+LOCATES_PER_MS, LOCATE_BURST = 0.02, 20.0  # token bucket of calls that other members are asked about
 MAX_LOCATE_MEMBERS = 64  # members asked for one call
 MAX_RECENT_CHANGES = 50_000  # changed keys remembered, so that recovery does not overwrite them
-MAX_REPLICAS = 512
-ESTABLISHED = "call"  # kind of the established calls: call id -> server
-PREDECESSOR = "former"  # kind of the processes whose table the owner has adopted: process, in hex -> empty
-ENDED = "ended"  # kind of the calls that ended, before recovery was over, at an owner that did not know them (yet)
-LEARNED = "learned"  # kind of what the owner has learned: name -> its encoded value
+MAX_REPLICAS = 512  # of other owners, held by one member
+
+# The kinds of records.
+ESTABLISHED = "call"  # established calls: call id -> uid of the server
+PREDECESSOR = "former"  # processes whose table the owner has adopted: process number in hex -> empty
+# Calls released here that this process does not know, while a table that has them may be recovered: call id -> empty.
+ENDED = "ended"
+LEARNED = "learned"  # values that the owner has learned, such as rates: name -> encoded value
 
 
 class ChangeBatch(msgspec.Struct, array_like=True, frozen=True, tag=50):
@@ -58,7 +63,10 @@
 
 
 class Acknowledgement(msgspec.Struct, array_like=True, frozen=True, tag=51):
-    """Applied up to `sequence`, negative while buckets are missing; `missing` names the buckets to be sent in full."""
+    """Reports the sequence number up to which the sender's replica of the receiver's table is current.
+
+    It is negative while buckets are missing; `missing` lists the buckets to be sent in full.
+    """
 
     sequence: int
     missing: list[int] = []
@@ -82,7 +90,7 @@
 
 
 class Offer(msgspec.Struct, array_like=True, frozen=True, tag=54):
-    """The sender holds the table of `owner`, a process of the receiver's name, each bucket as of its number."""
+    """Offers the replica of `owner`, a process of the receiver's name, with the sequence number of each bucket."""
 
     owner: int
     sequences: list[int]
@@ -96,7 +104,7 @@
 
 
 class ReleaseReplica(msgspec.Struct, array_like=True, frozen=True, tag=56):
-    """The replica is no longer needed: its owner has recovered, or has other holders."""
+    """Asks the receiver to drop its replica of `owner`, whose table has been recovered or has other holders."""
 
     owner: int
 
@@ -115,7 +123,7 @@
 
 
 class CallReleased(msgspec.Struct, array_like=True, frozen=True, tag=59):
-    """A located call has been released: no replica counts for it any more."""
+    """Reports that a located call has been released, so that no member finds it in a replica any more."""
 
     call: str
 
@@ -144,49 +152,52 @@
 class Holder:
     """The progress of replication to one holder, as the owner knows it."""
 
-    acknowledged: int = -1  # negative: what it has is unknown
-    sent: int = -1  # last number sent
-    sent_ms: float = -float("inf")
-    digests_ms: float = 0.0
-    missing: list[int] = field(default_factory=list)  # buckets to be sent in full
+    acknowledged: int = -1  # last sequence number acknowledged; negative: what the holder has is unknown
+    sent: int = -1  # last sequence number sent
+    sent_ms: float = -float("inf")  # when it was last sent a message
+    digests_ms: float = 0.0  # when it was last sent the digests
+    missing: list[int] = field(default_factory=list)  # indices of the buckets to be sent in full
 
 
 @dataclass(slots=True)
 class Replica:
-    """A table held for another owner."""
+    """A replica of another member's table, held here."""
 
-    owner: int
+    owner: int  # run
     owner_name: str
     table: Table = field(default_factory=Table)
-    gone_ms: float = float("inf")  # since when its owner is gone
-    received_ms: float = 0.0  # when the owner last wrote
-    offered_ms: float = -float("inf")
+    gone_ms: float = float("inf")  # when its owner was found to be gone; inf while it is live
+    received_ms: float = 0.0  # when the owner last sent a message
+    offered_ms: float = -float("inf")  # when it was last offered to a new process of the owner's name
 
 
 @dataclass(slots=True)
 class Recovery:
     """Recovery of the table of an earlier process of this name from the members that hold it."""
 
-    owner: int
+    owner: int  # run of the earlier process
     table: Table = field(default_factory=Table)
-    # Offering member -> the owner's run as held there, and the number of each bucket.
+    # Run of the offering member -> the owner's run as held there, and the sequence number of each bucket.
     offers: dict[int, tuple[int, list[int]]] = field(default_factory=dict)
-    requested_ms: float = -float("inf")
-    adopted_at: int = -1  # number of the own table once everything was adopted; negative until then
+    requested_ms: float = -float("inf")  # when buckets were last requested
+    adopted_sequence: int = -1  # of the own table after the adoption; negative until then
     adopted: dict[str, set[str]] = field(default_factory=dict)  # kind -> the adopted keys
 
-    def incomplete(self) -> bool:
+    def is_incomplete(self) -> bool:
         """Whether a member offers a later version of some bucket than has been received."""
-        own = [bucket.sequence for bucket in self.table.buckets]
+        received_sequences = [bucket.sequence for bucket in self.table.buckets]
         return any(
             offered > received
             for _, sequences in self.offers.values()
-            for offered, received in zip(sequences, own, strict=True)
+            for offered, received in zip(sequences, received_sequences, strict=True)
         )
 
 
 class Replicas:
-    """Replication at one proxy, as owner and as holder."""
+    """Replication at one proxy, as owner and as holder.
+
+    `on_recovered` is called with each kind of records that has been recovered, and with the state of each key.
+    """
 
     def __init__(
         self,
@@ -203,41 +214,42 @@
             log_event,
             on_recovered,
         )
-        self.outbox: list[tuple[int, bytes]] = []
-        self.own = Table(fresh=True)
-        self.log: deque[Record] = deque(maxlen=MAX_LOG_RECORDS)
-        self.holders: dict[int, Holder] = {}
+        self.outbox: list[tuple[int, bytes]] = []  # (run of the receiver, encoded message)
+        self.own = Table(fresh=True)  # this proxy's own table
+        self.log: deque[Record] = deque(maxlen=MAX_LOG_RECORDS)  # the latest changes of the own table
+        self.holders: dict[int, Holder] = {}  # by the holder's run
         self.held_replicas: dict[int, Replica] = {}  # run of the owner -> its replica
         self.recoveries: dict[int, Recovery] = {}  # earlier process of this name -> recovery of its table
         # Keys changed by this process, the oldest first.
         self.recent_changes: OrderedDict[tuple[str, str], None] = OrderedDict()
-        self.locating: dict[str, tuple[float, Callable[[str], None]]] = {}
+        self.locating: dict[str, tuple[float, Callable[[str], None]]] = {}  # call id -> (time-out, callback)
         self.send_tokens, self.locate_tokens = (
             TokenBucket(SEND_BYTES_PER_MS, SEND_BURST_BYTES),
             TokenBucket(LOCATES_PER_MS, LOCATE_BURST),
         )
-        self.sent_bytes = 0
-        # When other members became known; -inf once that is longer ago than the orphan retention.
+        self.sent_bytes = 0  # to holders, since the start
+        # When this process joined and knew other members; None until then, -inf after the orphan retention has passed.
         self.fleet_known_ms: float | None = None
-        self.placement_current = False
-        self.wake_ms = 0.0
+        self.placement_current = False  # whether the holders are chosen from the current view
+        self.wake_ms = 0.0  # when `due` is to be called next
         view.listeners.append(self.on_member_change)
         view.generation_listeners.append(self.on_new_generation)
 
     # Owner
 
     def put(self, kind: str, key: str, state: bytes | None) -> None:
-        """Change the own table; holders receive the change with the next flush."""
+        """Set the state of a key of the own table, or delete it (None). Holders get the change at the next flush."""
         self.recent_changes[kind, key] = None
         if len(self.recent_changes) > MAX_RECENT_CHANGES:
             self.recent_changes.popitem(last=False)
         may_recover = self.fleet_known_ms is None or self.fleet_known_ms > -float("inf")
         if kind == ESTABLISHED and state is None and may_recover and self.own.get(kind, key) is None:
-            # The call may belong to a table still to be recovered, by this process or by a successor: keep its end.
+            # The call may be in a table that this process or a successor has still to recover: records that it ended.
             self._put(ENDED, key, b"")
         self._put(kind, key, state)
 
     def _put(self, kind: str, key: str, state: bytes | None) -> None:
+        """Change the own table and log the change, if it is one."""
         table = self.own
         if state == table.get(kind, key):
             return
@@ -248,12 +260,16 @@
         self.log.append(Record(sequence, kind, key, state))
 
     def on_new_generation(self, run: int) -> None:
-        """Declared dead: the next generation owns the same table, but holders still have it under the old run."""
+        """Called after this process was declared dead: the new generation owns the same table.
+
+        What the holders have is unknown again, as they still hold it under the old run.
+        """
         self.holders = {holder_run: Holder() for holder_run in self.holders}
         self.placement_current = False
         self.wake_ms = 0.0
 
     def on_member_change(self, change: Change) -> None:
+        """Called on each change of the view; the holders are chosen again at the next timer."""
         self.placement_current = False
         self.wake_ms = 0.0
 
@@ -273,7 +289,7 @@
             run = live.get(process_of(replica.owner))
             replica.gone_ms = float("inf") if run is not None else min(replica.gone_ms, now_ms)
             if run is not None and run != replica.owner:
-                # The owner goes on as a later generation, possibly with other holders.
+                # The owner has become a later generation, possibly with other holders: not relied on until it is heard.
                 replica.received_ms = min(replica.received_ms, now_ms - OWNER_SILENT_MS)
         if len(live) > 1 and self.view.joined and self.fleet_known_ms is None:
             self.fleet_known_ms = now_ms
@@ -295,9 +311,9 @@
                 )
 
     def _flush(self, now_ms: float) -> None:
-        """Send holders what they lack, as far as the rate limit allows."""
+        """Send holders the changes and buckets that they lack, as far as the rate limit allows."""
         table = self.own
-        first = self.log[0].sequence if self.log else table.applied + 1
+        first_logged = self.log[0].sequence if self.log else table.applied + 1
         for run, holder in self.holders.items():
             retransmit = now_ms >= holder.sent_ms + RETRANSMIT_MS
             if holder.sent > holder.acknowledged and retransmit:
@@ -305,7 +321,7 @@
             if holder.acknowledged < 0:
                 if retransmit and not holder.missing:
                     self._send(now_ms, run, holder, Digests(table.applied, []))
-            elif holder.sent + 1 < first and table.applied > holder.sent and not holder.missing:
+            elif holder.sent + 1 < first_logged and table.applied > holder.sent and not holder.missing:
                 holder.missing = list(range(BUCKETS))  # the log no longer has the changes
                 holder.acknowledged = holder.sent = -1  # until it acknowledges the buckets
             while holder.missing and self.send_tokens.available(now_ms) > 0.0:
@@ -313,7 +329,7 @@
                 self._send(now_ms, run, holder, self._full_bucket(self.view.run, table, index))
             if holder.acknowledged >= 0 and not holder.missing:
                 while holder.sent < table.applied and self.send_tokens.available(now_ms) > 0.0:
-                    batch = self._batch(holder.sent + 1 - first)
+                    batch = self._batch(holder.sent + 1 - first_logged)
                     if not batch:
                         break
                     self._send(now_ms, run, holder, ChangeBatch(batch))
@@ -323,7 +339,7 @@
                     self._send(now_ms, run, holder, Digests(table.applied, table.digests()))
 
     def _batch(self, start: int) -> list[Record]:
-        """The changes of the next message, from an index of the log on."""
+        """The changes for one message: those from index `start` of the log on, up to `BATCH_BYTES`."""
         batch: list[Record] = []
         size = 0
         while start + len(batch) < len(self.log) and size < BATCH_BYTES:
@@ -333,7 +349,7 @@
         return batch
 
     def _send(self, now_ms: float, run: int, holder: Holder, message: object) -> None:
-        """Send a holder a message, charged to the rate limit."""
+        """Send a holder a message and charge it to the rate limit."""
         holder.sent_ms = now_ms
         size = self._post(run, message)
         self.send_tokens.spend(size)
@@ -356,10 +372,10 @@
         self._release_recovered()
 
     def _release_recovered(self) -> None:
-        """Release the offered replicas of a recovered table once the own holders have all that was adopted."""
+        """Ask members to drop the old replicas of an adopted table once the own holders have acknowledged all of it."""
         for recovery in self.recoveries.values():
-            if recovery.adopted_at >= 0 and all(
-                holder.acknowledged >= recovery.adopted_at for holder in self.holders.values()
+            if recovery.adopted_sequence >= 0 and all(
+                holder.acknowledged >= recovery.adopted_sequence for holder in self.holders.values()
             ):
                 for run, (owner, _) in recovery.offers.items():
                     self._post(run, ReleaseReplica(owner))
@@ -367,8 +383,11 @@
 
     # Holder
 
-    def _replica(self, now_ms: float, run: int) -> Replica | None:
-        """The replica of the owner that wrote, made if need be; None if the owner is fenced off or refused."""
+    def _replica_of(self, now_ms: float, run: int) -> Replica | None:
+        """The replica of an owner that sent a message, created if there is none yet.
+
+        None if a replica of a later generation is held, if the owner is unknown, or if `MAX_REPLICAS` are held.
+        """
         replica = self.held_replicas.get(run)
         if replica is None:
             held_run = next(
@@ -377,7 +396,7 @@
             if held_run > run:
                 self.metrics.add("replicas.fenced")
                 return None
-            if held_run:  # a later generation of the process goes on with its table and numbers
+            if held_run:  # a later generation of the process continues its table and its sequence numbers
                 replica = self.held_replicas[run] = self.held_replicas.pop(held_run)
                 replica.owner = run
         if replica is None:
@@ -390,7 +409,7 @@
         return replica
 
     def _apply_changes(self, now_ms: float, run: int, message: ChangeBatch) -> None:
-        replica = self._replica(now_ms, run)
+        replica = self._replica_of(now_ms, run)
         if replica is None:
             return
         if replica.table.is_complete() and not replica.table.apply(message.records):
@@ -408,7 +427,7 @@
         if table is None:
             if message.owner != run:
                 return
-            replica = self._replica(now_ms, run)
+            replica = self._replica_of(now_ms, run)
             if replica is None:
                 return
             table = replica.table
@@ -428,8 +447,8 @@
             self._adopt(recovery)
 
     def _compare_digests(self, now_ms: float, run: int, message: Digests) -> None:
-        """Compare the owner's digests with the replica's when both have the same number; request what diverges."""
-        replica = self._replica(now_ms, run)
+        """Compare digests with the owner's if both have the same sequence number; request the diverging buckets."""
+        replica = self._replica_of(now_ms, run)
         if replica is None:
             return
         table = replica.table
@@ -451,27 +470,28 @@
     # Recovery
 
     def _accept_offer(self, now_ms: float, run: int, message: Offer) -> None:
+        """Start or continue the recovery of an earlier process's table that another member offers."""
         process = process_of(message.owner)
         if len(message.sequences) != BUCKETS or process == process_of(self.view.run):
             return
         if self.view.table.status(message.owner) < State.DEAD:
             return  # the owner is alive, as during an upgrade, and keeps its table
         if self.own.get(PREDECESSOR, predecessor_key(process)) is not None and process not in self.recoveries:
-            # A predecessor of this process had adopted that table, so the predecessor's table is the later one.
+            # The own table was recovered from a process that had adopted the offered one, so the offered one is older.
             self._post(run, ReleaseReplica(message.owner))
             return
         recovery = self.recoveries.setdefault(process, Recovery(message.owner))
         recovery.offers[run] = message.owner, message.sequences
-        if recovery.incomplete():
-            recovery.adopted_at = -1  # a late offer with a later version
+        if recovery.is_incomplete():
+            recovery.adopted_sequence = -1  # adopt again if this late offer has a later version
             self._fetch(now_ms, recovery)
         else:
             self._adopt(recovery)
             self._release_recovered()
 
     def _fetch(self, now_ms: float, recovery: Recovery) -> None:
-        """Request each bucket where it is latest; those already received are not requested again."""
-        if recovery.adopted_at >= 0 or now_ms < recovery.requested_ms + RETRANSMIT_MS:
+        """Request each bucket from the member that offers its latest version, unless that has been received."""
+        if recovery.adopted_sequence >= 0 or now_ms < recovery.requested_ms + RETRANSMIT_MS:
             return
         requests: dict[int, list[int]] = {}
         for index in range(BUCKETS):
@@ -486,16 +506,17 @@
     def _adopt(self, recovery: Recovery) -> None:
         """Adopt the recovered table once it is complete.
 
-        What this process has changed meanwhile is newer than any of it, so an ended call stays ended. The table of an
-        earlier process is older than that of a successor which had recovered it: what the successor no longer has is
-        deleted.
+        Keys that this process has changed itself are not overwritten, as its changes are newer: a call that ended here
+        stays ended. Recovering a later version, or the table of a process that had itself adopted an earlier one,
+        deletes the keys adopted before that the later table no longer has.
         """
-        if recovery.incomplete() or recovery.adopted_at >= 0:
+        if recovery.is_incomplete() or recovery.adopted_sequence >= 0:
             return
         changed_here = set(self.recent_changes)
         for key in recovery.table.all(ENDED):
             if (ESTABLISHED, key) not in changed_here:
-                self._put(ESTABLISHED, key, None)  # the table of an earlier process may have contained it
+                # The call may have been adopted from the table of an earlier process.
+                self._put(ESTABLISHED, key, None)
             self.recent_changes[ESTABLISHED, key] = None
         for kind in (PREDECESSOR, ENDED, LEARNED, ESTABLISHED):
             recovered = {
@@ -503,16 +524,16 @@
                 for key, state in recovery.table.all(kind).items()
                 if (kind, key) not in self.recent_changes
             }
-            gone = recovery.adopted.get(kind, set()) - recovered.keys()
+            deleted_keys = recovery.adopted.get(kind, set()) - recovered.keys()
             if kind == ESTABLISHED:
                 for key in recovery.table.all(PREDECESSOR):
                     earlier = self.recoveries.pop(int(key, 16), None)
-                    gone |= (
+                    deleted_keys |= (
                         earlier.adopted.get(ESTABLISHED, set()) - recovered.keys()
                         if earlier is not None
                         else set()
                     )
-            for key in gone:
+            for key in deleted_keys:
                 if (kind, key) not in changed_here:
                     self._put(kind, key, None)
             for key, state in recovered.items():
@@ -520,23 +541,23 @@
             recovery.adopted[kind] = set(recovered)
             self.on_recovered(kind, recovered)
         self._put(PREDECESSOR, predecessor_key(process_of(recovery.owner)), b"")
-        recovery.adopted_at = self.own.applied
+        recovery.adopted_sequence = self.own.applied
         self.metrics.add("replicas.returned")
         self.log_event("replicas.returned", calls=len(recovery.adopted[ESTABLISHED]))
 
     def behind(self, now_ms: float) -> bool:
         """Whether the table of an earlier process may still have to be recovered."""
         awaiting_offers = self.fleet_known_ms is None or now_ms < self.fleet_known_ms + OFFER_WAIT_MS
-        return awaiting_offers or any(recovery.adopted_at < 0 for recovery in self.recoveries.values())
+        return awaiting_offers or any(recovery.adopted_sequence < 0 for recovery in self.recoveries.values())
 
-    # Location of calls that reach a proxy which does not know them
+    # Location of calls whose release reaches a proxy that does not know them
 
     def server_of(self, now_ms: float, call: str) -> str:
-        """The server at which a call is established, by the own table or a replica; empty where it is unknown."""
+        """The server at which a call is established, according to the own table or a replica; empty if unknown."""
         state = self.own.get(ESTABLISHED, call)
         if state is None and (ESTABLISHED, call) not in self.recent_changes:  # else it ended here
-            # A replica counts if its owner is gone or has written lately: a live owner that has been silent for
-            # longer may have other holders by now.
+            # A replica is used if its owner is gone or has sent a message recently: a live owner that has been silent
+            # for longer may have chosen other holders.
             states = (
                 replica.table.get(ESTABLISHED, call)
                 for replica in self.held_replicas.values()
@@ -546,16 +567,17 @@
         return "" if state is None else state.decode("utf-8", "replace")
 
     def call_released(self, call: str) -> None:
-        """Record that a located call has been released from here, and notify the members that may hold a replica."""
+        """Record that this proxy has released a located call, and notify the members that may hold a replica of it."""
         self.put(ESTABLISHED, call, None)
         for member in self.view.members()[:MAX_LOCATE_MEMBERS]:
             if process_of(member.run) != process_of(self.view.run):
                 self._post(member.run, CallReleased(call))
 
     def locate(self, now_ms: float, call: str, done: Callable[[str], None]) -> None:
-        """Find the server of a call, here or by asking each member once.
+        """Find the server of a call, here or by asking up to `MAX_LOCATE_MEMBERS` members once.
 
-        `done` is called once with the server, or with an empty text after `LOCATE_TIMEOUT_MS` at the latest.
+        `done` is called once: with the server, or with an empty string after `LOCATE_TIMEOUT_MS`. The empty string is
+        passed at once if the call is being located already, the rate limit is exceeded, or no other member is live.
         """
         server = self.server_of(now_ms, call)
         if server or self.locate_tokens.available(now_ms) <= 0.0 or call in self.locating:
@@ -581,6 +603,7 @@
     # Timer and messages
 
     def due(self, now_ms: float) -> None:
+        """Do the periodic work: flush, fetch, offer, and expire replicas; to be called at `wake_ms`."""
         if not self.placement_current:
             self._place(now_ms)
         if (
@@ -588,7 +611,7 @@
             and -float("inf") < self.fleet_known_ms < now_ms - ORPHAN_RETENTION_MS
         ):
             for key in self.own.all(ENDED):
-                self._put(ENDED, key, None)  # replicas with those calls have expired everywhere
+                self._put(ENDED, key, None)  # no member retains a replica that contains those calls any more
             self.fleet_known_ms = -float("inf")
         self._flush(now_ms)
         for recovery in self.recoveries.values():
@@ -600,12 +623,13 @@
             if replica.gone_ms < float("inf"):
                 self._offer(now_ms, replica)
             elif now_ms > replica.received_ms + STALE_MS:
-                del self.held_replicas[run]  # its owner is alive and writes to other holders
+                del self.held_replicas[run]  # its owner is alive and replicates to other holders
             if now_ms > replica.gone_ms + ORPHAN_RETENTION_MS:
                 del self.held_replicas[run]
         self.wake_ms = now_ms + FLUSH_INTERVAL_MS
 
     def received(self, now_ms: float, run: int, body: bytes) -> None:
+        """Handle an encoded message from the run of a live member."""
         try:
             message = _decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -655,7 +679,7 @@
         return len(body)
 
     def status(self, now_ms: float) -> dict:
-        """The state of replication, for operators."""
+        """The state of replication, as `GET /control/replicas` reports it; runs and digests in hex."""
         names = {member.run: member.name for member in self.view.members()}
         return {
             "own": {
--- a/leadslip/fleet/replicas/table.py
+++ b/leadslip/fleet/replicas/table.py
@@ -1,9 +1,10 @@
 """Replicated table of one owner: records in hash buckets, each bucket with a sequence number. Pure, without I/O.
 
-An owner is one run of one process and the only writer of its table. It numbers its changes from 1 without gaps, so the
-table at a given sequence number is the same at every holder. Where replicas differ, the bucket with the greater number
-wins and is complete: a key that is absent from it has been deleted. An ended call therefore needs no tombstone: it is
-absent from every bucket numbered at or after its end, and an older bucket never replaces a newer one.
+An owner is one process and the only writer of its table, across all its generations. It numbers its changes from 1
+without gaps, so the table at a given sequence number is the same at every holder. If replicas of a bucket differ, the
+one with the greater sequence number is kept, and it is complete: a key that is absent from it has been deleted. An
+ended call therefore needs no tombstone: it is absent from every version of its bucket as of its end or later, and an
+older version never replaces a newer one.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """One change: the state of a key of some kind at `sequence`; a state of None deletes the key."""
+    """One change, with its sequence number: the new state of a key of some kind; a state of None deletes the key."""
 
     sequence: int
     kind: str
@@ -37,7 +38,7 @@
 
 
 class Bucket:
-    """The records of one bucket as of a sequence number; a negative number means that its content is unknown."""
+    """The records of one bucket as of a sequence number; with a negative one, its content is unknown."""
 
     __slots__ = ("sequence", "records", "digest")
 
@@ -47,6 +48,7 @@
         self.digest = 0
 
     def put(self, kind: str, key: str, state: bytes | None) -> None:
+        """Set the state of a key, or delete the key if the state is None, and update the digest."""
         previous = self.records.pop((kind, key), None)
         if previous is not None:
             self.digest ^= record_digest(kind, key, previous)
@@ -56,7 +58,11 @@
 
 
 class Table:
-    """All buckets of one owner's run; `applied` is the number up to which every change has been applied, no gap."""
+    """All buckets of one owner; every change up to sequence number `applied` has been applied.
+
+    `applied` is negative until every bucket has been received once. A `fresh` table is known to be empty, as that of an
+    owner that starts; the content of any other table is unknown at first.
+    """
 
     def __init__(self, fresh: bool = False) -> None:
         start = 0 if fresh else -1
@@ -64,7 +70,10 @@
         self.applied = start
 
     def apply(self, records: Iterable[Record]) -> bool:
-        """Apply consecutive changes of the owner; False at a gap, so that the caller can request what is missing."""
+        """Apply consecutive changes of the owner; at a gap, returns False and ignores the rest.
+
+        Changes that have been applied already are skipped.
+        """
         for record in records:
             if record.sequence <= self.applied:
                 continue
@@ -79,7 +88,7 @@
     def merge(self, index: int, sequence: int, records: Iterable[tuple[str, str, bytes]]) -> bool:
         """Replace a bucket by a full one if that is newer; returns whether it was replaced."""
         bucket = Bucket(sequence)
-        # A bucket older than changes already applied is rejected: replacing would lose those of its own keys.
+        # A bucket older than the changes already applied is rejected: replacing it would undo those of its own keys.
         if sequence <= self.sequence_of(index) or sequence < self.applied:
             return False
         for kind, key, state in records:
@@ -88,16 +97,16 @@
         return True
 
     def sequence_of(self, index: int) -> int:
-        """The number up to which a bucket is known: its own, or that of the changes applied since."""
-        own = self.buckets[index].sequence
-        return own if own < 0 else max(own, self.applied)
+        """The sequence number up to which a bucket is known, given the changes applied since; negative if unknown."""
+        bucket_sequence = self.buckets[index].sequence
+        return bucket_sequence if bucket_sequence < 0 else max(bucket_sequence, self.applied)
 
     def missing_buckets(self) -> list[int]:
         """Indices of the buckets whose content is unknown."""
         return [index for index, bucket in enumerate(self.buckets) if bucket.sequence < 0]
 
     def start_applying(self) -> None:
-        """To be called once no bucket is missing: changes are applied from the oldest bucket's number on."""
+        """To be called once no bucket is missing: changes after the oldest bucket's sequence number can be applied."""
         self.applied = max(self.applied, min(bucket.sequence for bucket in self.buckets))
 
     def is_complete(self) -> bool:
@@ -105,6 +114,7 @@
         return self.applied >= 0
 
     def digests(self) -> list[int]:
+        """The digest of each bucket."""
         return [bucket.digest for bucket in self.buckets]
 
     def digest(self) -> int:
@@ -113,6 +123,7 @@
         return int.from_bytes(blake2b(joined.encode(), digest_size=8).digest())
 
     def get(self, kind: str, key: str) -> bytes | None:
+        """The state of a key, or None if it has none."""
         return self.buckets[bucket_of(kind, key)].records.get((kind, key))
 
     def all(self, kind: str) -> dict[str, bytes]:
