--- a/leadslip/fleet/replicas/member.py
+++ b/leadslip/fleet/replicas/member.py
@@ -65,7 +65,7 @@
 class Acknowledgement(msgspec.Struct, array_like=True, frozen=True, tag=51):
     """Reports the sequence number up to which the sender's replica of the receiver's table is current.
 
-    It is negative while buckets are missing; `missing` lists the buckets to be sent in full.
+    It is negative until every bucket has been received; `missing` lists the buckets to be sent in full.
     """
 
     sequence: int
--- a/leadslip/net/peers.py
+++ b/leadslip/net/peers.py
@@ -1,9 +1,12 @@
-"""The fleet transport: UDP datagrams, and TCP for what exceeds one, on one port number. Off unless configured.
+"""The fleet transport: UDP datagrams, and TCP for larger messages, on one port number. Off unless configured.
 
-Passes received messages to the View and sends the messages that it queues; takes no decisions. Other members are
-reached at the address that they advertise, never at a datagram's source; outbound connections leave from the IP
-address of `listen`. Time is the system's CLOCK_BOOTTIME, which goes on while a process or a machine is suspended and
-does not jump.
+Passes received messages to the `View` or to the part that they are addressed to, and sends the messages that these have
+queued; takes no decisions. Other members are reached at the address that they advertise, never at a datagram's source;
+outbound connections are bound to the IP address of `listen`. Time is the system's CLOCK_BOOTTIME, which goes on while a
+process or a machine is suspended and does not jump.
+
+There are two kinds of TCP sessions: anti-entropy sessions, in which two members sync their tables, and delivery
+sessions, in which one member delivers messages of parts to another.
 """
 
 from __future__ import annotations
@@ -28,15 +31,16 @@
     from leadslip.parts.fleet.settings import FleetConfig
 
 CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-SESSION_TIMEOUT_MS = 3000.0  # from connecting to the end of a session
-MAX_INBOUND_SESSIONS, MAX_OUTBOUND_SESSIONS = 16, 2  # anti-entropy sessions at a time
-MAX_UNVERIFIED_FRAME = 16 * 1024  # bytes of a frame, until its sender has shown that it holds the key
-MAX_DELIVERY_CONNECTIONS = 8  # outbound connections at a time that deliver messages of parts
-MAX_QUEUED_BYTES = 4 << 20  # of messages of parts that wait for one member
-MAX_DELIVERY_BYTES = 1 << 20  # of messages of parts that one connection delivers
-# bytes of a part's message sent as a datagram
+SESSION_TIMEOUT_MS = 3000.0  # for connecting, and again from the connection to the end of a session
+# Open at a time: sessions of either kind opened by other members, and anti-entropy sessions opened by this member.
+MAX_INBOUND_SESSIONS, MAX_OUTBOUND_SESSIONS = 16, 2
+MAX_UNVERIFIED_FRAME = 16 * 1024  # bytes of a frame from a peer that has not proved yet that it has a key
+MAX_DELIVERY_CONNECTIONS = 8  # delivery sessions that this member has open at a time
+MAX_QUEUED_BYTES = 4 << 20  # of messages of parts that wait for delivery to one member
+MAX_DELIVERY_BYTES = 1 << 20  # of messages of parts in one delivery session; the last message may exceed it
+# Larger bodies of messages of parts are delivered over TCP; 60 bytes are left for the other fields of the message.
 MAX_DATAGRAM_BODY = wire.MAX_DATAGRAM_BYTES - wire.SEAL_BYTES - 60
-RECEIVE_BUFFER_BYTES = 1 << 20  # holds datagrams while this process is busy or stopped
+RECEIVE_BUFFER_BYTES = 1 << 20  # of the UDP socket; holds datagrams while this process is busy or paused
 
 
 class FleetClock:
@@ -61,23 +65,28 @@
             self.peers.datagram_received(datagram)
 
     def connectionRefused(self) -> None:
-        """Ignored: if no process listens there, the probe's time-out shows it."""
+        """Ignored: no process listens at the address of some member; that member's probe times out."""
 
 
 class PeerSession(Int32StringReceiver):
-    """A TCP session between members: Hello, SyncAsk, SyncTable, SyncTable, each a sealed frame; an error ends it."""
+    """A TCP session between members; each message is a sealed frame, and an error ends the session.
+
+    The accepting side begins with a `Hello`. In an anti-entropy session the initiator sends a `SyncRequest`, the
+    accepting side answers with a `SyncTable`, and the initiator sends a `SyncTable` with its newer records. In a
+    delivery session the initiator sends one or more `PartMessage`s.
+    """
 
     MAX_LENGTH = MAX_UNVERIFIED_FRAME
 
     def __init__(self, peers: Peers) -> None:
         self.peers = peers
         self.transferred_bytes = 0  # in both directions
-        self.token = random.SystemRandom().getrandbits(63)
-        self.timeout = None
+        self.token = random.SystemRandom().getrandbits(63)  # that the peer's messages must repeat
+        self.timeout = None  # deadline that ends the session
 
     def connectionMade(self) -> None:
         deadlines = self.peers.deadlines
-        self.transport.setTcpNoDelay(True)  # else a second frame waits for the acknowledgement of the first
+        self.transport.setTcpNoDelay(True)  # else a second frame would wait for the first to be acknowledged
         self.timeout = deadlines.call_at(deadlines.clock.now_ms() + SESSION_TIMEOUT_MS, self.timed_out)
         self.on_connected()
 
@@ -85,6 +94,7 @@
         """Called when the connection is established."""
 
     def timed_out(self, _: object = None) -> None:
+        """Ends a session that has taken too long."""
         self.peers.metrics.add("fleet.sessions_late")
         self.transport.abortConnection()
 
@@ -97,6 +107,7 @@
         self.transport.abortConnection()
 
     def send_message(self, message: wire.AnyMessage) -> None:
+        """Sends a message in the newest version that the receiver supports."""
         peers = self.peers
         version = peers.view.version_for(message.to)
         data = peers.seal.sign(wire.encode_frame(message, version), version)
@@ -115,11 +126,12 @@
         self.peers.flush()
 
     def message_received(self, message: wire.AnyMessage, now_ms: float) -> None:
+        """Handles a verified message; raises WireError if it is not expected in this session."""
         raise NotImplementedError
 
 
 class InboundSession(PeerSession):
-    """A session that another member opened: an anti-entropy session, or one that delivers messages of parts."""
+    """A session of either kind that another member opened."""
 
     def on_connected(self) -> None:
         self.send_message(self.peers.view.hello(self.token))
@@ -127,7 +139,8 @@
     def message_received(self, message: wire.AnyMessage, now_ms: float) -> None:
         if getattr(message, "token", None) != self.token:
             raise wire.WireError("token")
-        self.MAX_LENGTH = wire.MAX_FRAME_BYTES  # a sender that repeats our token, signed, is a member
+        # A signed message with our token is no replay, so the peer has a key of the fleet.
+        self.MAX_LENGTH = wire.MAX_FRAME_BYTES
         if isinstance(message, wire.SyncRequest):
             self.send_message(self.peers.view.answer_sync(now_ms, message))
         elif isinstance(message, wire.SyncTable):
@@ -142,7 +155,7 @@
 class OutboundSession(PeerSession):
     """An anti-entropy session that this member opened."""
 
-    peer_token = 0  # from the peer's Hello; 0 until that arrives
+    peer_token = 0  # from the peer's Hello; 0 until that has arrived
 
     def message_received(self, message: wire.AnyMessage, now_ms: float) -> None:
         if isinstance(message, wire.Hello) and not self.peer_token:
@@ -157,11 +170,11 @@
 
 
 class DeliverySession(PeerSession):
-    """Delivers queued messages of parts to a member: waits for the peer's Hello and expects nothing else."""
+    """A delivery session that this member opened: waits for the peer's Hello and expects no other message."""
 
     def __init__(self, peers: Peers, run: int) -> None:
         super().__init__(peers)
-        self.run = run
+        self.run = run  # of the receiving member
 
     def message_received(self, message: wire.AnyMessage, now_ms: float) -> None:
         if not isinstance(message, wire.Hello):
@@ -194,45 +207,48 @@
 
 
 class MessageQueue:
-    """Messages of parts that wait for a connection to one member."""
+    """Messages of parts that wait for delivery to one member."""
 
     __slots__ = ("messages", "size")
 
     def __init__(self) -> None:
-        self.messages: deque[tuple[str, bytes]] = deque()
-        self.size = 0
+        self.messages: deque[tuple[str, bytes]] = deque()  # (name of the part, body)
+        self.size = 0  # bytes of the bodies
 
     def pop(self) -> tuple[str, bytes]:
+        """Removes the oldest message and returns its part's name and its body."""
         part, body = self.messages.popleft()
         self.size -= len(body)
         return part, body
 
 
 class MessagingPart(Protocol):
-    """A part whose messages the fleet transport sends. It does no I/O: it puts (run, body) pairs into `outbox`."""
+    """A part whose messages the fleet transport sends. It does no I/O itself."""
 
-    outbox: list[tuple[int, bytes]]
-    wake_ms: float
+    outbox: list[tuple[int, bytes]]  # messages to be sent: (run of the receiving member, body)
+    wake_ms: float  # when `due` is to be called next
 
     def received(self, now_ms: float, run: int, body: bytes) -> None:
-        """Handles a signed message from the run of a live member; the body is not validated yet."""
+        """Handles a signed message from the run of a live member; the body has not been validated."""
 
     def due(self, now_ms: float) -> None:
-        """Does the work that is due; called at wake_ms, harmless if earlier or later."""
+        """Does the work that is due; called at `wake_ms`, and possibly earlier or later."""
 
 
 class PartTransport:
-    """Sends and receives the messages of one part, and runs its timer."""
+    """Sends and receives the messages of one part, and runs its timer; `add_part` describes `after_flush`."""
 
-    def __init__(self, peers: Peers, name: str, part: MessagingPart, after_work: Callable[[], None]) -> None:
-        self.peers, self.name, self.part, self.after_work = peers, name, part, after_work
+    def __init__(self, peers: Peers, name: str, part: MessagingPart, after_flush: Callable[[], None]) -> None:
+        self.peers, self.name, self.part, self.after_flush = peers, name, part, after_flush
         self.timer = None
 
     def message_received(self, now_ms: float, run: int, body: bytes) -> None:
+        """Passes a received message to the part and sends what that has queued."""
         self.part.received(now_ms, run, body)
         self.flush()
 
     def timer_fired(self, _: object = None) -> None:
+        """Has the part do the work that is due and sends what it has queued."""
         self.timer = None
         if not self.peers.stopped:
             self.part.due(self.peers.clock.now_ms())
@@ -243,17 +259,17 @@
         part, peers = self.part, self.peers
         if peers.stopped:
             return
-        out, part.outbox = part.outbox, []
-        for run, body in out:
+        outgoing, part.outbox = part.outbox, []
+        for run, body in outgoing:
             peers.send_part_message(self.name, run, body)
-        self.after_work()
+        self.after_flush()
         if self.timer is None or self.timer.callback is None or part.wake_ms < self.timer.due_ms:
             peers.deadlines.cancel(self.timer)
             self.timer = peers.deadlines.call_at(part.wake_ms, self.timer_fired)
 
 
 class InboundSessionFactory(protocol.Factory):
-    """Accepts sessions, up to a limit."""
+    """Accepts sessions, up to `MAX_INBOUND_SESSIONS` at a time."""
 
     noisy = False
 
@@ -290,8 +306,8 @@
     def __init__(self, reactor: object, conf: FleetConfig, name: str, metrics: Metrics, log: Log) -> None:
         self.reactor, self.conf, self.name, self.metrics, self.log = reactor, conf, name, metrics, log
         self.clock = FleetClock()
-        # Prevents a jump of the Unix clock from delaying the reactor's timers, by an hour if the clock jumps by one.
-        # Timers set earlier would go by the other clock, so this object is made before any timer is set.
+        # By default the reactor's timers use the Unix clock: if that is set back by an hour, they fire an hour late.
+        # Timers set before this line would be due by the other clock, so this object is created before any is set.
         reactor.seconds = lambda: time.clock_gettime(CLOCK)
         self.deadlines = Deadlines(self.clock, reactor)
         self.seal = wire.Seal(conf.keys)  # raises for invalid keys before any port is bound
@@ -303,22 +319,23 @@
         self.delivering: set[int] = set()  # runs to which a delivery session is open
         self.timer = None
         self.stopped = False
-        self.datagrams = self.port = self.view = None
-        self.history: Callable[..., None] | None = None  # records events of a fault-injection run
+        self.datagrams = self.port = self.view = None  # until `start`
+        self.history: Callable[..., None] | None = None  # records an event of a fault-injection run
 
     def start(self, metadata: Callable[[], dict[str, str | int]]) -> None:
-        """Binds the TCP and the UDP port and joins the fleet; `metadata` returns this member's metadata.
+        """Binds the TCP and the UDP port and joins the fleet; `metadata` returns this member's current metadata.
 
-        Raises CannotListenError where the address is not available.
+        Raises CannotListenError if the address is in use or not available.
         """
-        host, number = self.conf.listen
+        host, port_number = self.conf.listen
         advertise = self.conf.advertise
         try:
-            self._bind(host, number)
+            self._bind(host, port_number)
         except error.CannotListenError:
             if advertise != self.conf.listen:
                 raise
-            # Another process of this proxy holds the port, as during an upgrade: each run is a member of its own.
+            # During an upgrade the old process of this proxy still uses the port. Each process is a member of its own,
+            # so this one takes a free port and advertises that.
             self._bind(host, 0)
         bound_port = self.port.getHost().port
         if advertise == self.conf.listen:
@@ -331,7 +348,7 @@
             from leadslip.drill.faulty import VIEW_VARIANTS
 
             view_class = VIEW_VARIANTS.get(self.conf.broken, View)
-        # The view has a pseudo-random generator of its own; only its seed comes from the system's.
+        # The view uses a pseudo-random generator, seeded from the system's.
         rng = random.Random(self.rng.getrandbits(64))
         self.view = view_class(me, seeds, rng, self.metrics, ProtocolTiming(), self.conf.most_members)
         self.seal = wire.Seal(self.conf.keys, self.view.max_version)
@@ -345,10 +362,15 @@
         self.flush()
         self.log("fleet.serves", address=me.address, run=f"{self.view.run:016x}")
 
-    def _bind(self, host: str, number: int) -> None:
-        """Binds TCP and UDP to one port; retries where a port that the system chose for TCP is in use for UDP."""
+    def _bind(self, host: str, port_number: int) -> None:
+        """Binds TCP and UDP to one port number; 0 lets the system choose one.
+
+        If the one chosen for TCP is in use for UDP, another is tried, up to eight times in all.
+        """
         for attempts_left in range(8, 0, -1):
-            port = self.reactor.listenTCP(number, InboundSessionFactory(self), backlog=64, interface=host)
+            port = self.reactor.listenTCP(
+                port_number, InboundSessionFactory(self), backlog=64, interface=host
+            )
             try:
                 self.datagrams = PeerDatagrams(self)
                 self.udp = self.reactor.listenUDP(
@@ -359,7 +381,7 @@
                 )
             except error.CannotListenError:
                 port.stopListening()
-                if number or attempts_left == 1:
+                if port_number or attempts_left == 1:
                     raise
                 continue
             self.udp.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
@@ -386,7 +408,7 @@
         self.flush()
 
     def part_message_received(self, now_ms: float, message: wire.PartMessage) -> None:
-        """Passes a message to its part, if it is addressed to this run and comes from the run of a live member."""
+        """Passes a message to its part if it is addressed to this run and its sender is the run of a live member."""
         part, sender = self.parts.get(message.part), self.view.table.get(message.run)
         if part is None or message.to != self.view.run:
             self.metrics.add("fleet.for_another")
@@ -395,14 +417,17 @@
         else:
             part.message_received(now_ms, message.run, message.body)
 
-    def add_part(self, name: str, part: MessagingPart, after_work: Callable[[], None]) -> PartTransport:
-        """Sends and receives a part's messages from now on; `after_work` is called each time it may have worked."""
-        transport = self.parts[name] = PartTransport(self, name, part, after_work)
+    def add_part(self, name: str, part: MessagingPart, after_flush: Callable[[], None]) -> PartTransport:
+        """Sends and receives a part's messages from now on, and runs its timer.
+
+        `after_flush` is called each time the part's queued messages have been sent, also if there were none.
+        """
+        transport = self.parts[name] = PartTransport(self, name, part, after_flush)
         transport.timer_fired()
         return transport
 
     def send_part_message(self, part: str, run: int, body: bytes) -> None:
-        """Sends a part's message to a member, as a datagram where it fits, else over TCP. It may be lost."""
+        """Sends a part's message to a member: as a datagram if it fits, else over TCP. It may be lost."""
         receiver = self.view.table.get(run)
         if self.stopped or receiver is None or not receiver.live or self.view.version_for(run) < 3:
             self.metrics.add("fleet.unsent")
@@ -422,7 +447,7 @@
         self._deliver_queued()
 
     def _deliver_queued(self) -> None:
-        """Opens delivery sessions to the members with queued messages, one to each, up to the limit in total."""
+        """Opens a delivery session to each member with queued messages, up to `MAX_DELIVERY_CONNECTIONS` in total."""
         for run in list(self.queues):
             receiver = self.view.table.get(run)
             if receiver is None or not receiver.live or not self.queues[run].messages:
@@ -435,8 +460,8 @@
         """Sends what the view and the parts have queued and sets their timers."""
         if self.stopped:
             return
-        out, self.view.outbox = self.view.outbox, []
-        for item in out:
+        outgoing, self.view.outbox = self.view.outbox, []
+        for item in outgoing:
             if isinstance(item, StartSync):
                 self._open_sync(item.address)
             else:
@@ -454,6 +479,7 @@
             self.flush()
 
     def _send(self, address: str, message: wire.AnyMessage) -> None:
+        """Sends a message in a datagram."""
         data = self.seal.sign(wire.encode(message), self.view.version_for(message.to))
         if not self.metrics.check_invariant(
             len(data) <= wire.MAX_DATAGRAM_BYTES, "a datagram of the fleet keeps its size"
@@ -462,7 +488,7 @@
         host, _, port = address.rpartition(":")
         try:
             self.datagrams.transport.write(data, (host, int(port)))
-        except (OSError, ValueError):  # no route or a full buffer: lost like any datagram
+        except (OSError, ValueError):  # no route, full send buffer, bad address: lost like any datagram
             self.metrics.add("fleet.unsent")
 
     def _open_sync(self, address: str) -> None:
@@ -497,11 +523,11 @@
             self.flush()
 
     def replace_keys(self, keys: tuple[bytes, ...]) -> None:
-        """Signs with the first of these keys from now on, and accepts all of them."""
+        """Signs with the first of these keys from now on, and accepts signatures by any of them."""
         self.seal = wire.Seal(keys, self.seal.max_version)
 
     def stop(self) -> None:
-        """Leaves the fleet and closes the ports."""
+        """Leaves the fleet, stops accepting sessions and closes the inbound ones; does nothing more from then on."""
         if self.view is None or self.stopped:
             return
         for part in list(self.parts.values()):
--- a/leadslip/parts/fleet/__init__.py
+++ b/leadslip/parts/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Part that joins this proxy to a fleet (fleet/, net/peers.py). Off on the platform, where proxies share nothing."""
+"""Joins this proxy to a fleet (fleet/, net/peers.py). Off by default: on the platform proxies share nothing."""
--- a/leadslip/parts/fleet/part.py
+++ b/leadslip/parts/fleet/part.py
@@ -22,7 +22,7 @@
         return {b"fleet": Endpoint({b"GET": self.get_view})}
 
     def add_observers(self, observers: dict[str, list[Observer]]) -> None:
-        # Created before any timer is set: it switches the reactor's timers to a monotonic clock.
+        # Created here, before any timer is set, as it switches the reactor's timers to a monotonic clock.
         node = self.node
         self.peers = Peers(node.reactor, self.conf, node.conf.name or "proxy", node.metrics, node.log)
 
@@ -53,12 +53,16 @@
         self.peers.stop()
 
     def get_view(self, request: OperatorRequest) -> Answer:
-        """Answers `GET /control/fleet`; status 503 before the view exists."""
+        """Answers `GET /control/fleet`; status 503 until this proxy has started to join the fleet."""
         return as_json({}, 503) if self.peers.view is None else as_json(view_as_json(self.peers))
 
 
 def view_as_json(peers: Peers) -> dict:
-    """Returns the view as `GET /control/fleet` reports it; ages in ms, runs and the digest in hex."""
+    """Returns the view as `GET /control/fleet` reports it, with runs and the digest in hex.
+
+    `since_ms` is for how long a member has been in its state, and `way` is round if it answers through relays only.
+    `vouched_ms` is the age of the latest ping that a member answered with this proxy as live in its view, else null.
+    """
     view, now_ms = peers.view, peers.clock.now_ms()
     members = sorted(view.table, key=lambda member: (member.name, member.run))
     confirmed_age_ms = view.confirmed_age_ms(now_ms)
--- a/leadslip/parts/fleet/settings.py
+++ b/leadslip/parts/fleet/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the fleet part. Off on the platform, where proxies share nothing."""
+"""Settings of the fleet part. Off by default: on the platform proxies share nothing."""
 
 from __future__ import annotations
 
@@ -17,26 +17,28 @@
 )
 from leadslip.parts import PartSettings, SettingsContext
 
-KEYS = {"most_members": (1024, 1, 4096)}  # numeric settings key -> (default, minimum, maximum)
+KEYS = {"most_members": (1024, 1, 4096)}  # numeric setting -> (default, minimum, maximum)
 MAX_ZONE_CHARS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """Checked settings: listening and advertised addresses, seeds to contact first, and signing keys."""
+    """Validated settings of the fleet part."""
 
-    listen: Address
-    advertise: Address
-    seeds: tuple[Address, ...]
+    listen: Address  # bound for both UDP and TCP
+    advertise: Address  # at which other members reach this one
+    seeds: tuple[Address, ...]  # contacted to join the fleet
     keys: tuple[bytes, ...]  # messages are signed with the first; signatures by any are accepted
-    zone: str
-    most_members: int
-    history: str = ""  # file to which a fault-injection run has this member write its history
-    broken: str = ""  # faulty variant that a fault-injection run asks for; debug builds only
+    zone: str  # failure domain; replicas are placed in another one if possible
+    most_members: int  # largest number of live members in the view
+    # For fault-injection runs: the file to which this member appends its event history, and the faulty variant that it
+    # runs (drill/faulty.py; debug builds only).
+    history: str = ""
+    broken: str = ""
 
 
 def settings(table: Mapping, context: SettingsContext) -> FleetConfig | None:
-    """Returns the checked settings of the fleet; None if they turn it off. Raises MalformedError."""
+    """Returns the validated settings of the fleet; None if they turn it off. Raises MalformedError."""
     if not is_enabled(
         table, "fleet", ("listen", "advertise", "seeds", "key_file", "zone", "history", "broken", *KEYS)
     ):
@@ -58,13 +60,16 @@
 
 
 def read_keys(path: str) -> tuple[bytes, ...]:
-    """Reads signing keys from a file, one per line in hex, 16 to 64 bytes each; lines that begin with # are ignored."""
+    """Reads signing keys from a file, one per line in hex, 16 to 64 bytes each; lines that begin with # are ignored.
+
+    Raises UnreadableError, MalformedError, or TakenError if a key is repeated.
+    """
     try:
         with open(path, encoding="ascii") as file:
             lines = [line.strip() for line in file]
         keys = tuple(bytes.fromhex(line) for line in lines if line and not line.startswith("#"))
     except (OSError, ValueError) as error:
-        raise UnreadableError(f"fleet.key_file can't be read or is not hex: {error}") from error
+        raise UnreadableError(f"fleet.key_file can't be read, or a line is not hex: {error}") from error
     if not keys or any(not 16 <= len(key) <= 64 for key in keys):
         raise MalformedError(
             "fleet.key_file must contain at least one key, one per line, each of 16 to 64 bytes in hex"
--- a/leadslip/parts/replicas/part.py
+++ b/leadslip/parts/replicas/part.py
@@ -1,4 +1,4 @@
-"""Replication wired into a proxy: established calls and learned rates go to holders and are recovered on restart."""
+"""Replication wired into a proxy: its established calls and learned rates are replicated, and recovered on restart."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 LEARNED_INTERVAL_MS = 2000.0  # between two checks of the learned rates
 RATES = "rates"  # the key of the learned rates
-# ms and calls that the rates were learned from, and rates in set-ups a ms by server's number
+# The time in ms and the number of calls over which the rates were learned; server number -> rate in set-ups per ms.
 LearnedRates = tuple[float, int, dict[int, float]]
 
 
 class NotReplicatedError(OperatorError):
-    """This proxy has not joined the fleet yet, so none of its state is replicated to other members."""
+    """Replication has not started, so none of this proxy's state is replicated to other members."""
 
     code, status = "replicas.not-begun", 503
     action = (
@@ -33,7 +33,7 @@
 class ReplicasPart(Part):
     """Replication of this proxy, as owner and as holder."""
 
-    replicas: Replicas | None = None
+    replicas: Replicas | None = None  # until `start`
 
     def add_observers(self, observers: dict[str, list[Observer]]) -> None:
         observers["sip"].append(self)
@@ -42,38 +42,40 @@
         node = self.node
         self.peers = node.parts["fleet"].peers
         self.replicas = Replicas(self.peers.view, self.conf.copies, node.metrics, node.log, self.recovered)
-        self.carrier = self.peers.add_part("replicas", self.replicas, lambda: None)
+        self.transport = self.peers.add_part("replicas", self.replicas, lambda: None)
         node.clients.release_elsewhere = self.release_call
         self.replicate_rates()
 
     # Owner: events of the engine
 
     def request_answered(self, request: Request, answer: str, now_ms: float) -> None:
+        """Replicates a call that has been established; other answers are ignored."""
         if answer == "stands" and self.replicas is not None and request.attempt is not None:
             self.replicas.put(ESTABLISHED, request.id, request.attempt.server.encode())
 
     def attempt_ended(self, attempt: Attempt, outcome: interface.Outcome, now_ms: float) -> None:
+        """Replicates the end of an established call."""
         if attempt.established and self.replicas is not None:
             self.replicas.put(ESTABLISHED, attempt.request.id, None)
 
     def ended_elsewhere(self, call: str) -> None:
-        """A server has ended a call that the engine does not hold; it may be one from before a restart."""
+        """Replicates the end of a call that the engine does not know, such as one from before a restart."""
         if self.replicas is not None:
             self.replicas.put(ESTABLISHED, call, None)
 
     def replicate_rates(self, _: object = None) -> None:
-        """Replicate the learned rates if they have changed; called at an interval."""
+        """Replicates the learned rates if they have changed; called every `LEARNED_INTERVAL_MS`."""
         if self.peers.stopped:
             return
-        known_ms, calls, rates = self.node.engine.controller.learned_rates()
+        learned_ms, calls, rates = self.node.engine.controller.learned_rates()
         if calls:
-            learned = known_ms, calls, {number: float(f"{rate:.3g}") for number, rate in rates.items()}
+            learned = learned_ms, calls, {number: float(f"{rate:.3g}") for number, rate in rates.items()}
             self.replicas.put(LEARNED, RATES, msgspec.msgpack.encode(learned))
         clock = self.peers.clock
         self.peers.deadlines.call_at(clock.now_ms() + LEARNED_INTERVAL_MS, self.replicate_rates)
 
     def recovered(self, kind: str, states: dict[str, bytes]) -> None:
-        """Pass learned rates from before a restart to the controller."""
+        """Called with each kind of recovered records: passes learned rates from before a restart to the controller."""
         if kind == LEARNED and RATES in states:
             try:
                 learned = msgspec.msgpack.decode(states[RATES], type=LearnedRates)
@@ -82,15 +84,15 @@
                 return
             self.node.engine.controller.restore_rates(*learned)
 
-    # Releases of calls that are not held here
+    # Releases of calls that the engine does not know
 
     def release_call(self, call: str, done: Callable[[bool], None]) -> None:
-        """Release a call at the server where it is established, if a member knows it.
+        """Releases a call at the server where it is established, if a member knows that server.
 
-        `done` is called with whether it was released, at the latest when the time to locate it has passed.
+        `done` is called with whether a release was sent, after `LOCATE_TIMEOUT_MS` (fleet/replicas) at the latest.
         """
 
-        def located(uid: str) -> None:
+        def on_located(uid: str) -> None:
             server = self.node.servers.servers.get(uid) if uid else None
             if server is not None:
                 server.release_unknown_call(bytes.fromhex(call))
@@ -98,8 +100,8 @@
                 self.node.metrics.add("replicas.released")
             done(server is not None)
 
-        self.replicas.locate(self.peers.clock.now_ms(), call, located)
-        self.carrier.flush()
+        self.replicas.locate(self.peers.clock.now_ms(), call, on_located)
+        self.transport.flush()
 
     # Operators' requests
 
@@ -107,14 +109,16 @@
         return {"replicas_behind": lambda: int(self.replicas is None or self.replicas.behind(self.now_ms()))}
 
     def now_ms(self) -> float:
+        """The time of the fleet's clock."""
         return self.peers.clock.now_ms()
 
     def endpoints(self) -> Endpoints:
         return {b"replicas": Endpoint({b"GET": self.status})}
 
     def status(self, request: OperatorRequest) -> Answer:
+        """Answers `GET /control/replicas`; raises NotReplicatedError until replication has started."""
         if self.replicas is None:
-            raise NotReplicatedError("replication has not started yet")
+            raise NotReplicatedError("replication has not started yet: this proxy is still starting")
         return as_json(self.replicas.status(self.now_ms()))
 
 
--- a/leadslip/parts/replicas/settings.py
+++ b/leadslip/parts/replicas/settings.py
@@ -1,4 +1,4 @@
-"""Settings of replication. It needs the fleet, and is off on the platform because the fleet is off there."""
+"""Settings of replication, which requires the fleet part and, like that, is off by default."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from leadslip.config import NeedsError, bounded_numbers, is_enabled
 from leadslip.parts import PartSettings, SettingsContext
 
-KEYS = {"copies": (2, 1, 8)}  # key -> (default, minimum, maximum)
+KEYS = {"copies": (2, 1, 8)}  # numeric setting -> (default, minimum, maximum)
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicasConfig:
-    """The number of other proxies that hold a replica of this one's table."""
+    """Validated settings of replication."""
 
-    copies: int
+    copies: int  # number of other proxies that hold a replica of this one's table
 
 
 def settings(table: Mapping, context: SettingsContext) -> ReplicasConfig | None:
-    """The checked settings of replication from a file's table; None where it is not turned on."""
+    """Returns the validated settings of replication; None if they turn it off. Raises MalformedError and NeedsError."""
     if not is_enabled(table, "replicas", tuple(KEYS)):
         return None
     if context.settings.get("fleet") is None:
@@ -28,7 +28,7 @@
 
 
 class ReplicasSettings(PartSettings):
-    """The settings file of replication."""
+    """Schema of this part's settings file."""
 
     name, environment_variable, restart_keys = "replicas", "LEADSLIP_REPLICAS", "replicas"
     settings = staticmethod(settings)
