--- a/leadslip/fleet/wire.py
+++ b/leadslip/fleet/wire.py
@@ -50,7 +50,10 @@
     """The fleet keys can't be used together."""
 
     code, status = "fleet.keys", 400
-    action = "Put keys of 16 to 64 bytes into the key file, one per line; replace the key named."
+    action = (
+        "Put keys of 16 to 64 bytes into the key file, one per line in hex; "
+        "if two have the same key id, replace one of them."
+    )
 
 
 class WireError(Exception):
@@ -226,7 +229,7 @@
         for key in keys:
             key_id = blake2b(key, digest_size=1, person=b"leadslip-mark").digest()[0]
             if key_id in self.keys_by_id:
-                raise KeysError(f"two fleet keys have the same key id {key_id}: replace one of them")
+                raise KeysError(f"two fleet keys have the same key id {key_id}, a byte of the key's hash")
             self.keys_by_id[key_id] = key[:64]
         self.key_id = next(iter(self.keys_by_id))
         self.headers = [bytes((version, self.key_id)) for version in range(VERSION + 1)]  # by version
