--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,7 +1,7 @@
-"""Processes of the program that form a fleet over loopback, and a platform proxy, which has no fleet.
+"""Proxy processes that form a fleet over loopback, and a proxy without a fleet, as on the platform.
 
-The short fault-injection runs: each starts real processes, injects faults between them and checks their histories.
-Waits are on events; the time-out only ends runs that hang, and no result depends on the speed of the machine.
+The short fault-injection runs start real processes, inject faults between them and check their histories. Waits are on
+events; the time-out only ends runs that hang, and no result depends on the speed of the machine.
 """
 
 import json
@@ -25,11 +25,13 @@
 
 
 def run_faults(tmp_path, *faults, processes=4, broken="", settle_s=TIMEOUT_S, seed=1):
-    drill = Scenario("short", "a few faults", processes, list(faults), 8.0, settle_s)
-    return run_scenario(drill, seed, tmp_path / "drill", broken=broken)
+    """Runs processes under faults, as the faulty variant `broken` if that is given; returns the checker's report."""
+    short_scenario = Scenario("short", "a few faults", processes, list(faults), 8.0, settle_s)
+    return run_scenario(short_scenario, seed, tmp_path / "drill", broken=broken)
 
 
 def test_a_platform_proxy_imports_no_fleet_module(tmp_path):
+    """A proxy without a fleet must not pay for the fleet in start-up time and memory, nor need msgspec."""
     script = (
         "import sys, leadslip.__main__, leadslip.parts as p; [p.settings_class(n) for n in p.NAMES];"
         "print([n for n in sys.modules if n.startswith(('leadslip.fleet', 'leadslip.net.peers', 'leadslip.drill',"
@@ -42,6 +44,7 @@
 
 
 def test_a_proxy_with_the_fleet_off_opens_no_udp_socket(tmp_path):
+    """A proxy without a fleet must not be reachable by fleet messages."""
     program = Program(tmp_path, {"s0": f"{HOST}:9"}, ops=f"{HOST}:0")
     try:
         with Stopped(program):  # a running process may close a file between its listing and its reading
@@ -68,13 +71,13 @@
     assert report["calls"] > 10 and report["figures"]["calls_judged"] > 5
     histories = {path.stem: check.lines(path) for path in (tmp_path / "drill").glob("*.jsonl")}
     assert len(histories) == 5, "one process was started twice"
-    ends = [
+    deaths = [
         entry
         for history in histories.values()
         for entry in history
         if entry["do"] == "held" and entry["state"] == "dead"
     ]
-    assert ends, "the partition was long enough for views to differ"
+    assert deaths, "the partition was long enough for views to differ"
 
 
 def test_a_leave_and_an_upgrade_are_not_taken_for_crashes(tmp_path):
@@ -85,8 +88,9 @@
     assert "left" in states and "dead" not in states
 
 
-def test_two_wire_versions_out_of_service_with_skewed_clocks(tmp_path):
-    drill = Scenario(
+def test_views_converge_with_two_wire_versions_skewed_clocks_and_proxies_out_of_service(tmp_path):
+    """Guards against a rolling upgrade, a jump of the Unix clock or clock drift that removes live members."""
+    version_scenario = Scenario(
         "short",
         "versions and clocks",
         4,
@@ -102,26 +106,26 @@
         former=2,
         drift_ppm=500.0,
     )
-    report = run_scenario(drill, 3, tmp_path / "drill")
+    report = run_scenario(version_scenario, 3, tmp_path / "drill")
     assert report["held"], report["breaches"]
-    histories, faults = check.records(tmp_path / "drill")
+    histories, injected_faults = check.records(tmp_path / "drill")
     assert len(histories) == 5, "one process was started twice"
-    actions = {fault["do"] for fault in faults}
+    actions = {fault["do"] for fault in injected_faults}
     assert {"clock", "end clock", "busy", "descriptors", "end descriptors", "in service"} <= actions
 
 
 def test_an_interrupted_run_leaves_no_process_and_no_file(tmp_path):
-    drill = subprocess.Popen(
+    drill_process = subprocess.Popen(
         [sys.executable, "-m", "leadslip.cli", "drill", "run", "halves"],
         cwd=ROOT,
         env=os.environ | {"TMPDIR": str(tmp_path)},
     )
     pids = []
-    while len(pids) < 4 and drill.poll() is None:
+    while len(pids) < 4 and drill_process.poll() is None:
         pids = [int(pid) for pid in os.listdir("/proc") if pid.isdigit() and belongs_to(pid, tmp_path)]
         time.sleep(0.05)
-    drill.terminate()
-    assert drill.wait(TIMEOUT_S) == 128 + signal.SIGTERM
+    drill_process.terminate()
+    assert drill_process.wait(TIMEOUT_S) == 128 + signal.SIGTERM
     assert len(pids) >= 4 and not any(os.path.exists(f"/proc/{pid}") for pid in pids)
     assert os.listdir(tmp_path) == []
 
@@ -145,11 +149,13 @@
     ],
 )
 def test_the_checker_detects_faulty_variants_of_the_program(tmp_path, broken, invariant, fault):
+    """A checker that misses a violated invariant would let every run pass."""
     report = run_faults(tmp_path, fault, broken=broken, settle_s=4.0)
     assert invariant in {breach["invariant"] for breach in report["breaches"]}
 
 
 def test_calls_without_exactly_one_answer_in_time_are_reported():
+    """C1; a call whose proxy was killed while it waited for an answer is not judged."""
     call = {"id": "x", "proxy": "n00", "at_ms": 1000.0, "lost": False}
     good = call | {"answers": [[1100.0, 200]]}
     twice = call | {"answers": [[1100.0, 200], [1200.0, 200]]}
@@ -161,14 +167,15 @@
 
 
 def test_a_schedule_depends_on_its_seed_only_and_can_be_shrunk():
+    """A failed run has to be repeatable, and reducible to the few actions that make it fail."""
     mixed = scenario.load("mixed")
-    acts = scenario.draw_schedule(mixed, 5)
-    assert acts == scenario.draw_schedule(mixed, 5) != scenario.draw_schedule(mixed, 6)
-    assert [act.at_s for act in acts] == sorted(act.at_s for act in acts)
-    failing_act = next(act for act in acts if act.do == "stop")
-    smallest = scenario.minimized(acts, lambda subset: failing_act in subset)
-    assert [act.do for act in smallest] == ["stop", "go on"]
-    assert scenario.minimized(acts, lambda subset: subset == acts) == acts
+    schedule = scenario.draw_schedule(mixed, 5)
+    assert schedule == scenario.draw_schedule(mixed, 5) != scenario.draw_schedule(mixed, 6)
+    assert [action.at_s for action in schedule] == sorted(action.at_s for action in schedule)
+    failing_action = next(action for action in schedule if action.do == "stop")
+    smallest = scenario.minimized(schedule, lambda subset: failing_action in subset)
+    assert [action.do for action in smallest] == ["stop", "go on"]
+    assert scenario.minimized(schedule, lambda subset: subset == schedule) == schedule
 
 
 def test_every_bundled_scenario_is_valid_and_listed(capsys):
@@ -229,20 +236,25 @@
 )
 def test_a_fleet_settings_error_names_the_faulty_key(tmp_path, change, key):
     (tmp_path / "fleet.key").write_text("# first\n" + "ab" * 32 + "\n" + "cd" * 16 + "\n")
-    good = {"enabled": True, "listen": "127.0.0.1:7946", "key_file": str(tmp_path / "fleet.key"), "seeds": []}
-    conf = fleet_settings.settings(good, SettingsContext(running=True))
+    valid = {
+        "enabled": True,
+        "listen": "127.0.0.1:7946",
+        "key_file": str(tmp_path / "fleet.key"),
+        "seeds": [],
+    }
+    conf = fleet_settings.settings(valid, SettingsContext(running=True))
     assert conf.keys == (b"\xab" * 32, b"\xcd" * 16) and conf.advertise == ("127.0.0.1", 7946)
     with pytest.raises(MalformedError, match=key):
-        fleet_settings.settings(good | change, SettingsContext(running=True))
+        fleet_settings.settings(valid | change, SettingsContext(running=True))
     for keys in ("", "ab\n", "zz" * 16, "ab" * 16 + "\n" + "ab" * 16):
         (tmp_path / "fleet.key").write_text(keys)
         with pytest.raises(MalformedError, match="fleet.key_file"):
-            fleet_settings.settings(good, SettingsContext(running=True))
+            fleet_settings.settings(valid, SettingsContext(running=True))
 
 
 def test_scheduled_actions_round_trip_through_json(tmp_path):
     import msgspec
 
-    acts = scenario.draw_schedule(scenario.load("bridge"), 3)
-    raw = json.loads(msgspec.json.encode(acts))
-    assert [msgspec.convert(item, ScheduledAction) for item in raw] == acts
+    schedule = scenario.draw_schedule(scenario.load("bridge"), 3)
+    raw = json.loads(msgspec.json.encode(schedule))
+    assert [msgspec.convert(item, ScheduledAction) for item in raw] == schedule
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -18,7 +18,10 @@
 
 
 def history(changes):
-    """An owner's table, its log, and the content of the table after each change."""
+    """An owner's table after changes of calls, its log, and the content of the table after each change.
+
+    `changes` are pairs: the number of a call, and whether it is established or ends.
+    """
     owner, log, after = Table(fresh=True), [], []
     for number, (key, established) in enumerate(changes, 1):
         record = Record(number, ESTABLISHED, f"c{key}", f"s{number}".encode() if established else None)
@@ -41,6 +44,7 @@
 @repeatable
 @given(CHANGES, st.randoms(use_true_random=False))
 def test_any_order_of_buckets_and_batches_late_or_repeated_gives_the_owners_table(changes, rng):
+    # At each step a replica has the owner's records as of its sequence number, and at last the owner's table.
     owner, log, after = history(changes)
     early, _, _ = history(changes[: len(changes) // 2])
     messages = [
@@ -98,19 +102,20 @@
 
 
 def test_holders_are_in_another_zone_first_and_one_loss_moves_few_replicas():
+    """Guards against replicas that are lost with their owner's zone, and against mass copying when a member ends."""
     members = [member(f"p{i:03d}", f"z{i % 3}") for i in range(200)]
     before = {owner.name: holders_of(owner.name, owner.zone, members, 2) for owner in members}
     for owner in members:
         assert before[owner.name][0].zone != owner.zone and owner not in before[owner.name]
-    load = Counter(holder.name for holders in before.values() for holder in holders)
-    assert max(load.values()) < 12, "two on average"
+    held_counts = Counter(holder.name for holders in before.values() for holder in holders)
+    assert max(held_counts.values()) < 12, "no member holds many more than the average of two"
     gone = members[17]
-    left = [owner for owner in members if owner is not gone]
-    moved = required = 0
-    for owner in left:
-        after = holders_of(owner.name, owner.zone, left, 2)
+    remaining = [owner for owner in members if owner is not gone]
+    moved = required = 0  # replicas that get a new holder; those whose holder is gone
+    for owner in remaining:
+        new_holders = holders_of(owner.name, owner.zone, remaining, 2)
         required += gone in before[owner.name]
-        moved += len({holder.name for holder in after} - {holder.name for holder in before[owner.name]})
+        moved += len({holder.name for holder in new_holders} - {holder.name for holder in before[owner.name]})
     assert required <= moved <= 1.2 * required
 
 
@@ -121,8 +126,8 @@
     assert lab.resurrected_calls() == [] and lab.calls > 60
 
 
-def killed(lab, name, for_ms=3000.0):
-    """Kill a member; returns the calls that were established there."""
+def kill_member(lab, name, for_ms=3000.0):
+    """Kill a member and run for a while; returns the calls that were established there."""
     calls = dict(lab.established[name])
     lab.kill(name)
     lab.fleet.run(for_ms)
@@ -135,7 +140,7 @@
     owner.put(LEARNED, "rates", b"r")
     lab.fleet.run(3000.0)
     lab.settle_replicas()
-    calls = killed(lab, "p03")
+    calls = kill_member(lab, "p03")
     host = lab.start("p03")
     assert host.replicas.behind(host.now_ms)
     lab.rate = 0.0
@@ -155,7 +160,7 @@
     lab = Replicated(3, 8)
     lab.fleet.run(3000.0)
     lab.settle_replicas()
-    calls = killed(lab, "p02")
+    calls = kill_member(lab, "p02")
     found = {}
     for i, call in enumerate([*calls, "f" * 16]):
         host = lab.fleet.hosts[lab.names[3 + i % 5]]
@@ -184,6 +189,7 @@
 
 
 def test_two_live_processes_of_one_name_are_two_owners():
+    """During an upgrade the new process must not adopt the calls of the old one, which still serves them."""
     lab = Replicated(5, 6)
     lab.fleet.run(2000.0)
     lab.fleet.hosts.pop("p04")
@@ -196,7 +202,9 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_ended_calls_stay_ended_and_replicas_converge_under_random_faults(seed):
-    """R1 and R3 under seeded kills with restarts, stalls with takeover, partitions, loss and duplicates, with calls."""
+    """R1 and R3 (drill/check.py) while calls begin and end, under random kills with restart, stalls, partitions,
+    loss and duplicated datagrams; at last every owner has all its established calls again (R2, R4).
+    """
     lab = Replicated(50 + seed, 8)
     rng = random.Random(seed)
     for _ in range(15):
@@ -233,7 +241,7 @@
 
 
 class DropsEnds(Replicas):
-    """A faulty variant that does not replicate the end of a call."""
+    """A faulty variant that does not record the end of a call."""
 
     def put(self, kind, key, state):
         if state is not None:
@@ -241,7 +249,8 @@
 
 
 def test_an_end_that_is_not_replicated_is_detected():
+    """Checks the checker: `resurrected_calls` has to report a program that violates R1."""
     lab = Replicated(9, 6, kind=DropsEnds)
     lab.fleet.run(4000.0)
     lab.settle_replicas()
-    assert lab.resurrected_calls(), "a breach of R1 is reported"
+    assert lab.resurrected_calls(), "the violation of R1 is reported"
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -1,4 +1,7 @@
-"""Membership views on a virtual clock and network: convergence, failure detection, no return of a dead run."""
+"""Membership views on a virtual clock and network: convergence, failure detection, and that a dead run stays dead.
+
+The `fleet` fixture simulates 16 members that run the production `View`; times are of the virtual clock, in ms.
+"""
 
 import random
 from dataclasses import replace
@@ -17,7 +20,7 @@
 from leadslip.lab.fleet import Fleet
 from leadslip.metrics import Metrics
 
-fixed = settings(derandomize=True, max_examples=200, deadline=None)
+repeatable = settings(derandomize=True, max_examples=200, deadline=None)
 RUNS = [draw_run(random.Random(i)) for i in range(3)]
 
 
@@ -45,9 +48,10 @@
     return table
 
 
-@fixed
+@repeatable
 @given(st.lists(member_records, max_size=12), st.randoms(use_true_random=False))
 def test_merge_does_not_depend_on_order_or_repetition(records, rng):
+    # Else members that have received the same updates would never agree, as the network reorders and repeats them.
     shuffled = records + records[: len(records) // 2]
     rng.shuffle(shuffled)
     first, second = table_of(records), table_of(shuffled)
@@ -56,9 +60,10 @@
     assert all(member.facts == {"edition": member.edition} for member in first)
 
 
-@fixed
+@repeatable
 @given(st.lists(member_records, max_size=20))
 def test_an_ended_run_never_becomes_live_again(records):
+    # V3: an update that arrives late must not make a dead run live again; the digest and the size follow the table.
     table, ended_runs = Table(100, Metrics()), set()
     for record in records:
         table.merge(record, 0.0)
@@ -74,6 +79,7 @@
 
 
 def test_the_table_is_bounded_and_evicts_ended_members():
+    """A table in which every restart leaves an entry would grow without limit."""
     metrics = Metrics()
     table, rng = Table(10, metrics), random.Random(1)
     for i in range(30):
@@ -91,7 +97,7 @@
 
 def test_records_beyond_the_limits_are_ignored():
     metrics = Metrics()
-    table, good = Table(10, metrics), wire.MemberRecord(RUNS[0], 0, 0, 0, "n", "a:1")
+    table, valid = Table(10, metrics), wire.MemberRecord(RUNS[0], 0, 0, 0, "n", "a:1")
     changes = (
         {"run": 5},
         {"state": 4},
@@ -104,9 +110,9 @@
         {"facts": {"k": "v" * 65}},
     )
     for change in changes:
-        fields = {key: getattr(good, key) for key in good.__struct_fields__} | change
+        fields = {key: getattr(valid, key) for key in valid.__struct_fields__} | change
         assert table.merge(wire.MemberRecord(**fields), 0.0) is None
-    assert metrics.counts["fleet.unsound"] == len(changes) and table.merge(good, 0.0) is not None
+    assert metrics.counts["fleet.unsound"] == len(changes) and table.merge(valid, 0.0) is not None
 
 
 def test_rendezvous_hashing_is_stable_and_spreads_keys():
@@ -126,12 +132,12 @@
 
 def test_confirmations_shorten_a_suspicion_down_to_the_minimum():
     suspicion = Suspicion(RUNS[0], 0, 0.0, 200, 1)
-    due_times = [suspicion.expires_ms()]
+    expiry_times = [suspicion.expires_ms()]
     for suspected_by in (2, 2, 3, 4, 5):
         suspicion.confirm(suspected_by)
-        due_times.append(suspicion.expires_ms())
-    assert due_times == sorted(due_times, reverse=True) and len(set(due_times)) == 4
-    assert due_times[0] == MAX_TIMEOUT_FACTOR * min_timeout_ms(200) and due_times[-1] == pytest.approx(
+        expiry_times.append(suspicion.expires_ms())
+    assert expiry_times == sorted(expiry_times, reverse=True) and len(set(expiry_times)) == 4
+    assert expiry_times[0] == MAX_TIMEOUT_FACTOR * min_timeout_ms(200) and expiry_times[-1] == pytest.approx(
         min_timeout_ms(200)
     )
     assert Suspicion(RUNS[0], 0, 0.0, 2, 1).expires_ms() == min_timeout_ms(2), "no other member can confirm"
@@ -182,7 +188,7 @@
     host.view.generation_listeners.append(new_runs.append)
     host.stall(8000.0)
     fleet.run(7900.0)
-    assert any(end[2] == run for end in fleet.removals), "others have declared it dead meanwhile"
+    assert any(removal[2] == run for removal in fleet.removals), "others have declared it dead meanwhile"
     fleet.run(1000.0)
     assert new_runs == [host.view.run] and host.view.run == run + 1
     assert fleet.until(fleet.converged, 10_000.0) < 3000.0
@@ -190,6 +196,7 @@
 
 
 def test_a_process_that_is_often_paused_has_nobody_declared_dead():
+    """After a pause a process finds its own probes unanswered; it must not take this for the death of others."""
     fleet = Fleet(11)
     fleet.grow(16)
     for _ in range(30):
@@ -225,14 +232,15 @@
 
 
 def test_two_halves_joined_by_one_bridge_member_stay_stable(fleet):
+    """Members that reach each other through a single relay must not be declared dead and join again in turn."""
     names = sorted(fleet.hosts)
     side = {f"{name}:7946": i < 8 for i, name in enumerate(names)}
     bridge = f"{names[-1]}:7946"
     fleet.network.conditions.blocked = lambda a, b: bridge not in (a, b) and side[a] != side[b]
     fleet.run(20_000.0)
-    ends = len(fleet.removals)
+    removals_before = len(fleet.removals)
     fleet.run(60_000.0)
-    assert len(fleet.removals) == ends and fleet.converged(), (
+    assert len(fleet.removals) == removals_before and fleet.converged(), (
         "no member is removed once the bridge is used as relay"
     )
     fleet.heal()
@@ -240,16 +248,20 @@
 
 
 def test_a_proxy_restarted_without_state_replaces_its_predecessor(fleet):
-    before = fleet.kill("p0006").view.run
+    """The killed process is removed once another answers at its address; no suspicion has to time out for that."""
+    predecessor_run = fleet.kill("p0006").view.run
     host = fleet.add("p0006")
     assert (
-        fleet.until(lambda: fleet.gone_everywhere(before) and fleet.alive_everywhere(host.view.run), 10_000.0)
+        fleet.until(
+            lambda: fleet.gone_everywhere(predecessor_run) and fleet.alive_everywhere(host.view.run), 10_000.0
+        )
         < 2500.0
     )
     assert fleet.until(fleet.converged, 5000.0) < 2000.0
 
 
 def test_two_runs_of_one_name_are_two_members(fleet):
+    """During an upgrade the old and the new process of a proxy run side by side under one name."""
     twin = fleet.add("p0007x")
     twin.view.me = replace(twin.view.me, name="p0007")
     twin.view.incarnation += 1
@@ -264,14 +276,14 @@
     fleet.hosts["p0001"].flush()
     run = fleet.hosts["p0001"].view.run
 
-    def known():
+    def known_everywhere():
         return all(host.view.table.get(run).facts == {"service": "out"} for host in fleet.hosts.values())
 
-    assert fleet.until(known, 5000.0) < 1500.0
+    assert fleet.until(known_everywhere, 5000.0) < 1500.0
 
 
 def test_metadata_arrives_even_if_a_later_update_arrives_first(fleet):
-    """A member that receives the later incarnation first holds it with old metadata and has to detect that."""
+    """A member that receives the new incarnation without the metadata must not take its old metadata for current."""
     names = sorted(fleet.hosts)
     sender, receiver = (fleet.hosts[name] for name in names[3:5])
     fleet.partition([sender.name], [name for name in names if name != sender.name])
@@ -296,7 +308,8 @@
         new.version_for(fleet.hosts["p2"].view.run) == wire.VERSION and new.version_for(0) == wire.MIN_VERSION
     )
     assert new.version_for(previous.run) == previous.version_for(new.run) == 1
-    # Members of the previous version receive a later incarnation first and can't tell that the metadata has changed.
+    # Without the edition, members of the previous version can't tell that the metadata belonging to a later incarnation
+    # is missing: the owner has to correct it.
     new.change_facts(fleet.clock.now_ms, {"service": "out"})
     new.gossip_queue.drop(new.run)
     later = wire.MemberUpdate(new.run, int(State.ALIVE), new.incarnation)
@@ -320,13 +333,14 @@
 
 
 def test_each_change_is_reported_once_and_in_the_same_order_to_all():
+    """Also if a listener causes a further change while it is being notified."""
     fleet = Fleet(17)
     fleet.grow(3)
     view, first, second = fleet.hosts["p0000"].view, [], []
 
     def listen(change):
         first.append(change)
-        if len(first) == 1:  # a listener that causes a change while it is being notified
+        if len(first) == 1:
             view.change_facts(fleet.clock.now_ms, {"a": 1})
 
     view.listeners += [listen, second.append]
@@ -354,6 +368,7 @@
 
 
 def test_a_run_without_generations_left_draws_a_new_process_number():
+    """Else the generation would overflow into the process number, which belongs to another process."""
     fleet = Fleet(19)
     fleet.grow(2)
     view = fleet.hosts["p0000"].view
@@ -379,6 +394,7 @@
 
 
 def test_the_state_and_traffic_of_a_lone_member_stay_bounded():
+    """A member that nobody answers must not accumulate probes and timers, or ping its seed more and more often."""
     fleet = Fleet(23)
     fleet.add("alone", ("nobody:1", "alone:7946"))
     fleet.run(600_000.0)
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -12,12 +12,13 @@
 from leadslip.fleet.view.members import MAX_FACT_CHARS, MAX_FACTS, MAX_NAME_CHARS, draw_run
 from leadslip.fleet.view.view import GOSSIP_ROOM_BYTES
 
-fixed = settings(derandomize=True, max_examples=300, deadline=None)
+repeatable = settings(derandomize=True, max_examples=300, deadline=None)
 OLD_KEY, NEW_KEY = b"o" * 32, b"n" * 32
 PING = wire.Ping(7, 5 << 60, 6, 9, "127.0.0.1:7946", 3, 11, [wire.MemberUpdate(1, 1, 0, 2)], [])
 
 
 def rejection(seal, data):
+    """Checks that a message is rejected; returns the reason."""
     with pytest.raises(wire.WireError) as error:
         wire.decode(seal.verify(data))
     return str(error.value)
@@ -55,7 +56,7 @@
             wire.decode_frame(bad, 2)
 
 
-@fixed
+@repeatable
 @given(st.binary(max_size=200), st.integers(0, 200))
 def test_random_bytes_in_a_frame_are_rejected(data, length):
     for body in (data, wire.encode_frame(PING, 2)[:length] + data):
@@ -65,29 +66,30 @@
             assert str(error) in ("unknown", "long")
 
 
-def test_a_newer_version_is_rejected_by_a_member_of_an_older():
+def test_a_newer_version_is_rejected_by_a_member_of_an_older_version():
+    """A member that does not know the version must not interpret the message; both still use the oldest version."""
     new, previous = wire.Seal([OLD_KEY]), wire.Seal([OLD_KEY], max_version=1)
     assert previous.verify(new.sign(b"x")) == b"x" == new.verify(previous.sign(b"x"))
     assert rejection(previous, new.sign(b"x", 2)) == "version"
 
 
 def test_a_key_can_be_replaced_while_the_fleet_runs():
-    before, between, after = wire.Seal([OLD_KEY]), wire.Seal([NEW_KEY, OLD_KEY]), wire.Seal([NEW_KEY])
-    assert between.verify(before.sign(b"x")) == b"x", "a member with both keys accepts the old one"
-    assert after.verify(between.sign(b"x")) == b"x", "and signs with the first"
-    assert rejection(before, after.sign(b"x")) == "key"
-    for bad in ([], [b"short"], [OLD_KEY, OLD_KEY]):
+    old_only, both, new_only = wire.Seal([OLD_KEY]), wire.Seal([NEW_KEY, OLD_KEY]), wire.Seal([NEW_KEY])
+    assert both.verify(old_only.sign(b"x")) == b"x", "a member with both keys accepts the old one"
+    assert new_only.verify(both.sign(b"x")) == b"x", "a member with both keys signs with the first"
+    assert rejection(old_only, new_only.sign(b"x")) == "key"
+    for invalid_keys in ([], [b"short"], [OLD_KEY, OLD_KEY]):
         with pytest.raises(ValueError):
-            wire.Seal(bad)
+            wire.Seal(invalid_keys)
 
 
-@fixed
+@repeatable
 @given(st.binary(max_size=200))
 def test_random_bytes_are_rejected_before_they_are_parsed(data):
     assert rejection(wire.Seal([OLD_KEY]), data) in ("short", "version", "key", "mac")
 
 
-@fixed
+@repeatable
 @given(st.integers(0, 10_000), st.integers(0, 7), st.integers(0, 200))
 def test_a_flipped_bit_or_a_truncated_message_is_rejected(position, bit, length):
     seal = wire.Seal([OLD_KEY])
@@ -98,7 +100,7 @@
     assert rejection(seal, sealed[: min(length, len(sealed) - 1)]) in ("short", "mac")
 
 
-@fixed
+@repeatable
 @given(st.binary(min_size=1, max_size=120))
 def test_a_body_of_no_known_type_is_rejected_as_unknown(body):
     seal = wire.Seal([OLD_KEY])
@@ -121,6 +123,7 @@
 
 
 def test_a_sequence_number_is_accepted_once_in_any_order():
+    """Guards against replayed messages, and against the rejection of messages that the network has reordered."""
     replay_filter, rng = wire.ReplayFilter(max_senders=4), random.Random(1)
     sequence_numbers = list(range(1, 400))
     rng.shuffle(sequence_numbers)
@@ -135,6 +138,7 @@
 
 
 def test_a_full_datagram_keeps_within_the_size_limit():
+    """Else a ping with the longest fields and as many updates as fit would be dropped by the receiver."""
     seal, rng = wire.Seal([OLD_KEY]), random.Random(1)
     run = draw_run(rng)
     facts = {f"{i}" * MAX_FACT_CHARS: "v" * MAX_FACT_CHARS for i in range(MAX_FACTS)}
