--- a/leadslip/fleet/view/view.py
+++ b/leadslip/fleet/view/view.py
@@ -81,14 +81,14 @@
     """What a process publishes about itself."""
 
     name: str
-    address: str
+    address: str  # "host:port" at which other members reach it
     zone: str = ""
-    facts: dict[str, str | int] = field(default_factory=dict)
+    facts: dict[str, str | int] = field(default_factory=dict)  # metadata
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """Instruction: send a message to an address."""
+    """Instruction to the transport: send a message to an address in a datagram."""
 
     address: str
     message: wire.AnyMessage
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartSync:
-    """Instruction: connect to an address and sync tables there."""
+    """Instruction to the transport: connect to an address and sync tables with the member there."""
 
     address: str
 
@@ -142,8 +142,8 @@
     ) -> None:
         self.seeds = tuple(seed for seed in seeds if seed != me.address)
         self.rng, self.metrics, self.pace = rng, metrics, pace
-        self.outbox: list[Datagram | StartSync] = []
-        self.listeners: list[Callable[[Change], None]] = []
+        self.outbox: list[Datagram | StartSync] = []  # to be carried out by the transport
+        self.listeners: list[Callable[[Change], None]] = []  # called after each change of the table
         # Called with our new run after the previous one was declared dead.
         self.generation_listeners: list[Callable[[int], None]] = []
         # Reports of the agreed settings' freshness (fleet/agreement), piggybacked on answers. The first callback
@@ -158,7 +158,7 @@
         self.me = me
         self.incarnation = 0
         self.edition = 0  # of our metadata
-        self.leaving = False
+        self.leaving = False  # whether `leave` has been called
         self.joined = False  # whether a sync with another member has completed
         self.refuted_ms = -float("inf")  # when we last refuted a suspicion of us
         # When we sent the latest ping whose answer shows us as live in a member's table.
