--- a/leadslip/config.py
+++ b/leadslip/config.py
@@ -14,15 +14,16 @@
 from leadslip import interface
 from leadslip.errors import OperatorError
 
-Fields = dict[str, str]
-Address = tuple[str, int]
+Fields = dict[str, str]  # flat settings: dotted key -> value as text
+Address = tuple[str, int]  # IP address, port
 
-REPEATS = {
+REPEAT_BY_IDEMPOTENCY = {  # value of a class's key `idempotency` -> rule for repeated set-ups
     "retryable": interface.Repeat.FREE,
     "dedup": interface.Repeat.DEDUPED,
     "fragile": interface.Repeat.ONCE,
 }
-LOAD_FIELDS = {  # name in a load report -> field of Load
+LOAD_FIELDS = {  # name in a load report -> field of interface.Load
+    # The names that the simulator sends.
     "idle": "free_lines",
     "circuits": "lines",
     "active": "active",
@@ -31,7 +32,7 @@
     "avg_ms": "wait_ms",
     "max_rate": "set_ups_per_s",
     "reduce": "hold_back",
-    # The names that setup servers send on their sockets.
+    # The names that setup servers send.
     "x0": "free_lines",
     "x1": "lines",
     "inflight": "active",
@@ -50,7 +51,7 @@
     action = "Correct the value of the key named; a running proxy keeps its current configuration."
 
     def with_prefix(self, path: str) -> MalformedError:
-        """The same error with a path put before its key."""
+        """A copy of the error with a path put before its key, such as `settings.`."""
         return type(self)(f"{path}{self}")
 
 
@@ -115,7 +116,7 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise MalformedError(f"{key} is no number: {text}")
+        raise MalformedError(f"{key} is no number: {text}; a finite number is required")
     return value
 
 
@@ -124,11 +125,12 @@
     value = number(fields, key, default)
     if value != int(value):
         raise MalformedError(f"{key} is no whole number: {fields[key]}")
+    # Digits are parsed directly, as a float is exact only up to 2**53.
     return int(fields[key]) if fields.get(key, "").lstrip("-").isdigit() else int(value)
 
 
 def required_text(fields: Fields, key: str) -> str:
-    """The text under a required key."""
+    """The text under a required key; an empty text counts as missing."""
     if not fields.get(key):
         raise MissingError(f"{key} is missing")
     return fields[key]
@@ -147,12 +149,12 @@
 def lookup_keyword(table: dict, value: object, key: str) -> object:
     """Looks up a keyword in a table; raises MalformedError for one that is not in it."""
     if value not in table:
-        raise MalformedError(f"{key} is unknown: {value}")
+        raise MalformedError(f"{key} is unknown: {value}; allowed are {', '.join(map(str, table))}")
     return table[value]
 
 
 def parse_settings(conf: Fields) -> interface.Settings:
-    """The library's Settings from the flat settings of a configuration or of the simulator's start message."""
+    """The Controller's settings from the flat settings of a configuration or of the simulator's start message."""
     classes = []
     for i in range(integer(conf, "services.count")):
         prefix = f"services.{i}."
@@ -165,7 +167,9 @@
                 aim_ms=number(conf, prefix + "aim_ms"),
                 deadline_ms=number(conf, prefix + "deadline_ms"),
                 repeat=lookup_keyword(
-                    REPEATS, conf.get(prefix + "idempotency", "retryable"), prefix + "idempotency"
+                    REPEAT_BY_IDEMPOTENCY,
+                    conf.get(prefix + "idempotency", "retryable"),
+                    prefix + "idempotency",
                 ),
                 allowed_pools=None if pools is None else tuple(pool_numbers(pools, i)),
             )
@@ -200,14 +204,17 @@
 
 
 def pool_numbers(text: str, i: int) -> Iterable[int]:
-    """The pools that class i may use."""
+    """The numbers of the pools that class i may use, from a comma-separated list."""
     for item in text.split(","):
         if item:
             yield integer({f"extra.allowed_pools.{i}": item}, f"extra.allowed_pools.{i}")
 
 
 def parse_load_values(text: str | None, names: list[str]) -> interface.Load | None:
-    """A load report of comma-separated values: negative ones count as not reported, unknown names are skipped."""
+    """A load report of comma-separated values, in the order of `names`; None if it is empty or missing.
+
+    Negative values count as not reported; values under unknown names are skipped.
+    """
     if not text:
         return None
     values = {}
@@ -219,9 +226,9 @@
 
 
 def parse_load_report(text: str) -> interface.Load:
-    """A load report as setup servers send it, such as x0:12;x1:40: negative values count as not reported.
+    """A load report as setup servers send it, such as x0:12;x1:40.
 
-    Unknown names are skipped.
+    Negative values count as not reported; values under unknown names are skipped.
     """
     values = {}
     for item in text.split(";"):
@@ -233,16 +240,15 @@
     return interface.Load(**values)
 
 
-# The configuration file of a signalling proxy, and the events of the notice board, which have the same form.
+# The configuration file of a signalling proxy. Its `known.notices` have the form of the notice board's events.
 
-SERVER_STATES = {
+SERVER_STATES = {  # state of a server in a notice -> its state in the server list
     "active": interface.ServerState.READY,
     "leaving": interface.ServerState.DRAINING,
     "left": interface.ServerState.GONE,
 }
 
-
-POSITIVE_KEYS = (
+POSITIVE_KEYS = (  # keys of the settings whose values must be above 0
     "balancers",
     "limits.most_tries",
     "limits.dial_timeout_ms",
@@ -257,32 +263,32 @@
 class Notice:
     """One event of the notice board: a server list update, and the address of each server in it."""
 
-    rev: int
+    rev: int  # revision number of the server list
     update: interface.ServerListUpdate
-    addresses: dict[str, Address]
+    addresses: dict[str, Address]  # by server id
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of a signalling proxy at its start."""
+    """The validated configuration of a signalling proxy."""
 
     name: str
     listen: Address
     ops: Address | None  # the operators' address; None: no operators' endpoint
-    seed: int
-    sockets: int
-    board: Address
-    last_event: int
-    notices: tuple[Notice, ...]
+    seed: int  # random seed of the Controller
+    sockets: int  # maximum number of file descriptors, divided between callers and setup servers
+    board: Address  # the notice board's address
+    last_event: int  # id of the last event known at the start: the notice board is asked for later ones
+    notices: tuple[Notice, ...]  # known at the start, applied before the notice board is asked
     settings: interface.Settings
-    dial_timeout_ms: float
-    most_held: int
-    keys: frozenset[str] = frozenset()  # the keys written in the file, except those of events and classes
-    class_shapes: tuple[frozenset[str], ...] = ()  # the keys written for each class in the file
+    dial_timeout_ms: float  # time-out for connecting to a setup server or the notice board
+    most_held: int  # maximum number of open requests; further ones are refused
+    keys: frozenset[str] = frozenset()  # the keys written in the file, except those of `known` and of classes
+    class_keys: tuple[frozenset[str], ...] = ()  # the keys written for each class in the file
 
 
 def flatten(value: object, path: str = "") -> Fields:
-    """Flattens nested JSON settings to path=value pairs of text, the form of the simulator's start message."""
+    """Flattens nested JSON settings to dotted path -> text, the form of the simulator's start message."""
     if isinstance(value, Mapping):
         pairs: Fields = {}
         for key, child in value.items():
@@ -321,12 +327,14 @@
     except ValueError:
         host = ""
     if not host or not (port.isascii() and port.isdigit() and int(port) < 65536):
-        raise MalformedError(f"{key} is no address:port: {str(text)[:80]}")
+        raise MalformedError(
+            f"{key} is no address:port: {str(text)[:80]}; an IP address, not a host name, and a port are required"
+        )
     return host, int(port)
 
 
 def parse_notice(event: object, path: str) -> Notice:
-    """Parses an event of the notice board; `boot_ms` is Unix time, like the clock of the core."""
+    """Parses an event of the notice board; a server's start time, `boot_ms`, is in Unix milliseconds."""
     if not isinstance(event, Mapping):
         raise MalformedError(f"{path} must be an object")
     rev = int(required_value(event, "rev", int, path))
@@ -356,13 +364,13 @@
 def config_of(document: object) -> Config:
     """Parses and validates the configuration of a signalling proxy. Raises MalformedError."""
     if not isinstance(document, Mapping):
-        raise MalformedError("the configuration is no object")
+        raise MalformedError("the configuration is no object: the file must contain one JSON object")
     flat = flatten(required_value(document, "settings", Mapping))
     flat.setdefault("services.count", "0")
     try:
         settings = parse_settings(flat)
         if integer(flat, "services.count") < 1:
-            raise MalformedError("services is empty")
+            raise MalformedError("services is empty: at least one call class is required")
         for key in POSITIVE_KEYS + tuple(f"services.{i}.deadline_ms" for i in range(len(settings.classes))):
             if key in flat and not number(flat, key) > 0:
                 raise BoundsError(f"{key} must be above 0: {flat[key]}")
@@ -380,7 +388,7 @@
     try:
         seed = int(str(required_value(document, "seed", (str, int))), 16)
     except ValueError as error:
-        raise MalformedError("seed must be a hexadecimal number") from error
+        raise MalformedError(f"seed must be a hexadecimal number: {document['seed']!r}") from error
     limits = document.get("limits", {})
     if not isinstance(limits, Mapping):
         raise MalformedError("limits must be an object")
@@ -403,7 +411,7 @@
 
 
 def is_enabled(table: Mapping, path: str, keys: tuple[str, ...]) -> bool:
-    """Whether the settings file of a part enables it; raises MalformedError for an unknown key."""
+    """Whether the settings of the part named by `path` enable it; raises MalformedError for an unknown key."""
     for key in table:
         if key != "enabled" and key not in keys:
             raise UnknownKeyError(f"{path}.{key} is unknown")
@@ -420,7 +428,10 @@
         value = table.get(key, default)
         types = int if isinstance(default, int) else (int, float)
         if isinstance(value, bool) or not isinstance(value, types) or not minimum <= value <= maximum:
-            raise BoundsError(f"{path}.{key} must lie between {minimum} and {maximum}: {value!r}")
+            raise BoundsError(
+                f"{path}.{key} must be {'an integer' if types is int else 'a number'} "
+                f"between {minimum} and {maximum}: {value!r}"
+            )
         numbers[key] = value
     return numbers
 
@@ -450,22 +461,25 @@
     """Loads the file that NODE_CONFIG names; NODE_NAME, NODE_LISTEN and NODE_OPS supply keys that it lacks."""
     path = environ.get("NODE_CONFIG")
     if not path:
-        raise MissingError("NODE_CONFIG is missing")
+        raise MissingError("NODE_CONFIG is missing: it must name the configuration file")
     document = read_json(path, "NODE_CONFIG")
     if not isinstance(document, dict):
         return config_of(document)
-    keys, class_shapes = written_keys(document)
+    keys, class_keys = written_keys(document)
     for key, variable in (("name", "NODE_NAME"), ("listen", "NODE_LISTEN"), ("ops", "NODE_OPS")):
         if variable in environ:
             document.setdefault(key, environ[variable])
-    return dataclasses.replace(config_of(document), keys=keys, class_shapes=class_shapes)
+    return dataclasses.replace(config_of(document), keys=keys, class_keys=class_keys)
 
 
-PER_CLASS_PREFIXES = ("settings.services.", "settings.extra.allowed_pools.")  # of keys that exist per class
+PER_CLASS_PREFIXES = (
+    "settings.services.",
+    "settings.extra.allowed_pools.",
+)  # of the keys that each class has
 
 
 def written_keys(document: Mapping) -> tuple[frozenset[str], tuple[frozenset[str], ...]]:
-    """The keys written in a file, except those of events and classes; and the keys written for each class."""
+    """The keys written in a file, except those of `known` and of classes; and the keys written for each class."""
     flat = flatten({key: value for key, value in document.items() if key != "known"})
     keys = frozenset(key for key in flat if not key.startswith(PER_CLASS_PREFIXES))
     settings = document.get("settings")
@@ -477,19 +491,21 @@
 
 
 def reload(running: Config, environ: Mapping[str, str] = os.environ) -> Config:
-    """Reloads the configuration for a running proxy, whose addresses and name can't change."""
+    """Reads the configuration again for a running proxy, whose name and own addresses can't change."""
     conf = load(environ)
     for key in ("name", "listen", "ops"):
         if getattr(conf, key) != getattr(running, key):
-            raise FixedError(f"{key} can't change without a restart: {getattr(conf, key)!r}")
-    # Prevents a file truncated or damaged in transfer from changing running rules silently, through a default.
+            raise FixedError(
+                f"{key} can't change without a restart: {getattr(conf, key)!r} instead of {getattr(running, key)!r}"
+            )
+    # Otherwise a file that lost keys in transfer would silently replace running settings by their defaults.
     missing = sorted(running.keys - conf.keys)
     if missing:
         raise MissingError(
             f"{missing[0]} is missing: a new revision must contain every key of the running file"
         )
-    common_keys = frozenset.intersection(*running.class_shapes) if running.class_shapes else frozenset()
-    for i, keys in enumerate(conf.class_shapes):
+    common_keys = frozenset.intersection(*running.class_keys) if running.class_keys else frozenset()
+    for i, keys in enumerate(conf.class_keys):
         missing_keys = sorted(common_keys - keys)
         if missing_keys:
             raise MissingError(
--- a/leadslip/configure.py
+++ b/leadslip/configure.py
@@ -4,8 +4,8 @@
     python -m leadslip.configure check FILE ...
 
 An applications file holds the settings that the sidecars share and an [[application]] table for each; `write`
-creates a config.json for each and a TOML file for every part that is configured. `check` validates any number of
-such files.
+creates a folder for each application, with a config.json and a TOML file for every part that is configured. `check`
+validates any number of such files, and of applications files.
 """
 
 from __future__ import annotations
@@ -31,7 +31,8 @@
     action = "Check that the folder is writable and has free space; files already written are kept."
 
 
-SHARED_KEYS = ("board", "settings", "limits", "servers", *parts.NAMES)  # a part has a TOML file of its own
+# Permitted keys: shared by all applications, of an [[application]] table, and of a [[servers]] table.
+SHARED_KEYS = ("board", "settings", "limits", "servers", *parts.NAMES)
 APPLICATION_KEYS = ("name", "listen", *SHARED_KEYS)
 SERVER_KEYS = ("uid", "endpoint", "az", "pod_group")
 
@@ -46,9 +47,9 @@
 
 
 def known_state_of(servers: object) -> dict:
-    """Returns the servers of an application in the form of a snapshot from the notice board."""
+    """The value of `known` in config.json: the servers as a snapshot from the notice board, revision 1."""
     if not isinstance(servers, list):
-        raise MalformedError("servers must be a list")
+        raise MalformedError("servers must be a list of tables")
     targets = []
     for i, server in enumerate(servers):
         if not isinstance(server, Mapping):
@@ -61,13 +62,16 @@
 
 
 def applications_of(document: Mapping) -> dict[str, dict]:
-    """The complete, validated configuration of each application; shared settings supply keys that it lacks."""
+    """The complete, validated configuration of each application, by its name; shared keys fill in what it lacks.
+
+    Each consists of `config`, the content of config.json, and the table of each part, None if it has none.
+    """
     for key in document:
         if key not in (*SHARED_KEYS, "application"):
             raise UnknownKeyError(f"{key} is unknown")
     listed = document.get("application")
     if not isinstance(listed, list) or not listed:
-        raise MissingError("application is missing")
+        raise MissingError("application is missing: at least one [[application]] table is required")
     applications: dict[str, dict] = {}
     owners: dict[str, str] = {}  # address or path -> name of the application that uses it
     for i, table in enumerate(listed):
@@ -77,7 +81,7 @@
                 raise UnknownKeyError(f"{path}.{key} is unknown")
         name = str(config.required_value(table, "name", str, path))
         if not name or name != Path(name).name or name in applications:
-            raise TakenError(f"{path}.name must be a file name that no other application has: {name!r}")
+            raise TakenError(f"{path}.name must be a folder name that no other application has: {name!r}")
         merged = {key: value for key, value in document.items() if key != "application"} | table
         config_table = {
             key: merged[key] for key in ("name", "listen", "board", "limits", "settings") if key in merged
@@ -122,7 +126,7 @@
 
 
 def write(source: str, folder: str) -> list[Path]:
-    """Writes the files of all applications once all are valid; returns their paths."""
+    """Writes the files of all applications, or none if any is invalid; returns the paths."""
     written = []
     for name, application in applications_of(read_toml(source)).items():
         application_folder = Path(folder) / name
@@ -138,12 +142,12 @@
 
 
 def check(path: str) -> None:
-    """Validates one file; its name says what it holds. Raises MalformedError."""
+    """Validates one file, whose kind follows from its name. Raises MalformedError."""
     name = Path(path).name
     if name.endswith(".json"):
         config.config_of(config.read_json(path, "file"))
     elif name.endswith(".toml") and name[:-5] in parts.NAMES:
-        # Which other parts are on is unknown here, so all are taken to be.
+        # One file does not tell which other parts are enabled: all that this part may need are assumed to be.
         context = parts.SettingsContext(settings=dict.fromkeys(parts.NAMES, True))
         parts.settings_class(name[:-5]).settings(read_toml(path), context)
     else:
@@ -158,7 +162,7 @@
     write_parser.add_argument("source")
     write_parser.add_argument("folder")
     check_parser = commands.add_parser(
-        "check", help="check files: config.json, enum.toml, otlp.toml, applications"
+        "check", help="check files: config.json, NAME.toml of a part, or an applications file"
     )
     check_parser.add_argument("files", nargs="+")
     options = parser.parse_args(arguments)
