--- a/leadslip/errors.py
+++ b/leadslip/errors.py
@@ -1,8 +1,8 @@
 """The base of errors reported to operators: each type has a stable code and an action to take.
 
 The text of an error says what happened, its `code` never changes, and its `action` says what to do. The log, the
-operators' address and the command line show all three; docs/operators/errors.md is generated from the types. Messages
-of peers that are refused and counted are not errors of this kind, as they are not reported one by one.
+operators' address and the command line show all three; docs/operators/errors.md is generated from the types. Invalid
+messages from peers have no such type, as they are counted and not reported one by one.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class OperatorError(Exception):
-    """An error reported to operators; `status` is its HTTP status at the operators' address."""
+    """An error reported to operators; its text says what happened."""
 
-    code: ClassVar[str]
-    action: ClassVar[str]
-    status: ClassVar[int] = 500
+    code: ClassVar[str]  # identifies the type; stable across versions
+    action: ClassVar[str]  # what an operator can do about it
+    status: ClassVar[int] = 500  # HTTP status at the operators' address
 
     @classmethod
     def title(cls) -> str:
--- a/leadslip/logs.py
+++ b/leadslip/logs.py
@@ -18,7 +18,7 @@
 
 
 class Log(Protocol):
-    """Writes one event; the field `level` is its severity, info by default."""
+    """A function that logs one event; `level` is its severity, info by default."""
 
     def __call__(self, event: str, **fields: object) -> None: ...
 
@@ -44,13 +44,16 @@
     def __call__(self, event: str, level: str = "info", **fields: object) -> None:
         if LEVELS[level] >= self.min_level:
             fields_text = "".join(f" {key}={plain_field(value)}" for key, value in fields.items())
-            # Prevents a log whose reader is gone from aborting the operation that logs: a drain, a report, a reload.
+            # Otherwise a pipe whose reader has exited would abort the operation that logs, such as a drain or a reload.
             with suppress(OSError):
                 print(f"{time.time():.3f} {event}{fields_text}", file=self.stream or sys.stdout, flush=True)
 
 
 class StructuredLog:
-    """Writes lines by structlog: for a terminal, or JSON for a log collector."""
+    """Writes lines through structlog: for a terminal (`console`), or as JSON for a log collector (`json`).
+
+    The fields in `bound` are added to every event.
+    """
 
     def __init__(
         self, format_: str, level: str = "info", stream: TextIO | None = None, bound: Mapping | None = None
--- a/leadslip/operators.py
+++ b/leadslip/operators.py
@@ -1,4 +1,4 @@
-"""The types of the operators' endpoints: handlers by path and method, requests and answers. Pure: does no I/O."""
+"""The HTTP endpoints for operators, without I/O: handlers by path and method, requests and answers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class OperatorRequest(NamedTuple):
-    """A request of an operator: the path below the endpoint's name, the query, the body, and a callback.
+    """An operator's HTTP request.
 
     A handler that can't answer yet returns None and calls `reply` once, later.
     """
 
-    path: tuple[str, ...] = ()
+    path: tuple[str, ...] = ()  # segments after the endpoint's name
     query: Mapping[str, str] = {}
     body: bytes = b""
     reply: Callable[[Answer], None] = lambda answer: None
@@ -33,14 +33,14 @@
 
 
 class Endpoint(NamedTuple):
-    """One endpoint: its handlers by HTTP method, whether it accepts a longer path, and the maximum body in bytes."""
+    """One endpoint, at /control/NAME."""
 
-    methods: Mapping[bytes, Handler]
-    has_subpaths: bool = False
-    max_body: int = 1024
+    methods: Mapping[bytes, Handler]  # by HTTP method
+    has_subpaths: bool = False  # whether the path may have segments after the endpoint's name
+    max_body: int = 1024  # bytes
 
 
-Endpoints = dict[bytes, Endpoint]  # name below /control -> endpoint
+Endpoints = dict[bytes, Endpoint]  # by name
 
 
 def as_json(value: object, status: int = 200) -> Answer:
--- a/leadslip/parts/__init__.py
+++ b/leadslip/parts/__init__.py
@@ -1,8 +1,8 @@
-"""Optional parts of a proxy, beside the service of calls: one package each, off unless enabled.
+"""Optional parts of a proxy, each in a package of its own; all but `logs` are off unless enabled.
 
 `settings.py` parses and validates `deploy/NAME.toml`, or the file that the part's environment variable names; it
-imports little, and nothing that depends on it. `part.py` wires the part into a running proxy, with its gauges and its
-endpoints at the operators' address, and is imported only where the part is on: a part that is off costs nothing.
+imports no module that imports it. `part.py` wires the part into a running proxy, with its gauges and its endpoints at
+the operators' address, and is imported only if the part is on, so that the libraries of other parts are not loaded.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 if TYPE_CHECKING:
     from leadslip.parts.part import Part
 
-# In the order in which their settings are read and they are wired.
+# In the order in which settings are read and parts are wired: a part may need those before it.
 NAMES = ("logs", "otlp", "store", "trunks", "enum", "fleet", "agreement", "replicas")
 
 
 @dataclass(slots=True)
 class SettingsContext:
-    """What a part's settings are validated against besides their own file."""
+    """What the settings of a part are validated against, apart from their own file."""
 
-    classes: tuple[str, ...] | None = None  # names of the proxy's call classes; None where they are unknown
-    settings: dict[str, object] = field(default_factory=dict)  # of the parts read before this one, by name
-    running: bool = False  # for a proxy that starts here, not for a file that is only checked
+    classes: tuple[str, ...] | None = None  # names of the proxy's call classes; None if they are unknown
+    settings: dict[str, object] = field(default_factory=dict)  # of the parts read before, by name; None: off
+    running: bool = False  # whether a proxy starts or reloads: the files and folders named must then exist
 
 
 class PartSettings:
     """Describes the settings file of one part; each part has a subclass."""
 
-    name: ClassVar[str]  # of the file and of the table in an applications file
-    environment_variable: ClassVar[str]  # environment variable that names the file
-    restart_keys: ClassVar[str]  # the keys that can't change without a restart, as errors name them
+    name: ClassVar[str]  # of the part, of its file under deploy/ and of its table in an applications file
+    environment_variable: ClassVar[str]  # the variable whose value names a file to read instead
+    restart_keys: ClassVar[str]  # what an error names if the settings that need a restart have changed
 
     @staticmethod
     def settings(table: Mapping, context: SettingsContext) -> object | None:
-        """The validated settings from the file's table; None where the part is off. Raises MalformedError."""
+        """The validated settings from the content of the file; None if the part is off. Raises MalformedError."""
         raise NotImplementedError
 
     @staticmethod
     def restart_settings(conf: object) -> object:
-        """The settings that can't change without a restart."""
+        """The settings that can't change without a restart; all of them by default."""
         return conf
 
     @staticmethod
@@ -65,7 +65,7 @@
 
 
 def read_settings(conf: config.Config, environ: Mapping[str, str] = os.environ) -> dict[str, object]:
-    """Reads the settings of every part for a proxy that starts here; None for one that is off.
+    """Reads the settings of every part for a proxy that starts or reloads; None for a part that is off.
 
     Raises MalformedError.
     """
@@ -79,7 +79,7 @@
 
 
 def restart_settings(settings: Mapping[str, object]) -> dict[str, object]:
-    """The settings of all parts that can't change without a restart, by the keys that errors name."""
+    """The settings of all parts that can't change without a restart, by `restart_keys`; None for a part that is off."""
     return {
         settings_class(name).restart_keys: None
         if conf is None
--- a/leadslip/parts/enum/part.py
+++ b/leadslip/parts/enum/part.py
@@ -7,7 +7,7 @@
 
 
 class Enum(Part):
-    """The DNS server for ENUM look-ups, and its engine."""
+    """Starts the DNS server for ENUM look-ups and adds its engine to those of the proxy."""
 
     def start(self) -> None:
         node = self.node
--- a/leadslip/parts/enum/settings.py
+++ b/leadslip/parts/enum/settings.py
@@ -22,14 +22,14 @@
 class EnumConfig:
     """Settings of the DNS server for ENUM look-ups and of its upstream resolvers."""
 
-    listen: Address
+    listen: Address  # over UDP and TCP
     resolvers: tuple[Address, ...]
-    suffix: str
-    answer_within_ms: float
-    attempt_ms: float
-    max_open_requests: int
-    max_connections: int
-    settings: interface.Settings
+    suffix: str  # domain under which numbers are looked up, such as e164.arpa
+    answer_within_ms: float  # deadline for the reply to a client
+    attempt_ms: float  # time-out of one exchange with a resolver, including a retry over TCP
+    max_open_requests: int  # look-ups in progress; further ones are refused
+    max_connections: int  # TCP connections of clients
+    settings: interface.Settings  # of the Controller that chooses a resolver for each attempt
 
 
 ENUM_KEYS = {  # key -> (default, minimum, maximum)
@@ -46,23 +46,25 @@
     if not is_enabled(table, "enum", ("listen", "resolvers", "suffix", *ENUM_KEYS)):
         return None
     numbers = bounded_numbers(table, "enum", ENUM_KEYS)
-    listed = required_value(table, "resolvers", list, "enum")
-    if not listed:
-        raise MalformedError("enum.resolvers is empty")
-    resolvers = tuple(parse_address(text, f"enum.resolvers.{i}") for i, text in enumerate(listed))
+    resolver_texts = required_value(table, "resolvers", list, "enum")
+    if not resolver_texts:
+        raise MalformedError("enum.resolvers is empty: at least one IP:port is required")
+    resolvers = tuple(parse_address(text, f"enum.resolvers.{i}") for i, text in enumerate(resolver_texts))
     if len(set(resolvers)) < len(resolvers):
-        raise TakenError("enum.resolvers lists an address more than once")
+        raise TakenError(f"enum.resolvers lists an address more than once: {resolver_texts!r}")
     suffix = str(table.get("suffix", "e164.arpa")).strip(".").lower()
     if not suffix or not all(0 < len(label) < 64 for label in suffix.split(".")):
         raise MalformedError(
             f"enum.suffix must be a domain name, with labels of 1 to 63 characters: {suffix!r}"
         )
-    wait_ms = numbers["answer_within_ms"]
-    lookup = interface.CallClass("enum", worth=1.0, late_worth=0.0, aim_ms=wait_ms, deadline_ms=wait_ms)
-    settings = interface.Settings(
+    reply_deadline_ms = numbers["answer_within_ms"]
+    lookup_class = interface.CallClass(
+        "enum", worth=1.0, late_worth=0.0, aim_ms=reply_deadline_ms, deadline_ms=reply_deadline_ms
+    )
+    controller_settings = interface.Settings(
         gateways=1,
         index=0,
-        classes=(lookup,),
+        classes=(lookup_class,),
         max_attempts=numbers["most_attempts"],
         may_withdraw=True,
         tick_ms=5.0,
@@ -71,11 +73,11 @@
         listen=parse_address(required_value(table, "listen", str, "enum"), "enum.listen"),
         resolvers=resolvers,
         suffix=suffix,
-        answer_within_ms=wait_ms,
+        answer_within_ms=reply_deadline_ms,
         attempt_ms=numbers["attempt_ms"],
         max_open_requests=numbers["most_held"],
         max_connections=numbers["most_connections"],
-        settings=settings,
+        settings=controller_settings,
     )
 
 
--- a/leadslip/parts/logs/part.py
+++ b/leadslip/parts/logs/part.py
@@ -1,4 +1,4 @@
-"""Logging has nothing to wire: the log is opened before the proxy is created."""
+"""The empty part of logging: `__main__` opens the log before it creates the proxy and its parts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Logs(Part):
-    """Adds nothing to the proxy, whose log is opened before it is created."""
+    """Does nothing; needed since each name in parts.NAMES must have a part."""
 
 
 PART = Logs
--- a/leadslip/parts/logs/settings.py
+++ b/leadslip/parts/logs/settings.py
@@ -13,8 +13,8 @@
 class LogsConfig:
     """The format and the minimum level of the log."""
 
-    format: str = "plain"
-    level: str = "info"
+    format: str = "plain"  # one of LOG_FORMATS
+    level: str = "info"  # one of LOG_LEVELS; events below it are discarded
 
 
 LOG_FORMATS, LOG_LEVELS = ("plain", "console", "json"), ("debug", "info", "warning", "error")
--- a/leadslip/parts/otlp/part.py
+++ b/leadslip/parts/otlp/part.py
@@ -8,7 +8,7 @@
 
 
 class Otlp(Part):
-    """The OTLP exporter and its observer of each engine."""
+    """Exports the counters, and a span of each request and attempt of both engines."""
 
     def add_observers(self, observers: dict[str, list[Observer]]) -> None:
         node = self.node
--- a/leadslip/parts/otlp/settings.py
+++ b/leadslip/parts/otlp/settings.py
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OtlpConfig:
-    """Settings of the OTLP export; most_spans and most_batch bound the queue and one request."""
+    """Settings of the OTLP export."""
 
     collector: Address
-    interval_ms: float
-    timeout_ms: float
-    most_spans: int
-    most_batch: int
+    interval_ms: float  # between two exports
+    timeout_ms: float  # of one export request
+    most_spans: int  # maximum number of queued spans; further ones are dropped
+    most_batch: int  # maximum number of spans in one export request
 
 
 OTLP_KEYS = {  # key -> (default, minimum, maximum)
--- a/leadslip/parts/part.py
+++ b/leadslip/parts/part.py
@@ -28,12 +28,15 @@
     metrics: Metrics
     log: Log
     readiness: Readiness
+
+    # Created after the parts, so not available in their constructors.
     counters: Counters
-    engine: Engine  # of calls; created after the parts
-    engines: list[Engine]
-    observers: Mapping[str, Observer | None]
-    clients: Clients  # created after the parts, as the servers are
+    engine: Engine  # the engine of calls
+    engines: list[Engine]  # the engine of calls, and those that parts have started
+    observers: Mapping[str, Observer | None]  # of the engines of calls (`sip`) and of ENUM look-ups (`dns`)
+    clients: Clients
     servers: Servers
+
     parts: Mapping[str, Part]  # the parts that are on, by name
 
     def rebuild_filters(self) -> None:
@@ -41,24 +44,24 @@
 
 
 class Part:
-    """One part of a running proxy; created only where its settings enable it."""
+    """Base of the parts; a part is created only if its settings enable it, and overrides what it needs."""
 
     def __init__(self, node: Host, conf: object) -> None:
         self.node, self.conf = node, conf
 
     def add_observers(self, observers: dict[str, list[Observer]]) -> None:
-        """Adds observers of the engines, before these are created: `sip` for calls, `dns` for look-ups."""
+        """Adds observers of the engines that are created later: `sip` for calls, `dns` for ENUM look-ups."""
 
     def member_metadata(self) -> dict[str, str | int]:
         """The part's contribution to this member's metadata in the fleet."""
         return {}
 
     def filters(self) -> list[Filter]:
-        """Filters that run before the decisions; created again at each reload."""
+        """Filters of requests, applied before the Controller decides; created again at each reload."""
         return []
 
     def gauges(self) -> dict[str, Callable[[], int]]:
-        """Gauges that are reported to operators beside the proxy's own, by name."""
+        """Functions that read the part's gauges, by the name under which operators see them."""
         return {}
 
     def endpoints(self) -> Endpoints:
@@ -69,14 +72,14 @@
         """Called when the proxy starts to accept clients."""
 
     def service_state_changed(self, state: str) -> None:
-        """Called when the service state changes: `in` service, `out` of service for operators, or `ending`."""
+        """Called when the service state changes: `in`, `out` (taken out of service by operators) or `ending`."""
 
     def settings_reloaded(self, conf: object) -> None:
-        """Called with the new settings after a reload."""
+        """Called after a reload with the part's new settings."""
         self.conf = conf
 
     def ended_elsewhere(self, call: str) -> None:
-        """Called when a server has ended a call that this engine does not have."""
+        """Called with the id of a call that a server has ended and that this proxy's engine does not have."""
 
     def close(self) -> None:
         """Called when the proxy shuts down."""
--- a/leadslip/site.py
+++ b/leadslip/site.py
@@ -1,10 +1,10 @@
-"""A demonstration site: settings, and the complete configuration of a proxy for one toy server. Does no I/O."""
+"""The configuration of a demonstration proxy that sets its calls up at one toy server; used by `leadslip demo`."""
 
 from __future__ import annotations
 
 
 def settings() -> dict:
-    """Settings of a small site with two call classes."""
+    """The value of `settings` in config.json, with two call classes."""
     common = {"aim_ms": 1500.0, "deadline_ms": 9000.0}
     return {
         "balancers": 1,
@@ -26,13 +26,19 @@
     }
 
 
-def configuration(server: int, board: int, listen: int) -> dict:
-    """The complete configuration of a proxy that uses the toy server; the arguments are local ports."""
-    target = {"uid": "toy", "endpoint": f"127.0.0.1:{server}", "state": "active", "pod_group": 0, "az": ""}
+def configuration(server_port: int, board_port: int, listen_port: int) -> dict:
+    """The content of config.json; all ports are on loopback, and the proxy chooses `listen_port` if it is 0."""
+    target = {
+        "uid": "toy",
+        "endpoint": f"127.0.0.1:{server_port}",
+        "state": "active",
+        "pod_group": 0,
+        "az": "",
+    }
     return {
         "name": "demo",
-        "listen": f"127.0.0.1:{listen}",
-        "board": f"127.0.0.1:{board}",
+        "listen": f"127.0.0.1:{listen_port}",
+        "board": f"127.0.0.1:{board_port}",
         "seed": "5eed",
         "limits": {"sockets": 256},
         "settings": settings(),
