--- a/leadslip/net/enum.py
+++ b/leadslip/net/enum.py
@@ -1,7 +1,7 @@
 """ENUM look-ups over DNS (RFC 6116): the downstream server for NAPTR queries, and the upstream resolvers.
 
-A query is a request of the engine, an exchange with a resolver is an attempt, and a reply is an outcome. A reply is
-forwarded as received, with the id of the client's query; only the codec of twisted.names parses messages.
+A client's query is a request of the engine, and an exchange with a resolver is an attempt. A resolver's reply ends the
+attempt, and is forwarded as received but for its id and header flags. Messages are parsed by twisted.names only.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 from leadslip.parts.enum.settings import EnumConfig
 
 HEADER = struct.Struct("!HBBHHHH")
-# Bits of the header's third byte: QR, AA, TC and RD.
+# Bits of the header's third byte: QR, AA, TC and RD; the bits 0x78 are the opcode.
 RESPONSE, AUTHORITATIVE, TRUNCATED, RECURSION_DESIRED = 0x80, 0x04, 0x02, 0x01
-RECURSION_AVAILABLE = 0x80  # RA, in the header's fourth byte
+RECURSION_AVAILABLE = 0x80  # RA, in the header's fourth byte, whose bits 0x0F are the RCODE
 OPT = 41  # type of the EDNS record, in which a client states the longest datagram that it accepts
-MIN_DATAGRAM, MAX_DATAGRAM = 512, 4096  # bytes
-DIGIT_LABELS = re.compile(r"(?:[0-9]\.){1,15}")
-DECODE_ERRORS = (
+MIN_DATAGRAM, MAX_DATAGRAM = 512, 4096  # bounds of that length, in bytes
+DIGIT_LABELS = re.compile(r"(?:[0-9]\.){1,15}")  # an E.164 number has at most 15 digits
+DECODE_ERRORS = (  # that the codec of twisted.names raises for malformed messages
     EOFError,
     ValueError,
     KeyError,
@@ -46,21 +46,21 @@
 )
 OUTCOME_BY_RCODE = {dns.ESERVER: interface.Outcome.ERROR, dns.EREFUSED: interface.Outcome.FULL}
 SendReply = Callable[[bytes], None]
-MAX_PORT_ATTEMPTS = 16  # where the operating system chooses the port
+MAX_PORT_ATTEMPTS = 16  # to find a port that is free for both TCP and UDP, if the operating system chooses it
 
 
 def parse_message(data: bytes) -> dns.Message:
-    """Parses a DNS message; raises MessageError for each of the codec's many errors."""
+    """Parses a DNS message; raises MessageError if it is malformed."""
     message = dns.Message()
     try:
         message.fromStr(data)
     except DECODE_ERRORS as decode_error:
-        raise MessageError("dns") from decode_error
+        raise MessageError(f"malformed DNS message of {len(data)} bytes") from decode_error
     return message
 
 
 def number_of(name: str, suffix: str) -> str | None:
-    """The E.164 number that a domain name encodes: its digits reversed, dotted, under the suffix."""
+    """The E.164 number that a domain name encodes: digits in reverse order, a label each; None if it encodes none."""
     lower_name, ending = name.lower(), f".{suffix}"
     if not lower_name.endswith(ending) or not DIGIT_LABELS.fullmatch(lower_name[: -len(ending)] + "."):
         return None
@@ -68,7 +68,7 @@
 
 
 def owners_match(answers: list, name: bytes) -> bool:
-    """Whether every NAPTR record is owned by the name queried or by one that its CNAME records lead to."""
+    """Whether every NAPTR record belongs to the queried name, or to an alias target that its CNAME records lead to."""
     names = {name.lower()}
     for record in answers:
         if record.type == dns.CNAME and record.name.name.lower() in names:
@@ -77,7 +77,7 @@
 
 
 class ClientQuery:
-    """What is kept of a client's query until its one reply is sent."""
+    """State of a client's query until it is replied to; `key` identifies its retransmissions."""
 
     __slots__ = ("send_reply", "key", "id", "header_flags", "question", "max_size", "name")
 
@@ -92,7 +92,7 @@
         self.question = question_message.toStr()[HEADER.size :]
 
     def empty_reply(self, rcode: int, extra_flags: int = 0) -> bytes:
-        """A reply without records, with the extra header flags set."""
+        """A reply without records; `extra_flags` are set in the header's third byte."""
         reply_flags = RESPONSE | (self.header_flags & (0x78 | RECURSION_DESIRED)) | extra_flags
         return (
             self.id + bytes((reply_flags, RECURSION_AVAILABLE | rcode)) + b"\0\1\0\0\0\0\0\0" + self.question
@@ -100,14 +100,14 @@
 
 
 class EnumServer(protocol.DatagramProtocol):
-    """Receives queries over UDP, and over TCP through its connections; sends exactly one reply to each."""
+    """Receives queries over UDP, and over TCP from EnumConnection; replies to each exactly once."""
 
     engine: Engine  # set once both exist
 
     def __init__(self, conf: EnumConfig, metrics: Metrics, deadlines: Deadlines) -> None:
         self.conf, self.metrics, self.deadlines = conf, metrics, deadlines
-        self.count = 0
-        self.open_requests: dict[object, Request] = {}
+        self.request_count = 0  # numbers the requests and distributes them over the resolvers
+        self.open_requests: dict[object, Request] = {}  # by ClientQuery.key
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:
         def send_reply(reply: bytes) -> None:
@@ -119,22 +119,26 @@
         except MessageError:
             self.metrics.add("enum.malformed")
             if len(data) >= HEADER.size and not data[2] & RESPONSE:
-                # Only the header of the query can be read: without a reply its client would wait for its time-out.
+                # At least the header can be read: without a reply the client would wait for its time-out.
                 reply_flags = RESPONSE | (data[2] & 0x78)
                 send_reply(data[:2] + bytes((reply_flags, dns.EFORMAT)) + b"\0" * 8)
 
     def handle_query(
         self, data: bytes, send_reply: SendReply, client: object, max_size: int | None
     ) -> Request | None:
-        """Refuses a query at once if it is no ENUM look-up, else offers it to the engine as a request."""
+        """Offers an ENUM look-up to the engine and returns its request; replies to any other query with an error.
+
+        `client` identifies the sender; `max_size` limits the reply in bytes, None: as the query states for UDP. Raises
+        MessageError for a malformed query.
+        """
         message = parse_message(data)
-        if message.answer:
+        if message.answer:  # the QR bit
             raise MessageError("a response where a query was expected")
         if len(message.queries) != 1:
-            raise MessageError("questions")
+            raise MessageError(f"a query must have one question, got {len(message.queries)}")
         query = message.queries[0]
         if max_size is None:
-            sizes = [record.cls for record in message.additional if record.type == OPT]
+            sizes = [record.cls for record in message.additional if record.type == OPT]  # in the class field
             max_size = min(max([MIN_DATAGRAM, *sizes]), MAX_DATAGRAM)
         key = (client, message.id, query.name.name.lower(), query.type)
         client_query = ClientQuery(send_reply, key, data, message, max_size)
@@ -144,19 +148,19 @@
         elif number is None or query.cls != dns.IN or query.type != dns.NAPTR:
             self.metrics.add("enum.not_served")
             send_reply(client_query.empty_reply(dns.EREFUSED))
-        elif key not in self.open_requests:  # else a retransmission: the reply to the first answers it
-            self.count += 1
+        elif key not in self.open_requests:  # retransmissions get no reply of their own
+            self.request_count += 1
             valid_until_ms = self.deadlines.clock.now_ms() + self.conf.answer_within_ms
-            request = Request(f"{self.count:016x}", "enum", valid_until_ms, self)
+            request = Request(f"{self.request_count:016x}", "enum", valid_until_ms, self)
             request.number, request.context = number, client_query
-            request.destination = self.count % len(self.conf.resolvers)
+            request.destination = self.request_count % len(self.conf.resolvers)
             self.open_requests[key] = request
             self.engine.offer(request)
             return request
         return None
 
     def read_pending(self, request: Request) -> None:
-        """Reads what already waits on the client's connection; over UDP a client never reports that it leaves."""
+        """Reads what waits on the client's TCP connection, to notice if it has closed; UDP clients can't be checked."""
         client = request.context.key[0]
         if isinstance(client, EnumConnection):
             client.read_pending()
@@ -192,7 +196,7 @@
 
 
 class EnumConnection(InboundConnection, LengthPrefixedReceiver):
-    """One TCP connection of a client."""
+    """One TCP connection of a client; its queries are handled by the EnumServer."""
 
     peer_kind = "enum_askers"
 
@@ -200,7 +204,7 @@
         self.factory, self.downstream, self.metrics = factory, factory.downstream, factory.downstream.metrics
         self.now_ms = factory.downstream.deadlines.clock.now_ms
         self.inbound = factory.inbound
-        self.requests: dict[str, Request] = {}
+        self.requests: dict[str, Request] = {}  # not replied to yet, by id
 
     def awaits_answer(self) -> bool:
         return bool(self.requests)
@@ -214,10 +218,10 @@
         self.inbound.remove(self)
 
     def stringReceived(self, view: memoryview) -> None:
-        replies: list[str] = []
+        replies: list[str] = []  # not empty once the query has been replied to
 
         def send_reply(reply: bytes) -> None:
-            replies.append("")
+            replies.append("")  # only marks the query as replied to
             if self in self.inbound.open:
                 self.send(struct.pack("!H", len(reply)), reply)
             if request is not None:
@@ -225,14 +229,14 @@
 
         self.message_received()
         request: Request | None = None
-        # the codec requires bytes
+        # Copied, as the codec requires bytes.
         request = self.downstream.handle_query(bytes(view), send_reply, self, 0xFFFF)
         if request is not None and not replies:
             self.requests[request.id] = request
 
 
 class EnumConnections(protocol.Factory):
-    """Accepts the TCP connections of clients, up to a limit."""
+    """Accepts the TCP connections of clients, up to `max_connections`."""
 
     noisy = False
 
@@ -247,7 +251,7 @@
 
 
 class ResolverConnection(LengthPrefixedReceiver):
-    """A TCP connection to a resolver, for the exchanges whose datagram came back truncated."""
+    """A TCP connection to a resolver, for exchanges whose reply over UDP was truncated."""
 
     peer_kind = "enum_resolvers"
 
@@ -288,7 +292,7 @@
 
     def __init__(self, upstream: Resolvers, name: str, address: Address) -> None:
         self.upstream, self.name, self.address = upstream, name, address
-        self.pending: dict[int, Attempt] = {}
+        self.pending: dict[int, Attempt] = {}  # message id -> attempt
         self.ids: dict[str, int] = {}  # request id -> message id of its exchange
         self.tcp_queries: dict[int, bytes] = {}  # message id -> query, for exchanges that continue over TCP
         self.connection: ResolverConnection | None = None
@@ -299,9 +303,10 @@
         self.transport.connect(*self.address)
 
     def send(self, attempt: Attempt) -> interface.Outcome | None:
+        """Sends the query over UDP; returns an outcome if it could not be sent, else None."""
         if self.transport is None:
             return interface.Outcome.NO_CONNECTION
-        id_ = secrets.randbelow(0x10000)  # unpredictable, so that no third party can spoof a reply
+        id_ = secrets.randbelow(0x10000)  # unpredictable, so that a third party can hardly spoof a reply
         while id_ in self.pending:
             id_ = secrets.randbelow(0x10000)
         self.pending[id_] = attempt
@@ -313,13 +318,14 @@
         return HEADER.pack(id_, RECURSION_DESIRED, 0, 1, 0, 0, 0) + self.pending[id_].request.context.question
 
     def abandon(self, attempt: Attempt) -> None:
-        """Removes an exchange that has ended; a later reply to it counts as unsolicited."""
+        """Removes an exchange, whether it is finished or not; a later reply to it counts as unsolicited."""
         id_ = self.ids.pop(attempt.request.id, None)
         self.pending.pop(id_, None)
         self.tcp_queries.pop(id_, None)
         self._check_connection()
 
     def end(self, id_: int, outcome: interface.Outcome) -> None:
+        """Ends an exchange, if it is still pending, and reports its outcome to the engine."""
         attempt = self.pending.get(id_)
         if attempt is not None:
             self.abandon(attempt)
@@ -331,16 +337,16 @@
         try:
             self.reply_received(data, over_tcp=False)
         except MessageError:
-            # A third party may have sent it: the exchange stays open until its own deadline.
+            # A third party may have sent it, so the exchange stays open until its own deadline.
             self.upstream.metrics.add("enum_resolvers.malformed")
 
     def connectionRefused(self) -> None:
-        """No process listens there: no pending UDP query has been worked on."""
+        """The resolver's UDP port is closed: no query pending over UDP has been worked on, so all these end."""
         for id_ in [id_ for id_ in self.pending if id_ not in self.tcp_queries]:
             self.end(id_, interface.Outcome.NO_CONNECTION)
 
     def reply_received(self, data: bytes, over_tcp: bool) -> None:
-        """Handles a reply; it counts only if it repeats the question of a pending exchange."""
+        """Handles a reply; ignored unless it repeats the question of an exchange pending over this transport."""
         message = parse_message(data)
         attempt = self.pending.get(message.id)
         if attempt is None or not message.answer or over_tcp is not (message.id in self.tcp_queries):
@@ -383,33 +389,36 @@
             )
 
     def connect_failed(self, refused: bool) -> None:
+        """Ends all exchanges over TCP; `refused`: the resolver's host rejected the connection."""
         self.connecting = False
         for id_ in list(self.tcp_queries):
             self.end(id_, interface.Outcome.ERROR if refused else interface.Outcome.CUT)
 
     def connected(self, connection: ResolverConnection) -> None:
+        """Sends the queries that wait for the connection."""
         self.connecting, self.connection = False, connection
         for query in self.tcp_queries.values():
             connection.send(struct.pack("!H", len(query)), query)
         self._check_connection()
 
     def connection_lost(self, connection: ResolverConnection) -> None:
+        """Ends all exchanges over TCP if the connection was the current one."""
         if self.connection is connection:
             self.connection = None
             for id_ in list(self.tcp_queries):
                 self.end(id_, interface.Outcome.CUT)
 
     def _check_connection(self) -> None:
-        """Replaces a connection with an unfinished reply; closes an unused one, as truncated replies are rare."""
+        """Replaces the connection if a reply stays unfinished; closes it if unused, as truncated replies are rare."""
         connection = self.connection
         if (
             connection is not None
             and connection.partial_since_ms
             and connection.now_ms() - connection.partial_since_ms > self.upstream.attempt_ms / 2
         ):
-            # Prevents a reply that is never finished from blocking all replies after it.
+            # Otherwise a reply that is never finished would block all replies after it.
             self.connection = None
-            connection.malformed(MessageError("unfinished"))
+            connection.malformed(MessageError("reply over TCP is unfinished for over half an attempt"))
             if self.tcp_queries:
                 self._connect()  # the remaining queries are sent again on the new connection
         elif connection is not None and not self.tcp_queries:
@@ -418,7 +427,7 @@
 
 
 class Resolvers:
-    """The engine's upstream side for look-ups."""
+    """The engine's upstream side: sends each attempt to the resolver that the Controller has chosen."""
 
     engine: Engine  # set once both exist
 
@@ -445,7 +454,7 @@
     def cancel(self, attempt: Attempt) -> None:
         self.resolvers[attempt.server].abandon(attempt)
 
-    release = cancel
+    release = cancel  # required by core.Upstream; never called, since a look-up ends when it is answered
 
 
 def start(
@@ -457,7 +466,7 @@
     log: Log,
     observer: Observer | None = None,
 ) -> Engine:
-    """Starts the look-up service: clients, engine, resolvers. Returns the engine, which drains like any other."""
+    """Starts ENUM look-ups and returns their engine, which the proxy shuts down like that of calls."""
     downstream = EnumServer(conf, metrics, deadlines)
     resolvers = Resolvers(reactor, conf, metrics, deadlines)
     engine = Engine(
@@ -480,7 +489,7 @@
 
 
 def _listen(reactor: object, conf: EnumConfig, downstream: EnumServer) -> int:
-    """Listens over TCP and UDP on one port; where the system chooses it, on one that is free for both."""
+    """Listens over TCP and UDP on one port and returns it; if the system chooses it, one that is free for both."""
     host, port = conf.listen
     for attempts_left in reversed(range(1 if port else MAX_PORT_ATTEMPTS)):
         tcp = reactor.listenTCP(port, EnumConnections(downstream, conf.max_connections), interface=host)
--- a/leadslip/net/otlp.py
+++ b/leadslip/net/otlp.py
@@ -1,7 +1,7 @@
 """OpenTelemetry export of metrics and traces: OTLP over HTTP with protobuf bodies, by Twisted's HTTP client.
 
-Off unless deploy/otlp.toml enables it. Spans wait in a bounded queue, and spans dropped from it are counted. A
-collector that is down or slow occupies one export request of each kind at a time and delays no call.
+Off unless deploy/otlp.toml enables it. Spans wait in a bounded queue; those that don't fit are dropped and counted. A
+collector that is down or slow delays no call: at most one request for metrics and one for traces are in progress.
 """
 
 from __future__ import annotations
@@ -38,27 +38,27 @@
 
 
 class SpanObserver:
-    """Observes one engine and passes a span of each attempt and each request to the exporter."""
+    """Observes one engine and passes a span called `name` to the exporter for each attempt and each request."""
 
     def __init__(self, exporter: Exporter, protocol: str, name: str) -> None:
         self.exporter, self.protocol, self.name = exporter, protocol, name
 
     def attempt_ended(self, attempt: Attempt, outcome: interface.Outcome, now_ms: float) -> None:
-        trace, root = self._ids(attempt.request)
+        trace, root_span_id = self._ids(attempt.request)
         span = self._span(trace, Span.SPAN_KIND_CLIENT, attempt.sent_ms, now_ms, outcome.value, "served")
-        span.span_id, span.parent_span_id = secrets.token_bytes(8), root
+        span.span_id, span.parent_span_id = secrets.token_bytes(8), root_span_id
         span.attributes.append(attribute("server.address", attempt.server))
         self.exporter.add_span(span)
 
     def request_answered(self, request: Request, answer: str, now_ms: float) -> None:
-        trace, root = self._ids(request)
+        trace, root_span_id = self._ids(request)
         span = self._span(trace, Span.SPAN_KIND_SERVER, request.received_at_ms, now_ms, answer, "stands")
-        span.span_id = root
+        span.span_id = root_span_id
         span.attributes.append(attribute("leadslip.class", request.call_class))
         self.exporter.add_span(span)
 
     def _ids(self, request: Request) -> tuple[bytes, bytes]:
-        """The ids of a request's trace and root span, hashed from the request so that none need be stored."""
+        """The ids of a request's trace and of its root span: hashes of the request, so that none is stored."""
         identity = f"{self.protocol} {request.id} {request.received_at_ms}".encode()
         digest = hashlib.blake2b(identity, digest_size=24, key=self.exporter.salt).digest()
         return digest[:16], digest[16:]
@@ -66,6 +66,7 @@
     def _span(
         self, trace: bytes, span_kind: int, start_ms: float, end_ms: float, result: str, success: str
     ) -> Span:
+        """A span without ids of its own; it has an error status if `result` is not `success`."""
         span = Span(trace_id=trace, name=self.name, kind=span_kind)
         span.start_time_unix_nano, span.end_time_unix_nano = (
             int(start_ms) * NS_PER_MS,
@@ -87,20 +88,21 @@
         self.conf, self.deadlines, self.metrics = conf, deadlines, metrics
         self.agent = Agent(reactor, connectTimeout=conf.timeout_ms / 1000.0)
         host, port = conf.collector
-        self.base = f"http://{f'[{host}]' if ':' in host else host}:{port}/v1/"
+        self.base_url = f"http://{f'[{host}]' if ':' in host else host}:{port}/v1/"
         self.resource = Resource(
             attributes=[attribute("service.name", "leadslip"), attribute("service.instance.id", name)]
         )
-        self.salt = secrets.token_bytes(16)
+        self.salt = secrets.token_bytes(16)  # random per process, so that ids of two proxies never coincide
         self.spans: deque[Span] = deque()
-        self.in_flight: dict[str, defer.Deferred] = {}
+        self.in_flight: dict[str, defer.Deferred] = {}  # `metrics` or `traces` -> its export request
         self.started_ns = int(deadlines.clock.now_ms()) * NS_PER_MS
 
     def start(self) -> None:
-        """Schedules the next export."""
+        """Schedules the next export, which schedules the one after it."""
         self.deadlines.call_at(self.deadlines.clock.now_ms() + self.conf.interval_ms, self._export)
 
     def add_span(self, span: Span) -> None:
+        """Queues a span, or drops and counts it if the queue is full."""
         if len(self.spans) >= self.conf.most_spans:
             self.metrics.add("otlp.dropped_spans")
             return
@@ -111,7 +113,7 @@
         self.start()
 
     def flush(self) -> None:
-        """Exports metrics and a batch of spans, each unless its previous request is still in progress."""
+        """Exports the metrics, and a batch of spans; skips either while its previous request is in progress."""
         if "metrics" not in self.in_flight:
             self._send("metrics", self._metrics().SerializeToString())
         if "traces" not in self.in_flight and self.spans:
@@ -135,9 +137,10 @@
         return export
 
     def _send(self, signal: str, body: bytes, spans: int = 0) -> None:
+        """Posts an export; if it fails, it is counted and its spans are dropped."""
         request = self.agent.request(
             b"POST",
-            (self.base + signal).encode(),
+            (self.base_url + signal).encode(),
             Headers({"Content-Type": ["application/x-protobuf"]}),
             FileBodyProducer(BytesIO(body)),
         )
@@ -148,7 +151,7 @@
 
         def check_status(response: object) -> defer.Deferred:
             if response.code // 100 != 2:
-                raise ValueError(response.code)
+                raise ValueError(response.code)  # the HTTP status
             return readBody(response)
 
         def finished(result: object) -> None:
