--- a/leadslip/cli/configure.py
+++ b/leadslip/cli/configure.py
@@ -18,12 +18,12 @@
 @click.argument("source", type=click.Path())
 @click.argument("folder", type=click.Path())
 def write(source: str, folder: str) -> None:
-    """Write the files of every application listed in SOURCE, one subfolder of FOLDER for each application."""
+    """Write the files of all applications in the applications file SOURCE, each to a subfolder of FOLDER."""
     sys.exit(configuration_tool.main(["write", source, folder]))
 
 
 @configure.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def check(files: tuple[str, ...]) -> None:
-    """Check files: config.json, enum.toml, otlp.toml, logs.toml, store.toml, trunks.toml, application lists."""
+    """Check files: a config.json, the NAME.toml of a part such as enum.toml, or an applications file."""
     sys.exit(configuration_tool.main(["check", *files]))
--- a/leadslip/cli/demo.py
+++ b/leadslip/cli/demo.py
@@ -75,10 +75,10 @@
     ) -> None:
         self.reactor, self.folder, self.print_status = reactor, folder, print_status
         self.calls, self.lines, self.hold_s = calls, lines, hold_s
-        self.counts: Counter[str] = Counter(stand=0, refused=0, failed=0, ended=0)
+        self.counts: Counter[str] = Counter(stand=0, refused=0, failed=0, ended=0)  # stand: established
         self.placed = 0
-        self.exit_code: int | None = None
-        self.error = ""
+        self.exit_code: int | None = None  # of the proxy
+        self.error = ""  # why the demo was stopped early
         self.caller: object = None
         self.proxy: object = None
 
@@ -101,10 +101,10 @@
         class Proxy(protocol.ProcessProtocol):
             """The proxy process: reads its log and reports its exit."""
 
-            text = b""
+            partial_line = b""
 
             def outReceived(self, data: bytes) -> None:  # noqa: N802
-                *lines, self.text = (self.text + data).split(b"\n")
+                *lines, self.partial_line = (self.partial_line + data).split(b"\n")
                 for line in lines:
                     demo_run.on_log_line(line.decode("utf-8", "replace").split(" ", 1)[-1])
 
@@ -130,7 +130,7 @@
             self.timeout = None
             port = int(line.rpartition(":")[2])
             self.reactor.connectTCP("127.0.0.1", port, CallerFactory(self))
-        elif not line.startswith("counts"):
+        elif not line.startswith("counts"):  # logged periodically
             self.print_status("proxy", line)
 
     def place_next_call(self) -> None:
@@ -185,7 +185,7 @@
 
         def connectionMade(self) -> None:  # noqa: N802
             self.head_lines: list[str] = []
-            self.numbers: dict[str, int] = {}
+            self.call_numbers: dict[str, int] = {}  # Call-ID -> number of the call in this demo
             self.demo_run.caller = self
             self.demo_run.place_next_call()
 
@@ -194,7 +194,7 @@
             from leadslip.cli.toy import OFFER
 
             call_id = f"{number:016x}"
-            self.numbers[call_id] = number
+            self.call_numbers[call_id] = number
             self.demo_run.print_status("caller", f"call {number}: {call_class} to 8210{number:08d}")
             head = (
                 f"INVITE sip:8210{number:08d}@net SIP/2.0\r\nVia: SIP/2.0/TCP caller\r\nCall-ID: {call_id}\r\n"
@@ -224,7 +224,7 @@
 
         def on_message(self, start_line: str, headers: dict[str, str]) -> None:
             """Report and count a final response or a BYE; messages of unknown calls are ignored."""
-            number = self.numbers.get(headers.get("Call-ID", ""))
+            number = self.call_numbers.get(headers.get("Call-ID", ""))
             if number is None:
                 return
             if start_line.startswith("BYE "):
--- a/leadslip/cli/drill.py
+++ b/leadslip/cli/drill.py
@@ -26,9 +26,16 @@
 
 
 def run_scenario(
-    scenario: Scenario, seed: int, folder: Path, acts: list[ScheduledAction] | None = None, broken: str = ""
+    scenario: Scenario,
+    seed: int,
+    folder: Path,
+    actions: list[ScheduledAction] | None = None,
+    broken: str = "",
 ) -> dict:
-    """Run one scenario with its files in `folder` and return the checked result."""
+    """Run one scenario with its files in `folder` and return the checked result.
+
+    `actions` replaces the schedule drawn from the seed; `broken` names a faulty variant of the program to run.
+    """
     from leadslip.drill.run import Drill
 
     folder.mkdir(parents=True, exist_ok=True)
@@ -36,7 +43,7 @@
     async def run_until_done() -> dict:
         # SIGTERM cancels the run, as an interrupt does, so that its processes are stopped.
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
-        return await Drill(scenario, seed, folder, acts, broken).run()
+        return await Drill(scenario, seed, folder, actions, broken).run()
 
     report = asyncio.run(run_until_done())
     breaches, figures = checker.check(folder, scenario.settle_s, scenario.in_force_ms)
@@ -86,7 +93,9 @@
     "--keep", type=click.Path(file_okay=False), help="Folder in which histories, logs and schedules are kept."
 )
 @click.option(
-    "--broken", default="", help="Faulty variant of the program, to verify that the checker detects it."
+    "--broken",
+    default="",
+    help="Run this faulty variant (drill/faulty.py), to verify that the checker detects it.",
 )
 @click.option("--plot", type=click.Path(dir_okay=False), help="Plot the (last) run to this SVG or PNG file.")
 @json_option
@@ -100,14 +109,14 @@
     plot: str | None,
     json_: bool,
 ) -> None:
-    """Run SCENARIO (a file, or a name from `list`).
+    """Run SCENARIO (a file, or a name from `list`) and check its histories.
 
     Exits with 0 if all invariants held, 1 if one was broken, 2 after any other error.
     """
     parsed_scenario = scenarios.load(scenario)
     if processes is not None:
         parsed_scenario = scenarios.scaled(parsed_scenario, processes)
-    any_broken = 0
+    any_breach = 0
     for run_seed in range(seed, seed + seeds):
         folder = (
             Path(keep) / f"{Path(scenario).stem}-{run_seed}"
@@ -124,8 +133,8 @@
             if not keep:
                 shutil.rmtree(folder, ignore_errors=True)
         print_result(result, json_, format_result(result))
-        any_broken |= not result["held"]
-    sys.exit(int(any_broken))
+        any_breach |= not result["held"]
+    sys.exit(int(any_breach))
 
 
 @drill.command("list")
@@ -142,15 +151,20 @@
 @drill.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 @click.argument("scenario", type=click.Path())
-@click.option("--broken", default="", help="Faulty variant with which the schedule was run.")
+@click.option(
+    "--broken", default="", help="Faulty variant (drill/faulty.py) with which the schedule was run."
+)
 @json_option
 def shrink(folder: str, scenario: str, broken: str, json_: bool) -> None:
-    """Remove actions from the schedule in FOLDER while the remaining ones still break an invariant."""
+    """Minimize the failing schedule in FOLDER and write it to FOLDER/least.json.
+
+    Runs SCENARIO repeatedly, and removes actions from the schedule while the remaining ones still break an invariant.
+    """
     import msgspec
 
     parsed_scenario = scenarios.load(scenario)
     schedule = json.loads((Path(folder) / "schedule.json").read_text())
-    acts = [msgspec.convert(act, ScheduledAction) for act in schedule["acts"]]
+    actions = [msgspec.convert(action, ScheduledAction) for action in schedule["acts"]]
 
     def breaks_invariant(subset: list[ScheduledAction]) -> bool:
         with tempfile.TemporaryDirectory(prefix="drill-") as run_folder:
@@ -158,13 +172,13 @@
                 "held"
             ]
 
-    shortest = scenarios.minimized(acts, breaks_invariant)
+    minimal = scenarios.minimized(actions, breaks_invariant)
     (Path(folder) / "least.json").write_bytes(
-        msgspec.json.encode({"seed": schedule["seed"], "acts": shortest})
+        msgspec.json.encode({"seed": schedule["seed"], "acts": minimal})
     )
-    lines = [f"{len(shortest)} of {len(acts)} actions still break an invariant:"]
+    lines = [f"{len(minimal)} of {len(actions)} actions still break an invariant:"]
     print_result(
-        {"acts": len(shortest), "of": len(acts)},
+        {"acts": len(minimal), "of": len(actions)},
         json_,
-        lines + [f"{act.at_s:6.2f} s  {act.do} {' '.join(act.who)}" for act in shortest],
+        lines + [f"{action.at_s:6.2f} s  {action.do} {' '.join(action.who)}" for action in minimal],
     )
--- a/leadslip/cli/fleet.py
+++ b/leadslip/cli/fleet.py
@@ -30,7 +30,7 @@
 
 
 def fetch(ops: str, path: str) -> dict:
-    """GET a JSON document from a proxy's operators' address; raises AskError on any failure."""
+    """GET a JSON document from a proxy's operators' address; raises AskError if it gives none."""
     host, _, port = ops.rpartition(":")
     try:
         connection = http.client.HTTPConnection(host, int(port), timeout=5.0)
@@ -63,9 +63,9 @@
     from rich.table import Table
 
     rows = Table(title=title or None)
-    for name in ("name", "run", "address", "zone", "state", "way", "takes calls", "version"):
+    for name in ("name", "run", "address", "zone", "state", "path", "takes calls", "version"):
         rows.add_column(name)
-    rows.add_column("for s", justify="right")
+    rows.add_column("in state for s", justify="right")
     for member in view["members"]:
         metadata = member["facts"]
         state = f"[{STATE_COLOURS[member['state']]}]{member['state']}[/]"
@@ -155,16 +155,19 @@
 @fleet.command()
 @click.option(
     "--ops",
-    "several",
+    "addresses",
     required=True,
     multiple=True,
     metavar="ADDRESS",
-    help="Repeatable; views are compared.",
+    help="Operators' address of a proxy; give it once for each proxy to compare.",
 )
 @json_option
-def health(several: tuple[str, ...], json_: bool) -> None:
-    """Compare the views of proxies; exits with 1 if they differ, or if no peer has confirmed a proxy alive."""
-    views = {address: fetch(address, "/control/fleet") for address in several}
+def health(addresses: tuple[str, ...], json_: bool) -> None:
+    """Compare the views of proxies.
+
+    Exits with 1 if they differ, or if a proxy has not been confirmed alive by any peer.
+    """
+    views = {address: fetch(address, "/control/fleet") for address in addresses}
     digests = {view["digest"] for view in views.values()}
     rows = [
         (
--- a/leadslip/cli/lab.py
+++ b/leadslip/cli/lab.py
@@ -23,7 +23,10 @@
 @click.option("--plot", type=click.Path(dir_okay=False), help="Plot the run to this SVG or PNG file.")
 @json_option
 def fleet(scenario: str, members: int, seed: int, plot: str | None, json_: bool) -> None:
-    """Simulate a drill's SCENARIO; exits with 0 if all invariants held, 1 if one was broken."""
+    """Simulate SCENARIO (a file, or a name from `drill list`).
+
+    Exits with 0 if all invariants held, 1 if one was broken.
+    """
     from leadslip.lab.simulation import Simulation
 
     simulation = Simulation(load(scenario), members, seed)
--- a/leadslip/cli/output.py
+++ b/leadslip/cli/output.py
@@ -1,4 +1,4 @@
-"""Shared by all commands: output as JSON or text, and errors that are reported on one line."""
+"""Output of all commands as JSON or text, and errors that several commands raise."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
     return f"{value:.6g}" if isinstance(value, float) else str(value)
 
 
-def format_table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
+def format_table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
     """Format rows as aligned columns: text columns left-justified, numeric columns right-justified."""
-    formatted = [list(head)] + [[format_value(cell) for cell in row] for row in rows]
-    widths = [max(len(row[i]) for row in formatted) for i in range(len(head))]
-    left_justified = [all(isinstance(row[i], str) for row in rows) for i in range(len(head))]
+    formatted = [list(header)] + [[format_value(cell) for cell in row] for row in rows]
+    widths = [max(len(row[i]) for row in formatted) for i in range(len(header))]
+    left_justified = [all(isinstance(row[i], str) for row in rows) for i in range(len(header))]
     return [
         "  ".join(
             cell.ljust(width) if justify_left else cell.rjust(width)
--- a/leadslip/cli/run.py
+++ b/leadslip/cli/run.py
@@ -18,7 +18,8 @@
 def run(file: str | None) -> None:
     """Run one proxy until it has drained after SIGTERM; exits with code 2 if its configuration is invalid.
 
-    SIGHUP reloads the whole configuration. `python -O -m leadslip` does the same without debug assertions.
+    SIGHUP reloads the whole configuration. `python -O -m leadslip` runs the same proxy, but counts violated invariants
+    instead of failing on them.
     """
     if file is not None:
         os.environ["NODE_CONFIG"] = file
--- a/leadslip/cli/toy.py
+++ b/leadslip/cli/toy.py
@@ -27,11 +27,11 @@
 
 
 class ToyServerProtocol(Int16StringReceiver):
-    """One connection: answers a set-up while a line is free and releases the call after a time, else refuses it."""
+    """One connection: establishes a call if a line is free and releases it after `hold_s`; refuses it otherwise."""
 
     def connectionMade(self) -> None:  # noqa: N802
         server = self.factory
-        # Otherwise Nagle's algorithm delays a release until the preceding answer is acknowledged.
+        # Otherwise Nagle's algorithm would delay a release until the preceding answer is acknowledged.
         self.transport.setTcpNoDelay(True)
         server.connections.append(self)
         releases, server.recent_releases = server.recent_releases, []
@@ -63,7 +63,8 @@
         server = self.factory
         del server.release_timers[call_id]
         release = encode_message(RELEASE, call_id, (CAUSE, bytes((CAUSE_NORMAL,))), (REPORT, server.report()))
-        # Sent on the connection of the set-up, or on any open one, and repeated on the next one that is opened.
+        # Sent on the connection of the set-up, else on any open one, and repeated on the next that opens: the first may
+        # be closing and lose it.
         server.recent_releases = [*server.recent_releases[-99:], release]
         if server.connections:
             (self if self in server.connections else server.connections[0]).send(release)
@@ -74,7 +75,7 @@
 
 
 class ToyServerFactory(protocol.Factory):
-    """State of the toy server that all its connections share."""
+    """The toy server: its lines, and the state that all its connections share."""
 
     protocol = ToyServerProtocol
 
@@ -82,15 +83,15 @@
         self.reactor, self.lines, self.hold_s, self.log = reactor, lines, hold_s, log
         self.release_timers: dict[bytes, object] = {}  # call id -> timer of its release
         self.connections: list[ToyServerProtocol] = []
-        self.recent_releases: list[bytes] = []  # up to 100 sent since the last connection was opened
+        self.recent_releases: list[bytes] = []  # the latest 100 since a connection was last opened
 
     def report(self) -> bytes:
-        """Return a load report: the free lines and all lines."""
+        """Return a load report: the number of free lines (x0) and of all lines (x1)."""
         return b"x0:%d;x1:%d" % (self.lines - len(self.release_timers), self.lines)
 
 
 class ToyBoardProtocol(LineReceiver):
-    """A notice board without server list updates; sends a keep-alive comment every second."""
+    """A notice board that has no server list updates, and sends a keep-alive comment every second."""
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         if not line:
--- a/leadslip/cli/trunks.py
+++ b/leadslip/cli/trunks.py
@@ -72,7 +72,7 @@
 
 @trunks.command()
 @load_option
-@click.option("--blocking", "lost", type=float, required=True, help="Permitted blocking probability.")
+@click.option("--blocking", "max_blocking", type=float, required=True, help="Permitted blocking probability.")
 @click.option(
     "--module", type=int, default=1, help="Trunks per module: the size is rounded up to whole modules."
 )
@@ -87,7 +87,7 @@
 @json_option
 def size(
     erlangs: float,
-    lost: float,
+    max_blocking: float,
     module: int,
     peakedness: float,
     growth: float,
@@ -98,7 +98,7 @@
     """Number of trunks for a load and a grade of service."""
     if calls is not None:
         erlangs = sizing.measured_bounds(erlangs, calls, confidence=confidence)[1]
-    sized = sizing.size(erlangs, lost, module, peakedness, growth)
+    sized = sizing.size(erlangs, max_blocking, module, peakedness, growth)
     result = {
         "trunks": sized.trunks,
         "blocking": sized.blocking,
@@ -111,15 +111,15 @@
 
 @trunks.command()
 @trunks_option
-@click.option("--blocking", "lost", type=float, required=True, help="Permitted blocking probability.")
+@click.option("--blocking", "max_blocking", type=float, required=True, help="Permitted blocking probability.")
 @click.option("--peakedness", type=float, default=1.0, help="Variance-to-mean ratio of the load.")
 @json_option
-def load(trunks_: int, lost: float, peakedness: float, json_: bool) -> None:
-    """Load that a group can carry at a grade of service."""
+def load(trunks_: int, max_blocking: float, peakedness: float, json_: bool) -> None:
+    """Largest offered load at which a group meets a grade of service, in all and for each trunk."""
     load_erlangs = (
-        losses.load_for(trunks_, lost)
+        losses.load_for(trunks_, max_blocking)
         if peakedness == 1.0
-        else losses.load_for_peaked(trunks_, peakedness, lost)
+        else losses.load_for_peaked(trunks_, peakedness, max_blocking)
     )
     print_result({"erlangs": load_erlangs, "each": load_erlangs / trunks_}, json_)
 
@@ -137,15 +137,19 @@
 @trunks.command()
 @click.option("--carried", type=float, required=True, help="Carried load in erlangs.")
 @click.option(
-    "--blocking", "lost", type=float, required=True, help="Measured fraction of attempts that are lost."
+    "--blocking",
+    "measured_blocking",
+    type=float,
+    required=True,
+    help="Measured fraction of attempts that are lost.",
 )
 @click.option(
     "--persistence", type=float, required=True, help="Fraction of lost attempts that are redialled."
 )
 @json_option
-def fresh(carried: float, lost: float, persistence: float, json_: bool) -> None:
+def fresh(carried: float, measured_blocking: float, persistence: float, json_: bool) -> None:
     """First-attempt offered load, without redials (ITU-T E.501)."""
-    print_result({"erlangs": redial_model.fresh_load(carried, lost, persistence)}, json_)
+    print_result({"erlangs": redial_model.fresh_load(carried, measured_blocking, persistence)}, json_)
 
 
 @trunks.command()
@@ -154,15 +158,15 @@
 @click.option("--others", type=float, required=True, help="Load of the other classes in erlangs.")
 @click.option(
     "--blocking",
-    "goal",
+    "max_blocking",
     type=float,
     required=True,
     help="Permitted blocking probability of the protected class.",
 )
 @json_option
-def reserve(trunks_: int, spared: float, others: float, goal: float, json_: bool) -> None:
-    """Trunk reservation levels up to the first that meets the goal, with the blocking of the other classes."""
-    reserved_levels = sizing.levels(trunks_, spared, others, goal)
+def reserve(trunks_: int, spared: float, others: float, max_blocking: float, json_: bool) -> None:
+    """Trunk reservation levels from 0 up to the first that meets the grade of service of the protected class."""
+    reserved_levels = sizing.levels(trunks_, spared, others, max_blocking)
     lines = format_table(
         ("level", "protected blocking", "others blocking", "carried"),
         [
@@ -171,25 +175,29 @@
         ],
     )
     print_result(
-        {"levels": reserved_levels, "reached": reserved_levels[-1].spared_blocking <= goal}, json_, lines
+        {"levels": reserved_levels, "reached": reserved_levels[-1].spared_blocking <= max_blocking},
+        json_,
+        lines,
     )
 
 
 @trunks.command("plan")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--store", "path", type=click.Path(dir_okay=False), help="Read measured loads from this store.")
+@click.option(
+    "--store", "store_path", type=click.Path(dir_okay=False), help="Read measured loads from this store."
+)
 @json_option
 @raise_file_error(OSError, tomllib.TOMLDecodeError)
-def plan_(file: str, path: str | None, json_: bool) -> None:
-    """Size all groups of a plan; groups that overflow are sized together with their final group."""
+def plan_(file: str, store_path: str | None, json_: bool) -> None:
+    """Size all groups of the plan FILE; groups that overflow are sized together with their final group."""
     with open(file, "rb") as plan_file:
         fields = tomllib.load(plan_file)
     confidence = plan.figure(fields, "confidence", "", 0.01, 0.999999, 0.95)
     measured = None
-    if path is not None:
+    if store_path is not None:
         from leadslip.trunks import report
 
-        quarters = report.Quarters(path)
+        quarters = report.Quarters(store_path)
 
         def measured(group: str) -> float:
             return quarters.upper_load(group, "tcbh", confidence)
@@ -197,7 +205,17 @@
     planned_groups = plan.solve(plan.read(fields, measured))
     cost = sum(planned.cost for planned in planned_groups)
     lines = format_table(
-        ("group", "role", "erlangs", "trunks", "blocking", "one less", "one more", "cost", "to add"),
+        (
+            "group",
+            "role",
+            "erlangs",
+            "trunks",
+            "blocking",
+            "one trunk less",
+            "one trunk more",
+            "cost",
+            "to add",
+        ),
         [
             (
                 planned.name,
@@ -227,24 +245,25 @@
 @click.argument("store", type=click.Path(dir_okay=False))
 @click.option(
     "--busy-hour",
-    "kind",
+    "busy_hour_kind",
     type=click.Choice(["tcbh", "adph"]),
     default="tcbh",
-    help="Time-consistent (E.492) or daily peak (E.500).",
+    help="tcbh: time-consistent (E.492); adph: average daily peak hour (E.500).",
 )
 @click.option("--group", help="Report only this group.")
 @click.option("--confidence", type=float, default=0.95, help="Confidence level of the load's limits.")
 @click.option("--plot", type=click.Path(dir_okay=False), help="Plot the days to this SVG or PNG file.")
 @json_option
 def report_(
-    store: str, kind: str, group: str | None, confidence: float, plot: str | None, json_: bool
+    store: str, busy_hour_kind: str, group: str | None, confidence: float, plot: str | None, json_: bool
 ) -> None:
-    """Report the busy hour of each group from the traffic measured by a proxy."""
+    """Report the busy hour of each group from the traffic that a proxy has measured and written to STORE."""
     from leadslip.trunks import report
 
     quarters = report.Quarters(store)
     reports = [
-        quarters.group_report(name, kind, confidence) for name in ([group] if group else quarters.groups)
+        quarters.group_report(name, busy_hour_kind, confidence)
+        for name in ([group] if group else quarters.groups)
     ]
     if plot is not None:
         try:
@@ -258,7 +277,7 @@
             "erlangs",
             "low",
             "high",
-            "naive",
+            "all attempts",
             "blocking",
             "redialled",
             "days",
@@ -294,4 +313,6 @@
             start = datetime.datetime.fromtimestamp(start_s, datetime.UTC)
             lines.append(f"{group_report.group}: surge of {peak:.4g} erlangs on {start:%Y-%m-%d}, excluded")
     lines += [f"damaged record, excluded: {record}" for record in quarters.damaged_records]
-    print_result({"busy_hour": kind, "groups": reports, "damaged": quarters.damaged_records}, json_, lines)
+    print_result(
+        {"busy_hour": busy_hour_kind, "groups": reports, "damaged": quarters.damaged_records}, json_, lines
+    )
