--- a/example/call.py
+++ b/example/call.py
@@ -1,4 +1,4 @@
-"""Places one call through the proxy and prints all responses until the call has ended."""
+"""Places one call through the proxy of example/config.json and prints all messages received until the call ends."""
 
 import secrets
 import socket
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,4 +1,4 @@
-"""Runs a toy setup server and notice board: every call is established at once and ends after one second.
+"""Runs a toy setup server and notice board: calls are established at once and end after one second.
 
 Start this first, then the proxy (NODE_CONFIG=example/config.json), then example/call.py.
 """
