--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""The build command of deploy/balancer.toml: rebuilds when its inputs change, and compiles bytecode for `run`."""
+"""The build command of deploy/balancer.toml: installs again only if its inputs change, and compiles the bytecode."""
 
 import os
 import subprocess
@@ -7,10 +7,10 @@
 
 from tests.standins import ROOT
 
-PIP = """#!/bin/sh
+FAKE_PIP = """#!/bin/sh
 echo "$*" >>installed
 """
-PYTHON = """#!/bin/sh
+FAKE_PYTHON = """#!/bin/sh
 case "$1" in
   --version) cat version ;;
   -m) mkdir -p .venv/bin .venv/lib && ln -s {python} .venv/bin/python && cp pip .venv/bin/pip ;;
@@ -34,7 +34,7 @@
     (tmp_path / "leadslip" / "one.py").write_text("ONE = 1\n")
     (tmp_path / "requirements.txt").write_text("one==1\n")
     (tmp_path / "version").write_text("Python 1\n")
-    for name, text in (("pip", PIP), ("bin/python3", PYTHON.format(python=sys.executable))):
+    for name, text in (("pip", FAKE_PIP), ("bin/python3", FAKE_PYTHON.format(python=sys.executable))):
         (tmp_path / name).write_text(text)
         (tmp_path / name).chmod(0o755)
     assert (build(tmp_path), build(tmp_path)) == (1, 1), "no rebuild when nothing has changed"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the `leadslip` command (JSON output, error lines, demo, reports), of logs, and of settings files."""
+"""The `leadslip` command (JSON output, error lines, demo, reports), the log formats, and errors in settings files."""
 
 import io
 import json
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "named"),
+    ("words", "error_part"),
     [
         ("trunks blocking --erlangs 0 --trunks 15", "erlangs"),
         ("trunks blocking --erlangs ten --trunks 15", "--erlangs"),
@@ -71,9 +71,9 @@
         ("demo --calls 0", "--calls"),
     ],
 )
-def test_usage_errors_are_one_line_with_exit_code_2(capsys, words, named):
+def test_usage_errors_are_one_line_with_exit_code_2(capsys, words, error_part):
     code, out, err = run_command(capsys, *words.split())
-    assert (code, out) == (2, "") and named in err and len(err.splitlines()) == 1
+    assert (code, out) == (2, "") and error_part in err and len(err.splitlines()) == 1
 
 
 def test_help_lists_every_group_and_each_group_loads(capsys):
@@ -116,7 +116,7 @@
 
 @pytest.fixture
 def history(tmp_path):
-    """Path of a store with eight days of traffic: a surge on one day, and one missing interval."""
+    """Path of a store with eight days of traffic of the group north: a surge on one day, and one missing interval."""
     path = str(tmp_path / "leadslip.db")
     store = Store(path)
     intervals = days(8, lambda day, q: (50.0 if day == 5 else 20.0) if 50 <= q < 54 else 2.0)
--- a/tests/test_configure.py
+++ b/tests/test_configure.py
@@ -1,4 +1,4 @@
-"""The configuration tool: the files that it writes are valid, and errors name the offending key."""
+"""The configuration tool writes only valid files, and its errors name the key; the files shipped are valid."""
 
 import json
 import tomllib
@@ -70,15 +70,15 @@
     root = configure.Path(__file__).parent.parent
     for name in parts.NAMES:
         table = tomllib.loads((root / "deploy" / f"{name}.toml").read_text())
-        check, context = (
+        validate, context = (
             parts.settings_class(name).settings,
             parts.SettingsContext(settings={"store": True, "fleet": True}),
         )
-        assert check(table, context) == (LogsConfig() if name == "logs" else None)
+        assert validate(table, context) == (LogsConfig() if name == "logs" else None)
         with pytest.raises(config.MalformedError, match="odd is unknown"):
-            check(table | {"odd": 1}, context)
+            validate(table | {"odd": 1}, context)
         if name != "logs":
-            assert check(table | {"enabled": True}, context) is not None
+            assert validate(table | {"enabled": True}, context) is not None
 
 
 def test_the_example_configuration_is_valid():
@@ -86,7 +86,8 @@
     assert config.config_of(json.loads(path.read_text())).name == "example"
 
 
-STORED = """
+# The store and the trunk group of an application, to be completed with a file name and a call class.
+STORE_TABLES = """
 [application.store]
 enabled = true
 path = "/var/lib/leadslip/{}.db"
@@ -103,10 +104,13 @@
 
 def test_stores_and_trunk_groups_are_written_and_a_store_file_used_twice_is_refused(source, tmp_path, capsys):
     first, second = SOURCE.rstrip().rsplit("[[application]]", 1)
-    text = first + STORED.format("a", "resident-call") + "\n[[application]]" + second
+    text = first + STORE_TABLES.format("a", "resident-call") + "\n[[application]]" + second
 
-    def write(path, call_class):
-        return configure.main(["write", source(text + STORED.format(path, call_class)), str(tmp_path / path)])
+    def write(store, call_class):
+        """Writes both applications, the first with the store `a`; `store` and `call_class` are of the second."""
+        return configure.main(
+            ["write", source(text + STORE_TABLES.format(store, call_class)), str(tmp_path / store)]
+        )
 
     assert write("b", "officer-call") == 0
     for name, call_class in (("siren-desk", "resident-call"), ("voice-alerts", "officer-call")):
--- a/tests/test_enum.py
+++ b/tests/test_enum.py
@@ -22,6 +22,8 @@
 
 NAME = b"9.8.7.6.5.4.3.2.1.2.8.e164.arpa"
 
+# Behaviours of a stand-in resolver: each returns the messages that it sends when it has received a query.
+
 
 def replies(received):
     return [reply(received)]
@@ -36,10 +38,12 @@
 
 
 def half_reply(received):
+    """Truncated over UDP, and never finished over TCP."""
     return [reply(received)[:20]] if received.over_tcp else [reply(received, records=0, trunc=1)]
 
 
 def spoofed(received):
+    """What a third party may send: a wrong id, another question, a malformed message, and a query."""
     other_question = [dns.Query(b"1.e164.arpa", dns.NAPTR)]
     return [
         reply(received, id=received.id ^ 1),
@@ -50,6 +54,7 @@
 
 
 def wrong_owner(received):
+    """The record belongs to a name that was not asked for."""
     return [reply(received, owner=b"1.e164.arpa")]
 
 
@@ -62,6 +67,7 @@
     started = []
 
     def begin(*behaviours, release=True, **changes):
+        """Starts a resolver for each behaviour, and a proxy (under -O if `release`) with changed ENUM settings."""
         resolvers = [Resolver(behaviour) for behaviour in behaviours]
         numbers = {"attempt_ms": 200, "answer_within_ms": 1500} | changes
         lines = [f'listen = "{HOST}:0"', f"resolvers = {[r.address for r in resolvers]}", "enabled = true"]
@@ -124,11 +130,9 @@
     answer = ask(program.enum_address, NAME, over_tcp=True)
     assert len(answer.answers) == 40
     assert [received.over_tcp for received in resolver.queries] == [False, True]
+    # Over UDP the reply is too long for this client, which has to retry over TCP.
     udp_answer = ask(program.enum_address, NAME)
-    assert (udp_answer.trunc, udp_answer.answers) == (
-        1,
-        [],
-    )  # too long for a datagram to this client, which retries over TCP
+    assert (udp_answer.trunc, udp_answer.answers) == (1, [])
 
 
 def test_after_one_resolver_stops_the_other_answers_all_queries(start):
@@ -218,6 +222,7 @@
 
 
 def test_an_unfinished_reply_over_tcp_does_not_block_later_replies():
+    """Guards against replies that wait behind an unfinished one: the connection must be replaced."""
     world, connects, sent = SilentUpstream(), [], []
     resolver = world.resolver
     resolver.upstream.reactor = SimpleNamespace(connectTCP=lambda *args, **kwargs: connects.append(1))
@@ -229,6 +234,7 @@
     )
 
     def ask_truncated(name):
+        """Makes a look-up whose reply over UDP is truncated; returns the reply to send over TCP."""
         world.downstream.handle_query(query(name), sent.append, name, None)
         received = dns.Message(list(resolver.pending)[-1])
         received.queries = [dns.Query(name, dns.NAPTR)]
@@ -247,7 +253,7 @@
     first.dataReceived(b"\0\x40half")
     world.clock.advance(0.3)
     second = ask_truncated(b"9." + NAME)
-    world.clock.advance(0.11)
+    world.clock.advance(0.11)  # the first attempt times out, 400 ms after its start
     assert first.transport.disconnecting and len(connects) == 2
     connect().dataReceived(struct.pack("!H", len(second)) + second)
     world.clock.advance(1.2)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors reported to operators: each has a type, a code and an action, and no raise bypasses these types."""
+"""Errors reported to operators: each type has a code and an action, and the program raises no error of another type."""
 
 import ast
 import json
@@ -6,18 +6,18 @@
 
 import pytest
 
-from leadslip.cli import errors as page
+from leadslip.cli import errors as errors_page
 from leadslip.cli import main
 from leadslip.errors import all_errors
 from leadslip.operators import problem
 from tests.standins import ROOT
 
-# Internal: caught within the program, or raised for a programming error; never reported to an operator.
+# Caught within the program, or raised for a programming error: never reported to an operator.
 INTERNAL = {
     "MessageError",  # a malformed message of a peer, refused and counted
     "WireError",  # an invalid datagram of a member, refused and counted
     "ViolationError",  # the model check has found a defect in the program
-    "TypeError",  # an action without a line in the simulator's protocol; does not occur in a program that starts
+    "TypeError",  # programming error: an action for which the simulator's protocol has no line
     "CannotListenError",  # converted to ListenError in __main__, or another port is tried
     "CorruptError",  # converted to StoreError where it is raised
     "ValueError",  # two filters of one name (filters.py); a collector's error status (net/otlp.py), counted
@@ -26,12 +26,12 @@
 
 @pytest.fixture(scope="module")
 def types():
-    page.load()
+    errors_page.load()
     return {error_type.__name__: error_type for error_type in all_errors()}
 
 
 def raised():
-    """Each raise of a new error in the program: its location and the name of the type."""
+    """The location and the type's name of each `raise` in the program that creates an error."""
     for path in sorted(Path(ROOT, "leadslip").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Raise) and isinstance(node.exc, ast.Call):
@@ -45,7 +45,7 @@
 
 
 def test_every_raise_is_of_an_operator_error_or_an_internal_type(types):
-    copies = {"with_prefix"}  # of MalformedError: returns the same type with a path before the key
+    copies = {"with_prefix"}  # MalformedError.with_prefix returns an error of the same type
     bypassing = [item for item in raised() if item[1] not in types.keys() | INTERNAL | copies]
     assert not bypassing
     assert len([item for item in raised() if item[1] in types]) > 100
@@ -65,7 +65,7 @@
 
 
 def test_the_page_of_errors_is_up_to_date():
-    assert Path(ROOT, "docs/operators/errors.md").read_text() == page.page()
+    assert Path(ROOT, "docs/operators/errors.md").read_text() == errors_page.page()
 
 
 def test_an_error_is_the_same_in_log_http_answer_and_command_output(types, capsys, tmp_path):
--- a/tests/test_otlp.py
+++ b/tests/test_otlp.py
@@ -13,10 +13,10 @@
 
 
 class Collector(Listener):
-    """A collector that stores the exports it receives, or reads them and never answers."""
+    """A collector that stores the exports it receives, or only counts them and never answers."""
 
     def __init__(self, answers=True):
-        self.answers, self.metrics, self.spans, self.bodies = answers, {}, [], 0
+        self.answers, self.metrics, self.spans, self.export_count = answers, {}, [], 0
         super().__init__()
 
     def serve(self, connection):
@@ -27,7 +27,7 @@
                 if line.lower().startswith(b"content-length:"):
                     size = int(line.split(b":")[1])
             body = file.read(size)
-            self.bodies += 1
+            self.export_count += 1
             if not self.answers:
                 time.sleep(60)
             if b"/v1/metrics" in request_line:
@@ -46,6 +46,7 @@
     started = []
 
     def begin(collector, *lines):
+        """Starts a proxy that exports to this address every 50 ms, with further lines in otlp.toml."""
         text = ["enabled = true", f'collector = "{collector}"', "interval_ms = 50", *lines]
         (tmp_path / "otlp.toml").write_text("\n".join(text))
         monkeypatch.setenv("LEADSLIP_OTLP", str(tmp_path / "otlp.toml"))
@@ -58,7 +59,8 @@
         assert program.stop() == 0 and "Traceback" not in "".join(program.log), program.log
 
 
-def call(program, count=1):
+def place_calls(program, count=1):
+    """Places calls one after another, each of which is established and ended by the server."""
     caller = Caller(program)
     for i in range(count):
         caller.invite(f"{i:016x}")
@@ -68,7 +70,7 @@
 
 def test_the_collector_receives_counters_and_the_spans_of_a_call(start):
     collector = Collector()
-    call(start(collector.address))
+    place_calls(start(collector.address))
     wait_for(lambda: len(collector.spans) == 2 and collector.metrics.get("leadslip.attempts.served"))
     span_of_kind = {span.kind: span for span in collector.spans}
     server, client = span_of_kind[Span.SPAN_KIND_SERVER], span_of_kind[Span.SPAN_KIND_CLIENT]
@@ -81,7 +83,7 @@
 
 def test_an_unreachable_collector_delays_no_call_and_dropped_spans_are_counted(start):
     program = start(f"{HOST}:1", "most_spans = 10")
-    call(program, 20)
+    place_calls(program, 20)
     program.stop()
     counts = program.counts()
     assert counts["answers.stands"] == 20 and counts["otlp.failed_exports"] and counts["otlp.dropped_spans"]
@@ -90,8 +92,8 @@
 def test_a_collector_that_never_answers_delays_no_call_and_the_span_queue_is_bounded(start):
     collector = Collector(answers=False)
     program = start(collector.address, "most_spans = 5", "timeout_ms = 20000")
-    wait_for(lambda: collector.bodies > 0)
-    call(program, 20)
+    wait_for(lambda: collector.export_count > 0)
+    place_calls(program, 20)
     program.stop()
     counts = program.counts()
     assert counts["answers.stands"] == 20 and counts["otlp.dropped_spans"] >= 20
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,15 +1,16 @@
-"""The import graph has no cycles, counting imports for type checking and imports inside functions."""
+"""The import graph has no cycles, counting imports for type checking and in functions; few modules import Twisted."""
 
 import ast
 from pathlib import Path
 
 from tests.standins import ROOT
 
-TWISTED_BY = ("leadslip.net", "leadslip.__main__", "leadslip.cli")  # may import Twisted
+# Prefixes of the modules that may import Twisted.
+TWISTED_IMPORTERS = ("leadslip.net", "leadslip.__main__", "leadslip.cli")
 
 
 def imports():
-    """Each module of the program -> the modules of the program and of Twisted that it imports anywhere."""
+    """Each module of the program -> the modules of the program and of Twisted that it imports, at any level."""
     paths = {
         ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
         for path in Path(ROOT, "leadslip").rglob("*.py")
@@ -58,19 +59,19 @@
 
 def test_the_import_graph_has_no_cycles():
     graph = imports()
-    assert len(graph) > 70
+    assert len(graph) > 70  # else the search has missed modules
     assert cycles(graph) == []
 
 
-def test_a_cycle_is_found():
+def test_the_search_for_cycles_finds_one():
     assert cycles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == [["a", "b", "c"]]
 
 
 def test_only_the_network_modules_and_programs_import_twisted():
-    wrong = [
+    violations = [
         (module, name)
         for module, imported in imports().items()
         for name in imported
-        if name.startswith("twisted") and not module.startswith(TWISTED_BY)
+        if name.startswith("twisted") and not module.startswith(TWISTED_IMPORTERS)
     ]
-    assert not wrong
+    assert not violations
