--- a/leadslip/config.py
+++ b/leadslip/config.py
@@ -315,7 +315,10 @@
         raise MissingError(f"{name} is missing")
     value = table[key]
     if not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
-        raise MalformedError(f"{name} has the wrong type: {json.dumps(value)[:80]}")
+        raise MalformedError(
+            f"{name} has the wrong type: {json.dumps(value)[:80]}; expected "
+            f"{' or '.join(type_.__name__ for type_ in (types if isinstance(types, tuple) else (types,)))}"
+        )
     return value
 
 
@@ -370,7 +373,7 @@
     try:
         settings = parse_settings(flat)
         if integer(flat, "services.count") < 1:
-            raise MalformedError("services is empty: at least one call class is required")
+            raise MalformedError("services is empty: a list of at least one call class is required")
         for key in POSITIVE_KEYS + tuple(f"services.{i}.deadline_ms" for i in range(len(settings.classes))):
             if key in flat and not number(flat, key) > 0:
                 raise BoundsError(f"{key} must be above 0: {flat[key]}")
--- a/leadslip/net/enum.py
+++ b/leadslip/net/enum.py
@@ -126,10 +126,10 @@
     def handle_query(
         self, data: bytes, send_reply: SendReply, client: object, max_size: int | None
     ) -> Request | None:
-        """Offers an ENUM look-up to the engine and returns its request; replies to any other query with an error.
+        """Offers a new ENUM look-up to the engine and returns its request; replies to any other query with an error.
 
-        `client` identifies the sender; `max_size` limits the reply in bytes, None: as the query states for UDP. Raises
-        MessageError for a malformed query.
+        `client` identifies the sender; `max_size` limits the reply in bytes, None: as the query states for UDP. A
+        retransmission is ignored. Raises MessageError for a malformed query.
         """
         message = parse_message(data)
         if message.answer:  # the QR bit
@@ -148,7 +148,7 @@
         elif number is None or query.cls != dns.IN or query.type != dns.NAPTR:
             self.metrics.add("enum.not_served")
             send_reply(client_query.empty_reply(dns.EREFUSED))
-        elif key not in self.open_requests:  # retransmissions get no reply of their own
+        elif key not in self.open_requests:  # else a retransmission: the reply to the first query serves it
             self.request_count += 1
             valid_until_ms = self.deadlines.clock.now_ms() + self.conf.answer_within_ms
             request = Request(f"{self.request_count:016x}", "enum", valid_until_ms, self)
@@ -173,6 +173,7 @@
     # Callbacks of the engine.
 
     def established(self, request: Request, payload: object) -> None:
+        """Forwards a resolver's reply; if it is too long for the client, an empty one that makes it retry over TCP."""
         client_query: ClientQuery = request.context
         if len(payload) > client_query.max_size:
             self._reply(request, client_query.empty_reply(dns.OK, TRUNCATED))
@@ -218,7 +219,8 @@
         self.inbound.remove(self)
 
     def stringReceived(self, view: memoryview) -> None:
-        replies: list[str] = []  # not empty once the query has been replied to
+        # Not empty once the query has been replied to, which may happen before handle_query returns.
+        replies: list[str] = []
 
         def send_reply(reply: bytes) -> None:
             replies.append("")  # only marks the query as replied to
