--- a/leadslip/drill/callers.py
+++ b/leadslip/drill/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a fault-injection run: place calls by SIP over TCP at each process and record every answer. asyncio."""
+"""Callers of a fault-injection run: send calls by SIP over TCP to each process and record every answer. asyncio."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 async def release_calls(address: tuple[str, int], calls: list[str]) -> list[int]:
-    """Release calls at a process; returns the status of each answer, 0 for a missing one."""
+    """Request the release of calls, by Call-ID, at a process; returns the status of each answer, 0 without one."""
     statuses: list[int] = []
     try:
         reader, writer = await asyncio.open_connection(*address)
@@ -39,24 +39,36 @@
 
 
 class Caller:
-    """Places calls at one process over one connection at a time, and records the answers."""
+    """Sends `rate` calls per second to one process over one connection at a time, and records the answers.
+
+    `calls` maps each Call-ID to a record, which a run writes to calls.json: `at_ms` is the Unix time of the call,
+    `answers` lists the time and status of each final answer, `lost` says that the connection ended without an answer,
+    and `released` is the status of the answer to the caller's BYE (0: none yet).
+    """
 
     def __init__(
-        self, name: str, address: tuple[str, int], rate: float, seed: int, releases_calls: bool = False
+        self,
+        process_name: str,
+        address: tuple[str, int],
+        rate: float,
+        seed: int,
+        releases_calls: bool = False,
     ) -> None:
-        self.releases_calls = releases_calls  # release half of the established calls, about a second later
-        self.name, self.address, self.rate, self.rng = name, address, rate, Random(seed)
+        self.releases_calls = (
+            releases_calls  # release half of the established calls, each 1 s after its answer
+        )
+        self.process_name, self.address, self.rate, self.rng = process_name, address, rate, Random(seed)
         self.calls: dict[bytes, dict] = {}
         self.writer: asyncio.StreamWriter | None = None
 
     async def run(self) -> None:
-        """Place calls at random intervals until cancelled."""
+        """Send calls at random intervals until cancelled; reconnects when the connection ends."""
         while True:
             try:
                 if self.writer is None or self.writer.is_closing():
                     reader, self.writer = await asyncio.open_connection(*self.address)
                     asyncio.get_running_loop().create_task(self.listen(reader, self.writer))
-                    # The proxy closes a connection that is silent for 2 s; a call sent at that moment would be lost.
+                    # The proxy closes a connection without a first message within 2 s; a call sent then would be lost.
                     self.writer.write(OPTIONS % f"{self.rng.getrandbits(64):016x}".encode())
                 await asyncio.sleep(self.rng.expovariate(self.rate))
                 if self.writer.is_closing():
@@ -64,7 +76,7 @@
                 id_ = f"{self.rng.getrandbits(64):016x}"
                 call = {
                     "id": id_,
-                    "proxy": self.name,
+                    "proxy": self.process_name,
                     "at_ms": time.time() * 1000.0,
                     "answers": [],
                     "lost": False,
@@ -84,7 +96,7 @@
             writer.write(BYE % id_)
 
     async def listen(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Record answers until the connection ends; calls still unanswered are marked lost."""
+        """Record answers, and confirm releases by the proxy, until the connection ends; marks unanswered calls lost."""
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
--- a/leadslip/drill/clocks.py
+++ b/leadslip/drill/clocks.py
@@ -1,7 +1,7 @@
-"""Runs the program under manipulated clocks: `python -m leadslip.drill.clocks FILE` in place of `-m leadslip`.
+"""Runs the program with manipulated clocks: `python -m leadslip.drill.clocks FILE` in place of `-m leadslip`.
 
 FILE holds two doubles: the offset of the Unix clock in seconds (a change while the process runs makes it jump), and
-the drift of the monotonic clocks in parts per million, from the start of the process.
+the drift of the monotonic clocks in parts per million, which is read once at the start of the process.
 """
 
 from __future__ import annotations
@@ -12,23 +12,25 @@
 import sys
 import time
 
-LAYOUT = struct.Struct("=dd")
+LAYOUT = struct.Struct(
+    "=dd"
+)  # content of FILE: offset of the Unix clock in s, drift of the monotonic clocks in ppm
 
 
 class Clocks:
-    """Controls the clocks of one process through its file."""
+    """Sets the clocks of one process by writing its file."""
 
     def __init__(self, path: str, drift_ppm: float) -> None:
         self.path, self.drift_ppm = path, drift_ppm
         self.set_offset(0.0)
 
     def set_offset(self, offset_s: float) -> None:
-        """Set the offset of the Unix clock from the true time."""
+        """Set the offset of the Unix clock from the true time, in the same file, as the process has it mapped."""
         with open(self.path, "r+b" if self.exists() else "w+b") as file:
             file.write(LAYOUT.pack(offset_s, self.drift_ppm))
 
     def exists(self) -> bool:
-        """Whether the file has been written already."""
+        """Whether the file has been written completely before."""
         try:
             with open(self.path, "rb") as file:
                 return len(file.read()) == LAYOUT.size
@@ -37,7 +39,7 @@
 
 
 def install(path: str) -> None:
-    """Replace this process's clock functions by ones that follow a file."""
+    """Replace the clock functions of the `time` module by ones that apply the offset and drift in a file."""
     with open(path, "rb") as file:
         mapped = mmap.mmap(file.fileno(), LAYOUT.size, prot=mmap.PROT_READ)
     true_time, true_monotonic, true_clock_gettime = time.time, time.monotonic, time.clock_gettime
--- a/leadslip/drill/faulty.py
+++ b/leadslip/drill/faulty.py
@@ -1,6 +1,7 @@
 """Faulty variants of the view and the agreement, which the checker must detect, and a view of the previous version.
 
-Settings accept them in debug builds only (parts/fleet).
+The setting `fleet.broken` selects one by its key in VIEW_VARIANTS or AGREEMENT_VARIANTS; it is accepted in debug builds
+only (leadslip/parts/fleet/settings.py).
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 from leadslip.fleet.view.view import OwnMember, View
 
 
-class Deaf(View):
-    """Ignores that it was declared dead, and goes on under the same run (violates V1)."""
+class IgnoresOwnDeath(View):
+    """Continues under the same run after it was declared dead, instead of as the next generation (violates V1)."""
 
     def _start_generation(self, now_ms: float, run: int) -> None:
         return
 
 
-class Apart(View):
+class NeverReconnects(View):
     """Never contacts dead members or the seeds again, so that a partition does not heal (violates V2)."""
 
     def _contact_absent(self, now_ms: float, _: int) -> None:
@@ -33,19 +34,22 @@
             super()._contact_absent(now_ms, _)
 
 
-class Forgiving(View):
-    """Accepts a dead member again under the same run when an update says it is alive (violates V3)."""
+class RevivesDeadRuns(View):
+    """Holds a dead run as alive again when an update with a higher incarnation says so (violates V3).
+
+    A process that was declared dead publishes such an update about itself.
+    """
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)
-        self.table.__class__ = ForgivingTable
+        self.table.__class__ = RevivingTable
 
     def _start_generation(self, now_ms: float, run: int) -> None:
         self.incarnation += 1
         self._publish_self(now_ms)
 
 
-class ForgivingTable(Table):
+class RevivingTable(Table):
     """A table in which a dead run can become alive again by a higher incarnation."""
 
     def _revive(self, run: int, state: int, incarnation: int) -> None:
@@ -67,8 +71,8 @@
         return super().apply_update(update, now_ms)
 
 
-class Waiting(View):
-    """Blocks its process for 6 s before it declares a suspected member dead (violates C1: calls wait for the fleet)."""
+class BlocksOnSuspicion(View):
+    """Blocks its process for 6 s before it declares a suspected member dead, so that calls time out (violates C1)."""
 
     def _on_suspicion_timeout(self, now_ms: float, key: int) -> None:
         if key in self.suspicions:
@@ -77,7 +81,10 @@
 
 
 class PreviousVersion(View):
-    """Speaks wire version 1 only, as older releases do: sends no facts, ignores editions, refuses version 2."""
+    """Not faulty: speaks wire version 1 only, as older releases do.
+
+    Sends no metadata, ignores the editions of others' metadata, and refuses messages of later versions.
+    """
 
     max_version = 1
 
@@ -100,26 +107,26 @@
         return [msgspec.structs.replace(member, edition=0) for member in members]
 
 
-class Timeless(Agreement):
-    """Applies its current revision however long ago its freshness was confirmed (violates A2)."""
+class IgnoresExpiry(Agreement):
+    """Applies its revision even when a leader has not confirmed it within `in_force_ms` (violates A2)."""
 
     def rules_in_effect(self, now_ms: float) -> Rules:
         return self.rules if self.rules is not None else self.fallback_rules
 
 
-class Headstrong(Agreement):
+class CommitsWithoutMajority(Agreement):
     """Commits entries that only the leader has stored, and stays leader without a majority (violates A1 and A3)."""
 
     def _start_raft(self, now_ms: float) -> None:
         super()._start_raft(now_ms)
-        self.raft.__class__ = HeadstrongRaft
+        self.raft.__class__ = SingleVoterRaft
 
 
-class HeadstrongRaft(Raft):
+class SingleVoterRaft(Raft):
     """A Raft in which any single voter is a majority."""
 
-    def _is_majority(self, of: Sequence[str]) -> bool:
-        return bool(of)
+    def _is_majority(self, supporters: Sequence[str]) -> bool:
+        return bool(supporters)
 
     def _advance(self, now_ms: float) -> None:
         if self.durable_index > self.committed:
@@ -129,11 +136,11 @@
         self.confirmed_ms, self.confirmed_index = now_ms, self.committed
 
 
-AGREEMENT_VARIANTS = {"timeless": Timeless, "headstrong": Headstrong}
+AGREEMENT_VARIANTS = {"timeless": IgnoresExpiry, "headstrong": CommitsWithoutMajority}
 VIEW_VARIANTS = {
-    "deaf": Deaf,
-    "apart": Apart,
-    "forgiving": Forgiving,
-    "waiting": Waiting,
+    "deaf": IgnoresOwnDeath,
+    "apart": NeverReconnects,
+    "forgiving": RevivesDeadRuns,
+    "waiting": BlocksOnSuspicion,
     "former": PreviousVersion,
 }
--- a/leadslip/drill/plot.py
+++ b/leadslip/drill/plot.py
@@ -6,11 +6,12 @@
 
 WIDTH_INCHES = 10.0
 BIN_S = 0.25  # bin width of the histograms over time
+# Action -> action that ends its fault; "end ..." for all others.
 END_ACTIONS = {"stop": "go on, done", "out of service": "in service", "start beside": "end the older"}
 
 
 def fault_spans(faults: Sequence[dict]) -> list[tuple[str, float, float]]:
-    """Each fault with its begin and end (monotonic ms); a fault without an end, such as a crash, ends as it begins."""
+    """Kind, begin and end (monotonic ms) of each fault; one without a recorded end, such as a crash, ends at once."""
     spans: list[tuple[str, float, float]] = []
     for i, fault in enumerate(faults):
         kind = fault["do"]
@@ -39,7 +40,7 @@
 
 
 def view_counts(histories: dict[str, list[dict]]) -> list[tuple[float, int]]:
-    """The number of different views over time (monotonic ms), among all processes that reported one."""
+    """The number of different views over time (monotonic ms), by the last digest of each process in `histories`."""
     digests = sorted(
         (record["mono_ms"], i, start, record["digest"])
         for start, lines in histories.items()
@@ -61,7 +62,10 @@
     path: str,
     traffic: Sequence[tuple[float, float]] = (),
 ) -> None:
-    """Plot into an SVG or PNG file; `traffic` is (ms, bytes per member and second after it). Needs leadslip[plots]."""
+    """Plot into an SVG or PNG file; needs leadslip[plots].
+
+    `traffic` has the start of each sample in ms and the bytes per member and second in it; empty: it is not plotted.
+    """
     import matplotlib
 
     matplotlib.use("svg" if path.endswith(".svg") else "agg")
@@ -97,10 +101,10 @@
             bins = max(1, round((max(times_s) - min(times_s)) / BIN_S))
             axes[2].hist(times_s, bins=bins, histtype="step", label=state)
             axes[2].legend(loc="upper right", fontsize="small")
-    axes[2].set_ylabel(f"told each {BIN_S:g} s")
+    axes[2].set_ylabel(f"changes of state per {BIN_S:g} s")
     if traffic:
         axes[3].step([seconds(ms) for ms, _ in traffic], [rate for _, rate in traffic], where="post")
-        axes[3].set_ylabel("bytes a member, second")
+        axes[3].set_ylabel("bytes per member and s")
         axes[3].set_ylim(bottom=0)
     axes[-1].set_xlabel("seconds since the fleet formed")
     axes[-1].set_xlim(left=-2.0)
--- a/leadslip/drill/relay.py
+++ b/leadslip/drill/relay.py
@@ -1,6 +1,7 @@
 """A relay in front of each process, which applies the faults of each network path. asyncio; loopback only.
 
-Members reach a process at its relay, which identifies the sender by its source IP: each process has its own.
+Members advertise the address of their relay, so others reach them through it. A relay identifies the sender by its
+source IP, as each process has its own.
 """
 
 from __future__ import annotations
@@ -9,11 +10,11 @@
 
 from leadslip.drill.link_faults import LinkFaults
 
-PORT = 7946
+PORT = 7946  # fleet port, of the relays and of the processes behind them
 
 
 class Relay(asyncio.DatagramProtocol):
-    """Relays datagrams and connections to one process."""
+    """Relays datagrams and connections to the process `name` at `target_ip`; `name_of` maps source IPs to names."""
 
     def __init__(
         self, link_faults: LinkFaults, name: str, listen_ip: str, target_ip: str, name_of: dict[str, str]
@@ -42,9 +43,9 @@
         sender = self.name_of.get(addr[0])
         if sender is None:
             return
-        for late_s, copy in self.link_faults.datagram((sender, self.name), data):
-            if late_s:
-                asyncio.get_running_loop().call_later(late_s, self.forward, copy)
+        for delay_s, copy in self.link_faults.copies_to_deliver((sender, self.name), data):
+            if delay_s:
+                asyncio.get_running_loop().call_later(delay_s, self.forward, copy)
             else:
                 self.forward(copy)
 
@@ -54,10 +55,10 @@
             self.transport.sendto(data, (self.target_ip, PORT))
 
     def error_received(self, exc: Exception) -> None:
-        """The process behind the relay does not listen at the moment."""
+        """Ignored: the process behind the relay is not listening at the moment."""
 
     async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Relay one inbound connection in both directions."""
+        """Relay one inbound connection in both directions; both are closed when data arrives on a cut path."""
         sender = self.name_of.get(writer.get_extra_info("peername")[0])
         task = asyncio.current_task()
         self.tasks.add(task)
@@ -65,8 +66,8 @@
         try:
             target_reader, target_writer = await asyncio.open_connection(self.target_ip, PORT)
             await asyncio.gather(
-                self.pump(reader, target_writer, (sender, self.name)),
-                self.pump(target_reader, writer, (self.name, sender)),
+                self.copy_direction(reader, target_writer, (sender, self.name)),
+                self.copy_direction(target_reader, writer, (self.name, sender)),
             )
         except OSError:
             pass
@@ -76,16 +77,18 @@
                 if open_writer is not None:
                     open_writer.close()
 
-    async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, path: tuple) -> None:
-        """Copy one direction of a connection, applying the faults of its path."""
+    async def copy_direction(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, path: tuple
+    ) -> None:
+        """Copy one direction of a connection, applying the faults of its path. Raises ConnectionResetError if cut."""
         while data := await reader.read(65536):
-            blocked, muted, late_s = self.link_faults.stream(path)
+            blocked, muted, delay_s = self.link_faults.connection_faults(path)
             if blocked:
                 raise ConnectionResetError
             if muted:
                 continue
-            if late_s:
-                await asyncio.sleep(late_s)
+            if delay_s:
+                await asyncio.sleep(delay_s)
             writer.write(data)
             await writer.drain()
         if writer.can_write_eof():
--- a/leadslip/drill/run.py
+++ b/leadslip/drill/run.py
@@ -1,7 +1,7 @@
 """Runs a scenario: starts its processes, injects the scheduled faults, collects histories. asyncio; loopback only.
 
-Each process has its own IP in 127/8 and a relay in front of its fleet address. The run ends every process that it
-started, also when it is interrupted, and no others.
+Each process has its own IP in 127/8 and a relay in front of its fleet address. At its end, or when it is interrupted,
+a run stops every process that it started, and no others.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 import msgspec
 
 from leadslip.drill.callers import REQUEST_VALID_MS, Caller, release_calls
-from leadslip.drill.changes import Changer
+from leadslip.drill.changes import ChangeSubmitter
 from leadslip.drill.clocks import Clocks
 from leadslip.drill.relay import PORT, LinkFaults, Relay
 from leadslip.drill.scenario import (
@@ -37,14 +37,14 @@
 from leadslip.site import configuration
 
 SIP_PORT, OPS_PORT = 5060, 7000
-SHORT_CALL_S, LONG_CALL_S = 0.3, 120.0  # duration of a call at the toy server, unless it is released
-MAX_RELEASED = 40  # calls of each process to release at the end
-READY_S = 60.0  # time-out for the processes to come up; no invariant depends on it
+SHORT_CALL_S, LONG_CALL_S = 0.3, 120.0  # after which the toy server ends a call, without and with `replicas`
+MAX_RELEASED = 40  # most calls of each process that are released through another one at the end
+READY_TIMEOUT_S = 60.0  # for the processes to join the fleet; not judged by the checker
 END_GRACE_S = 6.0  # a process that has not ended this long after SIGTERM is killed
 
 
 def replicas_equal(statuses: dict[str, dict], copies: int = 2) -> bool:
-    """Whether `copies` other processes hold each table as its owner does."""
+    """Whether at least `copies` other processes, or all if they are fewer, hold an equal replica of each table."""
     return all(
         sum(
             (replica["owner"], replica["run"], replica["digest"])
@@ -58,7 +58,7 @@
 
 
 class DrillError(OperatorError):
-    """The fault-injection run itself could not be carried out, regardless of how the program behaves."""
+    """A fault-injection run could not be carried out, so that nothing can be said about the invariants."""
 
     code = "drill.not-held"
     action = (
@@ -68,7 +68,7 @@
 
 
 def reserve_network() -> tuple[str, socket.socket]:
-    """Reserve a /24 of loopback among the runs on this machine; returns its prefix and the socket that holds it."""
+    """Reserve a /24 of 127/8 against other runs on this machine; returns its prefix and the socket that reserves it."""
     for _ in range(1000):
         prefix = f"127.{64 + secrets.randbelow(128)}.{secrets.randbelow(256)}"
         reservation = socket.socket()
@@ -78,13 +78,16 @@
             return prefix, reservation
         except OSError:
             reservation.close()
-    raise DrillError("no free network on loopback")
+    raise DrillError("none of 1000 random /24 networks of 127/8 was free")
 
 
 async def start_toy_server(
     hold_s: float = 0.3,
 ) -> tuple[asyncio.subprocess.Process, Awaitable[tuple[int, int]]]:
-    """Start a toy server and notice board in a separate process; also returns an awaitable of their ports."""
+    """Start a toy set-up server and notice board in a separate process; also returns an awaitable of their ports.
+
+    The server ends a call after `hold_s`.
+    """
     toy = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
@@ -106,30 +109,35 @@
 
 
 class Process:
-    """The processes of the program that run under one name, one after another or side by side in an upgrade."""
+    """The operating-system processes of the program under one name: one after another, or two during an upgrade."""
 
     def __init__(self, drill: Drill, name: str, number: int) -> None:
         self.drill, self.name = drill, name
         self.ip, self.relay_ip = f"{drill.prefix}.{10 + number}", f"{drill.prefix}.{120 + number}"
-        self.starts = 0
+        self.start_count = 0
         self.running: list[asyncio.subprocess.Process] = []  # oldest first
         self.ops_ports: dict[int, int] = {}  # process id -> port of its operators' interface
         self.clocks: Clocks | None = None
-        self.stall_cycle: asyncio.Task | None = None  # alternates SIGSTOP and SIGCONT
-        self.saved_limits: dict[int, tuple[int, int]] = {}  # process id -> its former limits on descriptors
+        self.stall_cycle: asyncio.Task | None = None  # task that alternates SIGSTOP and SIGCONT
+        # Process id -> its (soft, hard) limit on file descriptors before the fault.
+        self.saved_limits: dict[int, tuple[int, int]] = {}
 
     async def start(self, beside: bool = False) -> asyncio.Task:
-        """Start a process, `beside` a running one as an upgrade does; the task waits until it has joined or ended."""
-        self.starts += 1
-        drill, start_name = self.drill, f"{self.name}-{self.starts}"
+        """Start a process; the task returned waits until it has joined the fleet, ended or timed out.
+
+        With `beside`, another one of the same name keeps running, as during an upgrade; the new one listens on another
+        fleet port and is reached without a relay.
+        """
+        self.start_count += 1
+        drill, start_name = self.drill, f"{self.name}-{self.start_count}"
         folder = drill.folder / start_name
         folder.mkdir()
-        ops_port = OPS_PORT + self.starts % 1000
+        ops_port = OPS_PORT + self.start_count % 1000
         config = configuration(drill.toy_ports[0], drill.toy_ports[1], 0)
         config |= {"name": self.name, "listen": f"{self.ip}:{SIP_PORT}", "ops": f"{self.ip}:{ops_port}"}
         config["limits"] = {"sockets": 256}
         (folder / "config.json").write_text(json.dumps(config))
-        port = PORT + (self.starts % 1000 if beside else 0)
+        port = PORT + (self.start_count % 1000 if beside else 0)
         advertise = f"{self.ip}:{port}" if beside else f"{self.relay_ip}:{PORT}"
         fleet = {
             "enabled": True,
@@ -140,11 +148,11 @@
             "zone": f"zone{int(self.ip.rsplit('.', 1)[1]) % 3}",
             "history": str(drill.folder / f"{start_name}.jsonl"),
         }
-        faulty_variant = drill.broken or (
+        variant = drill.faulty_variant or (
             "former" if self.name in previous_version_names(drill.scenario) else ""
         )
-        if faulty_variant:
-            fleet["broken"] = faulty_variant
+        if variant:
+            fleet["broken"] = variant
         text = "".join(f"{key} = {json.dumps(value)}\n" for key, value in fleet.items())
         (folder / "fleet.toml").write_text(text)
         environment = {
@@ -159,7 +167,7 @@
             "LEADSLIP_FLEET": str(folder / "fleet.toml"),
         }
         program = ["leadslip"]
-        if drill.sets_clocks:
+        if drill.manipulates_clocks:
             drift_ppm = draw_drifts(drill.scenario, drill.seed)[self.name]
             self.clocks = Clocks(str(folder / "clocks"), drift_ppm)
             program = ["leadslip.drill.clocks", self.clocks.path]
@@ -171,10 +179,13 @@
         self.ops_ports[process.pid] = ops_port
         drill.record_fault("started", [start_name], pid=process.pid)
         history = drill.folder / f"{start_name}.jsonl"
-        return drill.watch_join(f"start{' beside' if beside else ''}, done", self.name, process, history)
+        return drill.record_join(f"start{' beside' if beside else ''}, done", self.name, process, history)
 
     def agreement_environment(self, folder: Path) -> dict[str, str]:
-        """Write the agreement settings, if there are voters, and return their environment. Disks outlive processes."""
+        """Write the agreement settings, if there are voters, and return the environment variable that names the file.
+
+        The voter's disk lies outside `folder`, as it is kept when the process is restarted.
+        """
         scenario = self.drill.scenario
         if not scenario.voters:
             return {}
@@ -190,7 +201,7 @@
         return {"LEADSLIP_AGREEMENT": str(folder / "agreement.toml")}
 
     async def operator_request(self, method: bytes, path: bytes, body: bytes = b"") -> tuple[int, bytes]:
-        """Send an operator's request to the newest process; returns status and body, (0, b"") without an answer."""
+        """Send a request to the operators' interface of the newest process; returns status and body, or (0, b"")."""
         if not self.running:
             return 0, b""
         try:
@@ -204,11 +215,11 @@
             return 0, b""
 
     async def operator_request_body(self, method: bytes, path: bytes) -> bytes:
-        """The body of the answer to an operator's request."""
+        """The body of the answer to an operator's request; empty without an answer."""
         return (await self.operator_request(method, path))[1]
 
     async def view(self) -> dict | None:
-        """The fleet as the newest process reports it; None without an answer."""
+        """The newest process's view of the fleet; None without a complete answer."""
         try:
             return json.loads(await self.operator_request_body(b"GET", b"fleet"))
         except ValueError:
@@ -226,7 +237,7 @@
             self.signal(signal.SIGCONT)
 
     def exhaust_descriptors(self) -> None:
-        """Lower the limit on descriptors of the newest process so that it can open no more."""
+        """Lower the limit on file descriptors of the newest process so that it can hardly open more."""
         pid = self.running[-1].pid
         limit = max(int(number) for number in os.listdir(f"/proc/{pid}/fd")) + 1
         limits = resource.prlimit(pid, resource.RLIMIT_NOFILE)
@@ -234,19 +245,19 @@
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (limit, limits[1]))
 
     def restore_descriptors(self) -> None:
-        """Restore the limits on descriptors."""
+        """Restore the limits on file descriptors of the processes that still run."""
         for pid, limits in self.saved_limits.items():
             if pid in [process.pid for process in self.running]:
                 resource.prlimit(pid, resource.RLIMIT_NOFILE, limits)
         self.saved_limits.clear()
 
     def signal(self, number: signal.Signals, index: int = -1) -> None:
-        """Send a signal to a process; ignored if there is none."""
+        """Send a signal to a running process, by default the newest; ignored if there is none."""
         with contextlib.suppress(ProcessLookupError, IndexError):
             self.running[index].send_signal(number)
 
     async def end(self, index: int = -1, grace_s: float = END_GRACE_S) -> None:
-        """End a process by SIGTERM, and by SIGKILL if it has not ended within the grace time."""
+        """End a running process, by default the newest, by SIGTERM, and by SIGKILL if that takes over `grace_s`."""
         if not self.running:
             return
         process = self.running.pop(index)
@@ -277,40 +288,48 @@
         scenario: Scenario,
         seed: int,
         folder: Path,
-        acts: list[ScheduledAction] | None = None,
-        broken: str = "",
+        actions: list[ScheduledAction] | None = None,
+        faulty_variant: str = "",
     ) -> None:
-        self.scenario, self.seed, self.folder, self.broken = scenario, seed, folder, broken
-        self.acts = draw_schedule(scenario, seed) if acts is None else acts
-        self.sets_clocks = bool(scenario.drift_ppm) or any(act.do == "clock" for act in self.acts)
+        self.scenario, self.seed, self.folder, self.faulty_variant = scenario, seed, folder, faulty_variant
+        self.actions = draw_schedule(scenario, seed) if actions is None else actions
+        self.manipulates_clocks = bool(scenario.drift_ppm) or any(
+            action.do == "clock" for action in self.actions
+        )
         self.processes: dict[str, Process] = {}
         self.faults: list[dict] = []
         self.link_faults = LinkFaults(seed)
         self.prefix, self.reservation = reserve_network()
         self.toy_ports: tuple[int, int] = (0, 0)
-        self.pending_tasks: set[asyncio.Task] = set()  # starts and ends of processes still in progress
+        # Tasks that wait for started processes to join, and for others to end.
+        self.pending_tasks: set[asyncio.Task] = set()
 
     def record_fault(self, do: str, who: list[str] | tuple[str, ...] = (), **more: object) -> None:
-        """Add to the fault record, with the times of both clocks."""
+        """Add an action to the fault record, with the Unix time and the monotonic time."""
         mono_ms = time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
         self.faults.append(
             {"unix_ms": time.time() * 1000.0, "mono_ms": mono_ms, "do": do, "who": list(who)} | more
         )
 
     async def run(self) -> dict:
-        """Run the scenario, writing its records to the folder; returns whether views converged, and the call count."""
+        """Run the scenario, and write its records to the folder; returns whether views converged, and the call count.
+
+        Raises DrillError if the processes do not form a fleet or its voters do not agree at the start.
+        """
         scenario, folder = self.scenario, self.folder
         (folder / "fleet.key").write_text(secrets.token_hex(32) + "\n")
-        (folder / "schedule.json").write_bytes(msgspec.json.encode({"seed": self.seed, "acts": self.acts}))
+        (folder / "schedule.json").write_bytes(msgspec.json.encode({"seed": self.seed, "acts": self.actions}))
         toy, ports = await start_toy_server(LONG_CALL_S if scenario.replicas else SHORT_CALL_S)
         relays, callers, tasks = [], [], []
-        changer = None
+        change_submitter = None
         try:
             self.toy_ports = await ports
             for i, name in enumerate(names(scenario.processes)):
                 self.processes[name] = Process(self, name, i)
             if scenario.voters:
-                changer = Changer(list(self.processes), scenario.changes_per_s, self.seed, self.send_request)
+                change_submitter = ChangeSubmitter(
+                    list(self.processes), scenario.changes_per_s, self.seed, self.send_request
+                )
             name_of = {process.ip: process.name for process in self.processes.values()}
             for process in self.processes.values():
                 relay = Relay(self.link_faults, process.name, process.relay_ip, process.ip, name_of)
@@ -319,30 +338,37 @@
             self.pending_tasks |= set(
                 await asyncio.gather(*(process.start() for process in self.processes.values()))
             )
-            if not await self.converged(READY_S):
-                raise DrillError(f"the processes did not form one fleet within {READY_S:.0f} s")
+            if not await self.wait_for_convergence(READY_TIMEOUT_S):
+                raise DrillError(
+                    f"the {scenario.processes} processes did not form one fleet within {READY_TIMEOUT_S:.0f} s"
+                )
             self.record_fault("agreed")
-            if changer is not None and not await changer.agree_first(READY_S):
-                raise DrillError(f"the voters did not agree on the first change within {READY_S:.0f} s")
+            if change_submitter is not None and not await change_submitter.submit_fallback_rules(
+                READY_TIMEOUT_S
+            ):
+                raise DrillError(
+                    f"the {scenario.voters} voters did not agree on the first change within {READY_TIMEOUT_S:.0f} s"
+                )
             rate = scenario.calls_per_s / scenario.processes
             callers = [
                 Caller(process.name, (process.ip, SIP_PORT), rate, self.seed * 1000 + i, scenario.replicas)
                 for i, process in enumerate(self.processes.values())
             ]
             tasks = [asyncio.create_task(caller.run()) for caller in callers]
-            if changer is not None:
-                tasks.append(asyncio.create_task(changer.run()))
+            if change_submitter is not None:
+                tasks.append(asyncio.create_task(change_submitter.run()))
             await self.run_schedule()
             self.record_fault("faults over")
-            settled = await self.converged(scenario.settle_s)
+            settled = await self.wait_for_convergence(scenario.settle_s)
             self.record_fault("settled" if settled else "not settled")
             for task in tasks:
                 task.cancel()
-            if changer is not None:
-                await self.collect_settings(changer, scenario.settle_s)
+            if change_submitter is not None:
+                await self.collect_settings(change_submitter, scenario.settle_s)
             if scenario.replicas:
                 await self.collect_replicas(callers, scenario.settle_s)
-            await asyncio.sleep(REQUEST_VALID_MS / 1000.0 + 0.2)  # the last calls have been answered by then
+            # By then the last calls are answered or have expired.
+            await asyncio.sleep(REQUEST_VALID_MS / 1000.0 + 0.2)
         finally:
             tasks += [
                 process.stall_cycle for process in self.processes.values() if process.stall_cycle is not None
@@ -365,8 +391,11 @@
         """Send an operator's request to a process by name."""
         return await self.processes[name].operator_request(method, path, body)
 
-    async def collect_settings(self, changer: Changer, timeout_s: float) -> None:
-        """Write the settings that the running processes report, once they apply one revision or at the time-out."""
+    async def collect_settings(self, change_submitter: ChangeSubmitter, timeout_s: float) -> None:
+        """Write settings.json: the agreement status of the running processes, and the submitted changes.
+
+        Waits until all processes apply the same agreed revision, but not longer than `timeout_s`.
+        """
         deadline = time.monotonic() + timeout_s
         while True:
             alive = [process for process in self.processes.values() if process.running]
@@ -383,10 +412,16 @@
             if settled or time.monotonic() > deadline:
                 break
             await asyncio.sleep(0.1)
-        (self.folder / "settings.json").write_text(json.dumps({"held": statuses, "changes": changer.changes}))
+        (self.folder / "settings.json").write_text(
+            json.dumps({"held": statuses, "changes": change_submitter.changes})
+        )
 
     async def collect_replicas(self, callers: list[Caller], timeout_s: float) -> None:
-        """Write the reported replicas, once equal or after the wait, and the answers to releases at other processes."""
+        """Write replicas.json: the replication status of the running processes, and the answers to releases.
+
+        Waits until all tables are recovered and their replicas equal, but not longer than `timeout_s`. Then releases up
+        to MAX_RELEASED established calls of each caller through another process than the one that set them up.
+        """
         deadline = time.monotonic() + timeout_s
         while True:
             alive = [process for process in self.processes.values() if process.running]
@@ -403,7 +438,9 @@
                 break
             await asyncio.sleep(0.2)
         other_processes = [
-            next(process for process in alive[i % len(alive) :] + alive if process.name != caller.name)
+            next(
+                process for process in alive[i % len(alive) :] + alive if process.name != caller.process_name
+            )
             for i, caller in enumerate(callers, 1)
         ]
         calls_to_release = [
@@ -430,44 +467,44 @@
     async def run_schedule(self) -> None:
         """Carry out each action of the schedule at its time."""
         began_s = time.monotonic()
-        for act in self.acts:
-            await asyncio.sleep(max(0.0, began_s + act.at_s - time.monotonic()))
-            await self.execute(act)
+        for action in self.actions:
+            await asyncio.sleep(max(0.0, began_s + action.at_s - time.monotonic()))
+            await self.execute(action)
         if self.pending_tasks:
             await asyncio.gather(*self.pending_tasks)
 
-    async def execute(self, act: ScheduledAction) -> None:
+    async def execute(self, action: ScheduledAction) -> None:
         """Carry out one action of the schedule, and record it."""
-        processes = [self.processes[name] for name in act.who]
-        if act.ways:
-            for path in act.ways:
-                if act.do.startswith("end "):
-                    self.link_faults.remove(tuple(path), act.do[4:])
+        processes = [self.processes[name] for name in action.who]
+        if action.ways:
+            for path in action.ways:
+                if action.do.startswith("end "):
+                    self.link_faults.end(tuple(path), action.do[4:])
                 else:
-                    self.link_faults.put(tuple(path), act.do, act.figures)
-            self.record_fault(act.do, ways=[list(path) for path in act.ways])
+                    self.link_faults.begin(tuple(path), action.do, action.figures)
+            self.record_fault(action.do, ways=[list(path) for path in action.ways])
             return
-        self.record_fault(act.do, act.who)
+        self.record_fault(action.do, action.who)
         for process in processes:
-            if act.do in ("start", "start beside"):
-                self.pending_tasks.add(await process.start(beside=act.do == "start beside"))
-            elif act.do == "kill":
+            if action.do in ("start", "start beside"):
+                self.pending_tasks.add(await process.start(beside=action.do == "start beside"))
+            elif action.do == "kill":
                 await process.kill()
-            elif act.do in ("end", "end the older"):
-                if len(process.running) > (act.do == "end the older"):
+            elif action.do in ("end", "end the older"):
+                if len(process.running) > (action.do == "end the older"):
                     self.pending_tasks.add(asyncio.create_task(process.end(0)))
             elif process.running:
-                await self.apply_to_running(process, act)
-        if act.do == "go on":
-            self.record_fault("go on, done", act.who)
+                await self.apply_to_running(process, action)
+        if action.do == "go on":
+            self.record_fault("go on, done", action.who)
 
-    def watch_join(
+    def record_join(
         self, do: str, name: str, process: asyncio.subprocess.Process, history: Path
     ) -> asyncio.Task:
-        """Record when a started process has joined, so that the checker does not judge its start-up time."""
+        """Record when a started process has joined (its history has begun); the checker exempts calls until then."""
 
         async def wait() -> None:
-            deadline = time.monotonic() + READY_S
+            deadline = time.monotonic() + READY_TIMEOUT_S
             while process.returncode is None and time.monotonic() < deadline:
                 if history.exists() and history.stat().st_size:
                     self.record_fault(do, [name])
@@ -476,28 +513,28 @@
 
         return asyncio.create_task(wait())
 
-    async def apply_to_running(self, process: Process, act: ScheduledAction) -> None:
-        """Begin or end a fault of a running process."""
-        ms = act.figures.get("ms", 0.0)
-        if act.do == "stop":
+    async def apply_to_running(self, process: Process, action: ScheduledAction) -> None:
+        """Begin or end a fault of a process under a name that has at least one running."""
+        ms = action.figures.get("ms", 0.0)
+        if action.do == "stop":
             process.signal(signal.SIGSTOP)
-        elif act.do == "go on":
+        elif action.do == "go on":
             process.signal(signal.SIGCONT)
-        elif act.do == "busy":
+        elif action.do == "busy":
             process.stall_cycle = asyncio.create_task(process.cycle_stalls(ms))
-        elif act.do == "end busy" and process.stall_cycle is not None:
+        elif action.do == "end busy" and process.stall_cycle is not None:
             process.stall_cycle.cancel()
-        elif act.do in ("clock", "end clock") and process.clocks is not None:
+        elif action.do in ("clock", "end clock") and process.clocks is not None:
             process.clocks.set_offset(ms / 1000.0)
-        elif act.do == "descriptors":
+        elif action.do == "descriptors":
             process.exhaust_descriptors()
-        elif act.do == "end descriptors":
+        elif action.do == "end descriptors":
             process.restore_descriptors()
-        elif act.do in ("out of service", "in service"):
-            await process.operator_request_body(b"PUT", act.do.replace(" ", "-").encode())
+        elif action.do in ("out of service", "in service"):
+            await process.operator_request_body(b"PUT", action.do.replace(" ", "-").encode())
 
-    async def converged(self, timeout_s: float) -> bool:
-        """Whether, within `timeout_s`, all running processes report the same view, which lists exactly them."""
+    async def wait_for_convergence(self, timeout_s: float) -> bool:
+        """Wait until all running processes report the same view with just these as live; False after `timeout_s`."""
         deadline = time.monotonic() + timeout_s
         while True:
             alive = [process for process in self.processes.values() if process.running]
--- a/leadslip/drill/scenario.py
+++ b/leadslip/drill/scenario.py
@@ -6,15 +6,15 @@
     provokes = "a partition into halves, and its healing"
     processes = 12
     calls_per_s = 20.0        # of all callers together
-    settle_s = 10.0           # time to converge after the last fault
+    settle_s = 10.0           # most time for the views to converge after the last fault
     [[fault]]
     kind = "partition"        # see KINDS
     at_s = 1.0                # after the fleet has formed
     for_s = 6.0
     parts = "halves"
 
-A schedule is a list of actions, in order of time, with the processes that were drawn. A run stores it beside the
-histories, so that it can be repeated and minimized.
+A schedule is a list of actions in order of time, with the processes or paths that the seed selected for each. A run
+stores it beside the histories, so that it can be repeated and minimized.
 """
 
 from __future__ import annotations
@@ -29,38 +29,51 @@
 
 from leadslip.errors import OperatorError
 
+# Partitions: into halves; a quarter from the others; one process from the others; into thirds; into halves that one
+# process still connects; into a ring, in which each process reaches its two neighbours only.
 PARTITIONS = ("halves", "minority", "one", "three", "bridge", "ring")
+# Path faults are described in link_faults.py, except oneway: one direction of a random path is cut.
 PATH_FAULTS = ("loss", "late", "twice", "disorder", "spoil", "oneway", "hole", "mute")
-PROCESS_FAULTS = ("stall", "busy", "clock", "descriptors", "service")  # with a begin and an end
+# Process faults with a begin and an end: stopped; stopped again and again; Unix clock set to an offset; out of file
+# descriptors; taken out of service.
+PROCESS_FAULTS = ("stall", "busy", "clock", "descriptors", "service")
 KINDS = ("partition", *PATH_FAULTS, *PROCESS_FAULTS, "kill", "leave", "upgrade")
 MAX_DRIFT_PPM = 10_000.0
 SCENARIO_DIR = Path(__file__).parent / "scenarios"
 
 
 class ScenarioError(OperatorError):
-    """A fault-injection scenario is invalid; the error message names the key."""
+    """A fault-injection scenario cannot be read, or is invalid: the error message names the file and the key."""
 
     code, status = "drill.scenario", 400
     action = "Correct the key named; `leadslip drill list` lists the scenarios included with the program."
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A fault: hits `count` random processes (or paths between them), `times` times, `every_s` apart."""
+    """A fault of `count` random processes, or of the paths between them and all others.
+
+    It occurs `times` times, every `every_s` seconds from `at_s` on, and lasts for `for_s` seconds. The processes are
+    drawn anew each time.
+    """
 
     kind: str
     at_s: float
     for_s: float = 0.0
-    parts: str = "halves"
-    count: int = 1
-    share: float = 0.0  # of the datagrams hit, for loss, twice and spoil
-    ms: float = 0.0  # delay (late), largest delay (disorder), length of a stall (busy), clock offset either way (clock)
-    back_s: float = -1.0  # a process that was killed or left restarts after this time; below 0: never
+    parts: str = "halves"  # one of PARTITIONS; partition only
+    count: int = 1  # of processes, or of paths for oneway; a partition affects all
+    share: float = 0.0  # fraction of the datagrams affected; loss, twice and spoil only
+    # Delay (late), largest delay (disorder), length of each stop (busy), clock offset of either sign (clock).
+    ms: float = 0.0
+    back_s: float = -1.0  # time after which a process restarts (kill, leave); below 0: never
     times: int = 1
     every_s: float = 2.0
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A scenario: the processes to start, their load, and the faults."""
+    """A scenario: the processes to start, their load, and the faults.
+
+    `provokes` is a description of what the faults provoke, for the list of scenarios.
+    """
 
     title: str
     provokes: str
@@ -68,18 +81,23 @@
     fault: list[Fault]
     calls_per_s: float = 20.0
     settle_s: float = 10.0
-    former: int = 0  # number of processes that speak the previous wire version
-    drift_ppm: float = 0.0  # largest drift of the monotonic clocks, either way
+    former: int = 0  # number of processes, the last ones, that speak the previous wire version
+    drift_ppm: float = 0.0  # largest drift of the monotonic clocks, of either sign
     most_processes: int = 100
-    voters: int = 0  # the first so many processes vote on agreed documents; 0: no agreement
-    changes_per_s: float = 1.0  # by operators, if there are voters
-    in_force_ms: float = 2000.0
-    replicas: bool = False  # tables are replicated to two others; calls last long, callers release them
+    voters: int = 0  # number of processes, the first ones, that vote on agreed settings; 0: no agreement
+    changes_per_s: float = 1.0  # changes of the agreed settings, if there are voters
+    in_force_ms: float = 2000.0  # how long agreed settings stay in force without confirmation by a leader
+    # Replicate tables to two other processes; calls then last up to 120 s, and callers release half of them.
+    replicas: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledAction:
-    """An action of a schedule: `who` are names of processes, `ways` are paths (sender, receiver)."""
+    """An action of a schedule, which begins or ends a fault.
+
+    `who` are the names of the processes and `ways` the paths (sender, receiver) concerned, `figures` the parameters of
+    the fault: `share` and `ms`.
+    """
 
     at_s: float
     do: str
@@ -89,7 +107,7 @@
 
 
 def load(path: str | Path) -> Scenario:
-    """Load a scenario from a file, or a bundled one by name. Raises ScenarioError."""
+    """Load a scenario from a file, or one included with the program by its name. Raises ScenarioError."""
     file = Path(path)
     if not file.exists() and (SCENARIO_DIR / f"{path}.toml").exists():
         file = SCENARIO_DIR / f"{path}.toml"
@@ -98,35 +116,52 @@
     except (OSError, ValueError, msgspec.ValidationError) as error:
         raise ScenarioError(f"{path}: {error}") from error
     if not 2 <= scenario.processes <= scenario.most_processes:
-        raise ScenarioError(f"{path}: processes must lie between 2 and {scenario.most_processes}")
+        raise ScenarioError(
+            f"{path}: processes is {scenario.processes}, but must lie between 2 and {scenario.most_processes}"
+        )
     if not 0 <= scenario.voters <= scenario.processes:
-        raise ScenarioError(f"{path}: voters must lie between 0 and {scenario.processes}")
+        raise ScenarioError(
+            f"{path}: voters is {scenario.voters}, but must lie between 0 and {scenario.processes}"
+        )
     if not 0 <= scenario.former <= scenario.processes:
-        raise ScenarioError(f"{path}: former must lie between 0 and {scenario.processes}")
+        raise ScenarioError(
+            f"{path}: former is {scenario.former}, but must lie between 0 and {scenario.processes}"
+        )
     if not 0 <= scenario.drift_ppm <= MAX_DRIFT_PPM:
-        raise ScenarioError(f"{path}: drift_ppm must lie between 0 and {MAX_DRIFT_PPM:.0f}")
+        raise ScenarioError(
+            f"{path}: drift_ppm is {scenario.drift_ppm:g}, but must lie between 0 and {MAX_DRIFT_PPM:.0f}"
+        )
     for i, fault in enumerate(scenario.fault):
         if fault.kind not in KINDS:
-            raise ScenarioError(f"{path}: fault.{i}.kind is none of {', '.join(KINDS)}")
+            raise ScenarioError(
+                f"{path}: fault.{i}.kind is {fault.kind!r}, but must be one of {', '.join(KINDS)}"
+            )
         if fault.parts not in PARTITIONS:
-            raise ScenarioError(f"{path}: fault.{i}.parts is none of {', '.join(PARTITIONS)}")
+            raise ScenarioError(
+                f"{path}: fault.{i}.parts is {fault.parts!r}, but must be one of {', '.join(PARTITIONS)}"
+            )
         if not 0 < fault.count <= scenario.processes:
-            raise ScenarioError(f"{path}: fault.{i}.count must lie between 1 and {scenario.processes}")
+            raise ScenarioError(
+                f"{path}: fault.{i}.count is {fault.count}, but must lie between 1 and {scenario.processes}"
+            )
         if fault.at_s < 0 or fault.for_s < 0 or fault.times < 1 or fault.every_s < 0:
-            raise ScenarioError(f"{path}: fault.{i} has a negative time, or times below 1")
+            raise ScenarioError(
+                f"{path}: fault.{i}: at_s, for_s and every_s must be at least 0, and times at least 1"
+            )
     return scenario
 
 
+# Kind of process fault -> actions that begin and end it, where they are not the kind and "end" with the kind.
 PROCESS_FAULT_ACTIONS = {"stall": ("stop", "go on"), "service": ("out of service", "in service")}
 
 
 def names(processes: int) -> tuple[str, ...]:
-    """The names of the processes of a run."""
+    """The names of this many processes: n00, n01 and so on."""
     return tuple(f"n{i:02d}" for i in range(processes))
 
 
 def scaled(scenario: Scenario, processes: int) -> Scenario:
-    """The scenario with another number of processes; counts are scaled in proportion."""
+    """The scenario with another number of processes; `count` of each fault and `former` are scaled in proportion."""
     scale = processes / scenario.processes
     faults = [
         msgspec.structs.replace(fault, count=max(1, round(fault.count * scale))) for fault in scenario.fault
@@ -136,19 +171,19 @@
 
 
 def previous_version_names(scenario: Scenario) -> tuple[str, ...]:
-    """The names of the processes that speak the previous wire version: the last ones."""
+    """The names of the processes that speak the previous wire version: the last `former` ones."""
     all_names = names(scenario.processes)
     return all_names[len(all_names) - scenario.former :]
 
 
 def draw_drifts(scenario: Scenario, seed: int) -> dict[str, float]:
-    """The drift of each process's monotonic clock, in parts per million."""
+    """Draw the drift of each process's monotonic clock, in parts per million."""
     rng, max_ppm = Random(f"drift {seed}"), scenario.drift_ppm
     return {name: rng.uniform(-max_ppm, max_ppm) for name in names(scenario.processes)}
 
 
 def partition_paths(rng: Random, all_names: tuple[str, ...], parts: str) -> tuple[tuple[str, str], ...]:
-    """The paths that a partition blocks, in both directions."""
+    """Draw the paths that a partition of one of PARTITIONS blocks, each in both directions."""
     shuffled = list(all_names)
     rng.shuffle(shuffled)
     half = len(shuffled) // 2
@@ -161,30 +196,32 @@
         return tuple((a, b) for a in shuffled for b in shuffled if a != b and (a, b) not in neighbours)
     if parts == "bridge":
         sides, bridge = [shuffled[:half], shuffled[half + 1 :]], shuffled[half]
-        group_of = {name: i for i, side in enumerate(sides) for name in side} | {bridge: -1}
+        part_by_name = {name: i for i, side in enumerate(sides) for name in side} | {bridge: -1}
     else:
         sizes = {"halves": [half], "minority": [max(1, len(shuffled) // 4)], "one": [1]}
         cuts = sizes.get(parts, [len(shuffled) // 3, 2 * len(shuffled) // 3])
-        group_of = {name: sum(i >= cut for cut in cuts) for i, name in enumerate(shuffled)}
+        part_by_name = {name: sum(i >= cut for cut in cuts) for i, name in enumerate(shuffled)}
     return tuple(
         (a, b)
         for a in shuffled
         for b in shuffled
-        if a != b and group_of[a] != group_of[b] and -1 not in (group_of[a], group_of[b])
+        if a != b and part_by_name[a] != part_by_name[b] and -1 not in (part_by_name[a], part_by_name[b])
     )
 
 
 def draw_schedule(scenario: Scenario, seed: int) -> list[ScheduledAction]:
-    """The actions drawn from a seed, in order of time."""
+    """Draw the actions of a scenario from a seed, in order of time."""
     rng, all_names = Random(seed), names(scenario.processes)
-    acts: list[ScheduledAction] = []
+    actions: list[ScheduledAction] = []
     for fault in scenario.fault:
         for i in range(fault.times):
-            acts += _draw_acts(rng, all_names, fault, fault.at_s + i * fault.every_s)
-    return sorted(acts, key=lambda act: act.at_s)
+            actions += _draw_actions(rng, all_names, fault, fault.at_s + i * fault.every_s)
+    return sorted(actions, key=lambda action: action.at_s)
 
 
-def _draw_acts(rng: Random, all_names: tuple[str, ...], fault: Fault, at_s: float) -> list[ScheduledAction]:
+def _draw_actions(
+    rng: Random, all_names: tuple[str, ...], fault: Fault, at_s: float
+) -> list[ScheduledAction]:
     end_s = at_s + fault.for_s
     if fault.kind in ("partition", *PATH_FAULTS):
         if fault.kind == "partition":
@@ -213,21 +250,21 @@
             ScheduledAction(at_s, "start beside", affected),
             ScheduledAction(at_s + max(fault.for_s, 1.0), "end the older", affected),
         ]
-    acts = [ScheduledAction(at_s, "kill" if fault.kind == "kill" else "end", affected)]
+    actions = [ScheduledAction(at_s, "kill" if fault.kind == "kill" else "end", affected)]
     if fault.back_s >= 0:
-        acts.append(ScheduledAction(at_s + fault.back_s, "start", affected))
-    return acts
+        actions.append(ScheduledAction(at_s + fault.back_s, "start", affected))
+    return actions
 
 
 def minimized(
-    acts: list[ScheduledAction], breaks: Callable[[list[ScheduledAction]], bool]
+    actions: list[ScheduledAction], breaks: Callable[[list[ScheduledAction]], bool]
 ) -> list[ScheduledAction]:
-    """Minimize a failing schedule: remove actions in halves, quarters and so on, down to single ones.
+    """Minimize a failing schedule: remove halves, quarters and so on of its faults, while it still fails.
 
-    An action that ends a fault is removed together with the one that began it. Returns an equal schedule if nothing
-    can be removed.
+    `breaks` runs a schedule and returns whether it still breaks an invariant. The actions that begin and end a fault
+    are removed together. Returns an equal schedule if nothing can be removed.
     """
-    groups = _group_with_ends(acts)
+    groups = _group_with_ends(actions)
     size = len(groups)
     while size > 1:
         size = (size + 1) // 2
@@ -241,31 +278,32 @@
     return _flatten(groups)
 
 
-def _group_with_ends(acts: list[ScheduledAction]) -> list[list[ScheduledAction]]:
+def _group_with_ends(actions: list[ScheduledAction]) -> list[list[ScheduledAction]]:
     """Group each action that begins a fault with the one that ends it."""
-    ends = {"kill": "start", "end": "start", "start beside": "end the older"} | dict(
+    end_action = {"kill": "start", "end": "start", "start beside": "end the older"} | dict(
         PROCESS_FAULT_ACTIONS.values()
     )
     groups: list[list[ScheduledAction]] = []
-    unfinished: list[tuple[str, ScheduledAction, list[ScheduledAction]]] = []
-    for act in acts:
+    groups_without_end: list[tuple[str, ScheduledAction, list[ScheduledAction]]] = []
+    for action in actions:
         match = next(
             (
                 candidate
-                for candidate in unfinished
-                if candidate[0] == act.do and (candidate[1].who, candidate[1].ways) == (act.who, act.ways)
+                for candidate in groups_without_end
+                if candidate[0] == action.do
+                and (candidate[1].who, candidate[1].ways) == (action.who, action.ways)
             ),
             None,
         )
         if match is not None:
-            unfinished.remove(match)
-            match[2].append(act)
+            groups_without_end.remove(match)
+            match[2].append(action)
             continue
-        group = [act]
+        group = [action]
         groups.append(group)
-        unfinished.append((ends.get(act.do, f"end {act.do}"), act, group))
+        groups_without_end.append((end_action.get(action.do, f"end {action.do}"), action, group))
     return groups
 
 
 def _flatten(groups: list[list[ScheduledAction]]) -> list[ScheduledAction]:
-    return sorted((act for group in groups for act in group), key=lambda act: act.at_s)
+    return sorted((action for group in groups for action in group), key=lambda action: action.at_s)
--- a/leadslip/lab/network.py
+++ b/leadslip/lab/network.py
@@ -63,7 +63,9 @@
     def passes(self, source: str, target: str) -> bool:
         """Whether a connection passes data from source to target."""
         blocked, muted, _ = (
-            self.link_faults.stream((source, target)) if self.link_faults.active else (False, False, 0.0)
+            self.link_faults.connection_faults((source, target))
+            if self.link_faults.faults_by_path
+            else (False, False, 0.0)
         )
         return not (
             blocked
@@ -86,9 +88,9 @@
             conditions.blocked is not None and conditions.blocked(source, target)
         ) or rng.random() < conditions.loss_rate:
             return
-        if self.link_faults.active:
-            for late_s, copy in self.link_faults.datagram((source, target), data):
-                due_ms = self.clock.now_ms + self.delay(source, target) + late_s * 1000.0
+        if self.link_faults.faults_by_path:
+            for delay_s, copy in self.link_faults.copies_to_deliver((source, target), data):
+                due_ms = self.clock.now_ms + self.delay(source, target) + delay_s * 1000.0
                 self.clock.call_at(due_ms, self._deliver, target, copy)
             return
         self.clock.call_at(self.clock.now_ms + self.delay(source, target), self._deliver, target, data)
--- a/leadslip/lab/simulation.py
+++ b/leadslip/lab/simulation.py
@@ -99,7 +99,9 @@
         settled_ms = fleet.until(fleet.converged, self.scenario.settle_s * 1000.0)
         self.record_fault("settled" if settled_ms < float("inf") else "not settled")
         duration_s = (fleet.clock.now_ms - began_ms) / 1000.0
-        breaches, figures = check.judge(self.histories, self.faults, [], self.scenario.settle_s)
+        breaches, figures = check.check_views_and_answers(
+            self.histories, self.faults, [], self.scenario.settle_s
+        )
         traffic = [
             (later - earlier) / duration_s for later, earlier in zip(fleet.traffic(), before, strict=True)
         ]
@@ -126,9 +128,9 @@
             for a, b in act.ways:
                 path = f"{a}:{PORT}", f"{b}:{PORT}"
                 if act.do.startswith("end "):
-                    fleet.network.link_faults.remove(path, act.do[4:])
+                    fleet.network.link_faults.end(path, act.do[4:])
                 else:
-                    fleet.network.link_faults.put(path, act.do, act.figures)
+                    fleet.network.link_faults.begin(path, act.do, act.figures)
             self.record_fault(act.do, ways=[list(path) for path in act.ways])
             return
         self.record_fault(act.do, act.who)
--- a/tests/test_fleet_lab.py
+++ b/tests/test_fleet_lab.py
@@ -30,7 +30,7 @@
         main(["lab", "fleet", "mixed", "--members", "8", "--plot", str(plot)])
     assert code.value.code == 0
     svg = plot.read_text()
-    assert all(text in svg for text in ("All at once", "different views", "bytes a member", "stop"))
+    assert all(text in svg for text in ("All at once", "different views", "bytes per member and s", "stop"))
 
 
 def test_run_is_independent_of_the_hash_seed():
--- a/tests/test_fleet_model.py
+++ b/tests/test_fleet_model.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from leadslip.drill.faulty import Deaf, ForgivingTable
+from leadslip.drill.faulty import IgnoresOwnDeath, RevivingTable
 from leadslip.fleet.view.view import View
 from leadslip.lab.model import Model, ViolationError
 
@@ -24,12 +24,16 @@
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.table.__class__ = ForgivingTable
+        self.table.__class__ = RevivingTable
 
 
 @pytest.mark.parametrize(
     ("view_class", "invariant"),
-    [(Deaf, "convergence"), (AcceptsLateRefutation, "V3"), (RefutesWithoutIncarnation, "convergence")],
+    [
+        (IgnoresOwnDeath, "convergence"),
+        (AcceptsLateRefutation, "V3"),
+        (RefutesWithoutIncarnation, "convergence"),
+    ],
 )
 def test_a_fault_in_the_refutation_is_detected(view_class, invariant):
     with pytest.raises(ViolationError, match=invariant):
