--- a/leadslip/lab/agreed.py
+++ b/leadslip/lab/agreed.py
@@ -22,7 +22,7 @@
 
 
 class Agreed:
-    """A simulated fleet whose first members are voters."""
+    """A simulated fleet whose first `voters` members are voters; they use the Agreement class `kind`."""
 
     def __init__(
         self,
@@ -36,16 +36,19 @@
         self.rng = Random(seed + 1)
         self.names = [f"p{i:02d}" for i in range(members)]
         self.voters = tuple(f"p{i:02d}" for i in range(voters))
-        self.disks: dict[str, tuple[str, int, Disk]] = {}  # name -> voter id, starts, disk
+        self.disks: dict[str, tuple[str, int, Disk]] = {}  # name -> voter id, number of starts with it, disk
         self.disks_created = 0
         self.logged: list[tuple[float, str, dict]] = []  # log events of the members: time, event, fields
-        self.contents: dict[int, tuple[int, str]] = {}  # revision -> its checksum, first member to apply it
-        self.last_applied: dict[str, int] = {}  # "name process" -> last revision applied
+        # Revision -> checksum of its contents, name of the first member to apply it.
+        self.checksum_by_revision: dict[int, tuple[int, str]] = {}
+        self.last_applied_revision: dict[
+            str, int
+        ] = {}  # "<member name> <process number>" -> last revision applied
         self.first_applied_ms: dict[int, float] = {}  # revision -> when it was first applied
         self.longest_overlap_ms = 0.0  # longest time an older revision was applied after a newer one
         self.violations: list[str] = []
-        self.acknowledged: dict[str, int] = {}
-        self.refused: list[OperatorError] = []
+        self.acknowledged: dict[str, int] = {}  # id of a change -> revision it was acknowledged as
+        self.refused: list[OperatorError] = []  # answers to the changes that were not acknowledged
         self.fallback_checks = self.checks = 0  # checks that found the fallback rules in effect; all checks
         self.fleet.part_hooks["agreement"] = self.schedule_saves
         for name in self.names:
@@ -54,7 +57,7 @@
         self.fleet.clock.call_at(self.fleet.clock.now_ms, self.check_rules)
 
     def start(self, name: str, blank: bool = False) -> Host:
-        """Start a member; a voter gets its previous disk, or a blank one."""
+        """Start a member; a voter gets its previous disk, or a blank one at its first start and with `blank`."""
         host = self.fleet.add(name)
         agreement_class = Agreement if name not in self.voters else self.kind
         agreement = host.agreement = agreement_class(
@@ -92,7 +95,7 @@
             host.view.change_facts(host.now_ms, agreement.facts())
 
     def complete_save(self, host: Host, disk: Disk, save: Save) -> None:
-        """Write a save to the disk and confirm it to the voter; wait while the process is stalled."""
+        """Write a save to the disk and confirm it to the voter, unless it was killed; retried while it is stalled."""
         if not host.up:
             return
         if host.stalled:
@@ -113,20 +116,20 @@
             if not rules.agreed:
                 self.fallback_checks += 1
                 continue
-            checksum, first_name = self.contents.setdefault(rules.revision, (rules.mark, name))
+            checksum, first_name = self.checksum_by_revision.setdefault(rules.revision, (rules.mark, name))
             if checksum != rules.mark:
                 self.violations.append(
-                    f"A1: {name} applies other contents of revision {rules.revision} than {first_name}"
+                    f"A1: {name} applies other contents under revision {rules.revision} than {first_name}"
                 )
-            if rules.revision < self.last_applied.get(f"{name} {host.view.run >> 16}", 0):
+            if rules.revision < self.last_applied_revision.get(f"{name} {host.view.run >> 16}", 0):
                 self.violations.append(f"A1: {name} goes back to revision {rules.revision}")
-            self.last_applied[f"{name} {host.view.run >> 16}"] = rules.revision
+            self.last_applied_revision[f"{name} {host.view.run >> 16}"] = rules.revision
             self.first_applied_ms.setdefault(rules.revision, now_ms)
-            newer_first_ms = [
+            newer_applied_ms = [
                 at_ms for revision, at_ms in self.first_applied_ms.items() if revision > rules.revision
             ]
-            if newer_first_ms:
-                overlap_ms = now_ms - min(newer_first_ms)
+            if newer_applied_ms:
+                overlap_ms = now_ms - min(newer_applied_ms)
                 self.longest_overlap_ms = max(self.longest_overlap_ms, overlap_ms)
                 if overlap_ms > self.in_force_ms:
                     self.violations.append(
@@ -135,7 +138,11 @@
         self.fleet.clock.call_at(now_ms + CHECK_INTERVAL_MS, self.check_rules)
 
     def change(self, name: str, document: str, content: dict, id_: str, expect: int = -1) -> None:
-        """Submit an operator's change at a member; a negative `expect` means the revision that the member holds."""
+        """Submit an operator's change at a member, on the condition that the current revision is `expect`.
+
+        A negative `expect` stands for the revision that the member holds. The result is recorded in `acknowledged` or
+        `refused`.
+        """
         host = self.fleet.hosts[name]
         agreement = host.agreement
         expected_revision = agreement.current.revision if expect < 0 else expect
@@ -171,7 +178,7 @@
         )
 
     def lost_changes(self) -> list[str]:
-        """Ids of the acknowledged changes that are missing from the leader's history; all of them without a leader."""
+        """Ids of the acknowledged changes that are not in the leader's history; all of them if there is no leader."""
         name = self.leader_name()
         known_ids = self.fleet.hosts[name].agreement.documents.ids if name else {}
         return [id_ for id_ in self.acknowledged if id_ not in known_ids]
--- a/leadslip/lab/fleet.py
+++ b/leadslip/lab/fleet.py
@@ -17,23 +17,25 @@
 from leadslip.metrics import Metrics
 
 CONDITION_STEP_MS = 20.0  # between two evaluations of a condition in `until`
-TIMER_TOLERANCE_MS = 1e-6  # rounding between a host's clock and the simulation's
-KEY = b"the key of the lab"
+TIMER_TOLERANCE_MS = 1e-6  # rounding error between a host's clock and the simulation's
+KEY = b"the key of the lab"  # with which all hosts authenticate their messages
 
 
 class FleetPart(Protocol):
-    """A part that exchanges messages over the fleet, as net/peers.py transports them."""
+    """A part that exchanges messages over the fleet; the host transports them as net/peers.py does in production."""
 
-    outbox: list[tuple[int, bytes]]
-    wake_ms: float
+    outbox: list[tuple[int, bytes]]  # messages to send: run of the receiver, body
+    wake_ms: float  # when to call `due` next, by the host's monotonic clock
 
-    def received(self, now_ms: float, run: int, body: bytes) -> None: ...
+    def received(self, now_ms: float, run: int, body: bytes) -> None:
+        """Handle a message that the member with this run sent."""
 
-    def due(self, now_ms: float) -> None: ...
+    def due(self, now_ms: float) -> None:
+        """Run the timers that have expired."""
 
 
 class Host:
-    """One member: its view, its process state, and the datagrams that queue up while it is stalled."""
+    """One process of a member: its view, its parts, its state, and the datagrams queued while it is stalled."""
 
     def __init__(
         self,
@@ -45,7 +47,7 @@
         drift_ppm: float,
     ) -> None:
         self.fleet, self.name, self.address = fleet, name, address
-        self.rate = 1.0 + drift_ppm / 1e6  # speed of its monotonic clock
+        self.clock_rate = 1.0 + drift_ppm / 1e6  # speed of its monotonic clock
         self.seal = wire.Seal([KEY], view_class.max_version)
         self.view = view_class(
             OwnMember(name, address, f"zone{fleet.zone_of(name)}"),
@@ -66,14 +68,14 @@
     @property
     def now_ms(self) -> float:
         """The host's monotonic clock, with its drift."""
-        return self.fleet.clock.now_ms * self.rate
+        return self.fleet.clock.now_ms * self.clock_rate
 
     def on_change(self, change: Change) -> None:
         """Report a change of the view to the fleet's record."""
         self.fleet.record_change(self, change)
 
     def deliver(self, data: bytes) -> None:
-        """Process a datagram; queue it while the process is stalled."""
+        """Handle a datagram or part message; queued while the process is stalled."""
         if not self.up:
             return
         if self.stalled:
@@ -91,7 +93,7 @@
         self.flush()
 
     def receive_part_message(self, message: wire.PartMessage) -> None:
-        """Deliver a message of a part, as net/peers.py does, if both runs are current and the sender is live."""
+        """Hand a message to its part if both runs are current, the sender is live and the message is no replay."""
         member = self.view.table.get(message.run)
         if message.to != self.view.run or member is None or not member.live or member.run != message.run:
             return
@@ -119,7 +121,7 @@
         network.connect(self.address, member.address, deliver_stream)
 
     def on_timer(self) -> None:
-        """Run the timers that are due; ignored if a later wake-up has replaced this one."""
+        """Run the timers that are due; does nothing if the wake-up was rescheduled to a later time."""
         if not self.up or self.stalled or self.now_ms < self.next_wake_ms - TIMER_TOLERANCE_MS:
             return
         self.next_wake_ms = float("inf")
@@ -148,10 +150,10 @@
         wake_ms = min([self.view.wake_ms, *(part.wake_ms for part in self.parts_by_name.values())])
         if wake_ms < self.next_wake_ms:
             self.next_wake_ms = wake_ms
-            self.fleet.clock.call_at(self.next_wake_ms / self.rate, self.on_timer)
+            self.fleet.clock.call_at(self.next_wake_ms / self.clock_rate, self.on_timer)
 
     def run_part_hook(self, name: str) -> None:
-        """Run the hook registered for a part after it may have done work."""
+        """Run the hook in `Fleet.part_hooks` for a part, after the part may have done work."""
         hook = self.fleet.part_hooks.get(name)
         if hook is not None:
             hook(self)
@@ -170,7 +172,7 @@
             self.fleet.clock.call_at(self.fleet.clock.now_ms + 2 * self.busy_ms, self.cycle_stalls)
 
     def resume(self) -> None:
-        """End a stall as a process does: overdue timers run first, then the datagrams queued in its sockets."""
+        """End a stall as a process does: overdue timers run first, then the latest 500 of the queued datagrams."""
         if not self.up or not self.stalled:
             return
         self.stalled = False
@@ -185,7 +187,7 @@
 
 
 class Fleet:
-    """A simulated fleet; its course depends on the seed alone."""
+    """A simulated fleet on a virtual clock and network; what happens depends on the seed alone."""
 
     def __init__(
         self,
@@ -201,7 +203,7 @@
         self.hosts: dict[str, Host] = {}
         # Part name -> hook run after the part may have done work.
         self.part_hooks: dict[str, Callable[[Host], None]] = {}
-        # time, observer, removed run, its final state
+        # Time, name of the member that removed the run from its view, the run, the state that it got.
         self.removals: list[tuple[float, str, int, State]] = []
 
     def zone_of(self, name: str) -> int:
@@ -213,31 +215,34 @@
         name: str,
         seeds: tuple[str, ...] | None = None,
         address: str = "",
-        follow: Callable[[View], None] | None = None,
+        prepare_view: Callable[[View], None] | None = None,
         kind: type[View] = View,
         drift_ppm: float = 0.0,
     ) -> Host:
-        """Start a member, or restart one without its state; `follow` gets the view before it starts."""
+        """Start a member, or restart one without its state; `prepare_view` is called with its view before that starts.
+
+        `kind` is the View class that it runs. By default, its seeds are the first three hosts.
+        """
         address = address or f"{name}:7946"
         if seeds is None:
             seeds = tuple(f"{seed_name}:7946" for seed_name in list(self.hosts)[:3])
         host = self.hosts[name] = Host(self, name, address, seeds, kind, drift_ppm)
         self.network.hosts[address] = host.deliver
-        if follow is not None:
-            follow(host.view)
+        if prepare_view is not None:
+            prepare_view(host.view)
         host.view.start(host.now_ms)
         host.flush()
         return host
 
     def grow(self, members: int) -> None:
-        """Start so many members and run until the views converge."""
+        """Start `members` members and run until the views converge."""
         for i in range(members):
             self.add(f"p{i:04d}")
             self.run(10.0)
         self.until(self.converged, 60_000.0)
 
     def kill(self, name: str) -> Host:
-        """Kill a process without notice to the others."""
+        """Kill a process, without notice to the others."""
         host = self.hosts.pop(name)
         host.up = False
         if self.network.hosts.get(host.address) == host.deliver:
@@ -245,7 +250,7 @@
         return host
 
     def leave(self, name: str) -> Host:
-        """Let a member leave gracefully and end its process 300 ms later."""
+        """Let a member leave the fleet gracefully, and end its process 300 ms later."""
         host = self.hosts[name]
         host.view.leave(host.now_ms)
         host.flush()
@@ -253,7 +258,7 @@
         return self.kill(name)
 
     def sync_tables(self, host: Host, address: str) -> None:
-        """Run an anti-entropy session between a host and an address, as over TCP."""
+        """Run an anti-entropy session between a host and the one at an address, over a simulated connection."""
 
         def exchange() -> int:
             other = next(
@@ -263,14 +268,14 @@
                 not member.up or member.stalled or member.out_of_descriptors for member in (host, other)
             ):
                 return 0
-            ask = host.view.begin_sync(host.now_ms, other.view.hello(1), 2)
-            answer = other.view.answer_sync(other.now_ms, ask)
+            request = host.view.begin_sync(host.now_ms, other.view.hello(1), 2)
+            answer = other.view.answer_sync(other.now_ms, request)
             newer_records = host.view.complete_sync(host.now_ms, answer, 1)
             other.view.accept_sync(other.now_ms, newer_records)
             version = host.view.version_for(other.view.run)
             size = sum(
                 len(wire.encode_frame(message, version)) + wire.SEAL_BYTES + 4
-                for message in (ask, answer, newer_records)
+                for message in (request, answer, newer_records)
             )
             host.view.charge_sync(size)
             host.flush()
@@ -280,10 +285,10 @@
         self.network.connect(host.address, address, exchange)
 
     def partition(self, *parts: Iterable[str]) -> None:
-        """Block all paths between these groups of members."""
-        part_of = {f"{name}:7946": i for i, part in enumerate(parts) for name in part}
+        """Block all paths between these groups of members; those in none form a group of their own."""
+        group_by_address = {f"{name}:7946": i for i, part in enumerate(parts) for name in part}
         self.network.conditions.blocked = lambda source, target: (
-            part_of.get(source, -1) != part_of.get(target, -1)
+            group_by_address.get(source, -1) != group_by_address.get(target, -1)
         )
 
     def heal(self) -> None:
@@ -291,14 +296,14 @@
         self.network.conditions.blocked = None
 
     def run(self, for_ms: float) -> None:
-        """Advance the simulation."""
+        """Advance the simulation by `for_ms`."""
         self.clock.run(self.clock.now_ms + for_ms)
 
-    def until(self, holds: Callable[[], bool], most_ms: float) -> float:
-        """Run until a condition holds; returns the time it took in ms, or inf if it took longer than `most_ms`."""
+    def until(self, condition: Callable[[], bool], timeout_ms: float) -> float:
+        """Run until `condition` is true; returns the time it took in ms, or inf after `timeout_ms`."""
         began_ms = self.clock.now_ms
-        while not holds():
-            if self.clock.now_ms - began_ms >= most_ms:
+        while not condition():
+            if self.clock.now_ms - began_ms >= timeout_ms:
                 return float("inf")
             self.run(CONDITION_STEP_MS)
         return self.clock.now_ms - began_ms
@@ -315,7 +320,7 @@
             self.removals.append((self.clock.now_ms, host.name, previous.run, state))
 
     def converged(self) -> bool:
-        """Whether all members hold the same view, and it lists exactly the running processes."""
+        """Whether all members hold the same view, which lists exactly the running processes."""
         running = {process_of(host.view.run) for host in self.hosts.values()}
         digests = {host.view.digest() for host in self.hosts.values()}
         if len(digests) != 1:
@@ -332,7 +337,7 @@
         return all(host.view.table.status(run) < State.DEAD for host in self.hosts.values())
 
     def false_removals(self) -> list[tuple[float, str, int, State]]:
-        """Recorded removals of runs whose process is still running."""
+        """The entries of `removals` for runs whose process is still running."""
         running = {process_of(host.view.run) for host in self.hosts.values()}
         return [removal for removal in self.removals if process_of(removal[2]) in running]
 
--- a/leadslip/lab/model.py
+++ b/leadslip/lab/model.py
@@ -6,11 +6,11 @@
 partitions or heals. Invariants checked in every state:
 
 - V3: a member that held a run as dead never holds it as live again;
-- a process never suspects itself, and holds itself as live;
+- each process holds its own current run as alive, and never returns to an earlier run;
 - convergence: if from here on the network is connected, no suspicion arises and all members exchange tables until
   nothing changes, then all hold the same view: every running process is live, and no run that has ended is.
 
-Members that no longer run are not expired, and time is not modelled: timers only decide which transition comes next.
+Ended runs are never dropped from a table, and time is not modelled: timers only decide which transition comes next.
 """
 
 from __future__ import annotations
@@ -30,32 +30,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class World:
-    """One state of the model; equal states are explored once."""
+class ModelState:
+    """One state of the model; states that are equal are explored once."""
 
     views: tuple[tuple[int, int, TableContents], ...]  # of each member: run, incarnation and table
     partition: int  # index into PARTITIONS
-    started: int  # number of processes started so far
+    processes_started: int  # number of processes started so far
 
 
 class ViolationError(Exception):
-    """An invariant does not hold; the text names it and the transitions that led to the violation."""
+    """An invariant is violated; the text names it and the transitions from the initial state that led there."""
 
 
 class Model:
-    """Explores states up to a depth; `kind` is the View class under check, which may be a faulty variant."""
+    """Explores the states of three members that run `view_class`, which may be a faulty variant of View.
+
+    No member exceeds `max_incarnation` or `max_generation`, and there are `restarts` restarts at most.
+    """
 
     def __init__(
-        self, kind: type[View] = View, max_incarnation: int = 2, max_generation: int = 2, restarts: int = 1
+        self,
+        view_class: type[View] = View,
+        max_incarnation: int = 2,
+        max_generation: int = 2,
+        restarts: int = 1,
     ) -> None:
-        self.kind, self.restarts = kind, restarts
+        self.view_class, self.restarts = view_class, restarts
         self.max_incarnation, self.max_generation = max_incarnation, max_generation
         self.metrics = Metrics()
-        self.convergence_results: dict[World, str] = {}
+        self.convergence_results: dict[ModelState, str] = {}
 
     def build_view(self, index: int, run: int, incarnation: int, entries: TableContents) -> View:
         """A view with the given run, incarnation and table."""
-        view = self.kind(
+        view = self.view_class(
             OwnMember(f"n{index}", f"n{index}:1"), (), Random(1), self.metrics, ProtocolTiming(), 100
         )
         view.run, view.incarnation, view.joined = run, incarnation, True
@@ -81,15 +88,15 @@
         )
         return view.run, view.incarnation, tuple(entries)
 
-    def initial_world(self) -> World:
+    def initial_state(self) -> ModelState:
         """The initial state: three members, each of which holds all as alive."""
         runs = [FIRST_PROCESS + i << GENERATION_BITS for i in range(3)]
         entries = tuple((run, 0, 0) for run in runs)
-        return World(tuple((run, 0, entries) for run in runs), 0, 3)
+        return ModelState(tuple((run, 0, entries) for run in runs), 0, 3)
 
-    def transitions(self, world: World) -> Iterator[tuple[str, World]]:
+    def transitions(self, model_state: ModelState) -> Iterator[tuple[str, ModelState]]:
         """Every transition from a state: its description and the state it leads to."""
-        for i, (run, incarnation, entries) in enumerate(world.views):
+        for i, (run, incarnation, entries) in enumerate(model_state.views):
             if run & 0xFFFF >= self.max_generation or incarnation >= self.max_incarnation:
                 continue
             for other, state, _ in entries:
@@ -98,59 +105,67 @@
                 view = self.build_view(i, run, incarnation, entries)
                 if state == State.ALIVE:
                     view._suspect(0.0, other)
-                    yield f"{i} suspects {other:x}", self.with_view(world, i, view)
+                    yield f"{i} suspects {other:x}", self.with_view(model_state, i, view)
                 else:
                     view._declare_dead(0.0, other, "fleet.declared_dead")
-                    yield f"{i} declares {other:x} dead", self.with_view(world, i, view)
-        sides = PARTITIONS[world.partition]
+                    yield f"{i} declares {other:x} dead", self.with_view(model_state, i, view)
+        sides = PARTITIONS[model_state.partition]
         for i in range(3):
             for j in range(3):
                 if i != j and sides[i] == sides[j]:
-                    next_world = self.send_table(world, i, j)
-                    if next_world != world:
-                        yield f"{i} sends its table to {j}", next_world
-        if world.started < 3 + self.restarts:
+                    next_state = self.send_table(model_state, i, j)
+                    if next_state != model_state:
+                        yield f"{i} sends its table to {j}", next_state
+        if model_state.processes_started < 3 + self.restarts:
             for i in range(3):
                 # A process number determines its member: take the next one that maps to member i.
-                number = next(n for n in range(world.started, world.started + 3) if n % 3 == i)
+                number = next(
+                    n
+                    for n in range(model_state.processes_started, model_state.processes_started + 3)
+                    if n % 3 == i
+                )
                 run = FIRST_PROCESS + number << GENERATION_BITS
                 restarted = (run, 0, ((run, 0, 0),))
                 views = tuple(
-                    restarted if k == i else member_view for k, member_view in enumerate(world.views)
+                    restarted if k == i else member_view for k, member_view in enumerate(model_state.views)
                 )
-                yield f"{i} restarts", World(views, world.partition, number + 1)
+                yield f"{i} restarts", ModelState(views, model_state.partition, number + 1)
         for partition in range(len(PARTITIONS)):
-            if partition != world.partition and 0 in (partition, world.partition):
-                yield f"network {PARTITIONS[partition]}", World(world.views, partition, world.started)
+            if partition != model_state.partition and 0 in (partition, model_state.partition):
+                yield (
+                    f"network {PARTITIONS[partition]}",
+                    ModelState(model_state.views, partition, model_state.processes_started),
+                )
 
-    def with_view(self, world: World, index: int, view: View) -> World:
+    def with_view(self, model_state: ModelState, index: int, view: View) -> ModelState:
         """The state in which one member's view has been replaced."""
         views = tuple(
-            self.contents_of(view) if k == index else member_view for k, member_view in enumerate(world.views)
+            self.contents_of(view) if k == index else member_view
+            for k, member_view in enumerate(model_state.views)
         )
-        return World(views, world.partition, world.started)
+        return ModelState(views, model_state.partition, model_state.processes_started)
 
-    def send_table(self, world: World, source: int, target: int) -> World:
+    def send_table(self, model_state: ModelState, source: int, target: int) -> ModelState:
         """The state after one member has sent another its whole table, as an anti-entropy session does."""
-        sender = self.build_view(source, *world.views[source])
-        receiver = self.build_view(target, *world.views[target])
+        sender = self.build_view(source, *model_state.views[source])
+        receiver = self.build_view(target, *model_state.views[target])
         receiver._merge(0.0, [member.record(0.0) for member in sender.table])
-        return self.with_view(world, target, receiver)
+        return self.with_view(model_state, target, receiver)
 
-    def check(self, world: World, previous: World) -> str:
+    def check(self, model_state: ModelState, previous: ModelState) -> str:
         """The invariant that a state violates, or an empty string."""
-        for (run, _, entries), (previous_run, _, _) in zip(world.views, previous.views, strict=True):
+        for (run, _, entries), (previous_run, _, _) in zip(model_state.views, previous.views, strict=True):
             own_entries = [entry for entry in entries if process_of(entry[0]) == process_of(run)]
             if [(entry[0], entry[1]) for entry in own_entries] != [(run, 0)]:
-                return "a process holds itself live"
+                return "a process holds its own run as alive"
             if process_of(run) == process_of(previous_run) and run < previous_run:
-                return "lives only grow"
-        return self.find_resurrection(world, previous) or self.check_convergence(world)
+                return "the run of a process never decreases"
+        return self.find_resurrection(model_state, previous) or self.check_convergence(model_state)
 
-    def find_resurrection(self, world: World, previous: World) -> str:
-        """\"V3\" if the step between two states violates it, otherwise an empty string."""
+    def find_resurrection(self, model_state: ModelState, previous: ModelState) -> str:
+        """\"V3\" if the transition between two states violates it, otherwise an empty string."""
         for (run, _, entries), (previous_run, _, previous_entries) in zip(
-            world.views, previous.views, strict=True
+            model_state.views, previous.views, strict=True
         ):
             dead = {entry_run for entry_run, state, _ in previous_entries if state == State.DEAD}
             if process_of(run) == process_of(previous_run) and any(
@@ -159,9 +174,9 @@
                 return "V3"
         return ""
 
-    def check_convergence(self, world: World) -> str:
+    def check_convergence(self, model_state: ModelState) -> str:
         """Empty if all members converge on the correct view without further faults, else the violated invariant."""
-        key = World(world.views, 0, 0)
+        key = ModelState(model_state.views, 0, 0)
         cached = self.convergence_results.get(key)
         if cached is not None:
             return cached
@@ -171,9 +186,9 @@
             for i in range(3):
                 for j in range(3):
                     if i != j:
-                        next_world = self.send_table(current, i, j)
-                        violation = violation or self.find_resurrection(next_world, current)
-                        current = next_world
+                        next_state = self.send_table(current, i, j)
+                        violation = violation or self.find_resurrection(next_state, current)
+                        current = next_state
             if current == round_start or violation:
                 break
         running = {(run, int(State.ALIVE), incarnation) for run, incarnation, _ in current.views}
@@ -186,29 +201,32 @@
         return violation
 
     def explore(self, depth: int, most_states: int) -> tuple[int, int]:
-        """Explore breadth first; returns the number of states seen and the last depth completed. Raises BrokenError."""
-        initial = self.initial_world()
+        """Explore breadth first; returns the number of states found and the last depth explored completely.
+
+        Stops at `depth` transitions, or at `most_states` states. Raises ViolationError if an invariant is violated.
+        """
+        initial = self.initial_state()
         seen = {initial}
-        trace: dict[World, tuple[World, str]] = {}
-        level = [initial]
-        for completed in range(depth):
-            following = []
-            for world in level:
-                for transition, next_world in self.transitions(world):
-                    if next_world in seen:
+        predecessors: dict[ModelState, tuple[ModelState, str]] = {}
+        frontier = [initial]
+        for completed_depth in range(depth):
+            next_frontier = []
+            for model_state in frontier:
+                for transition, next_state in self.transitions(model_state):
+                    if next_state in seen:
                         continue
-                    violation = self.check(next_world, world)
+                    violation = self.check(next_state, model_state)
                     if violation:
                         transitions = [transition]
-                        reached = world
-                        while reached in trace:
-                            reached, earlier = trace[reached]
+                        reached = model_state
+                        while reached in predecessors:
+                            reached, earlier = predecessors[reached]
                             transitions.append(earlier)
                         raise ViolationError(f"{violation}: {'; '.join(reversed(transitions))}")
-                    seen.add(next_world)
-                    trace[next_world] = world, transition
-                    following.append(next_world)
+                    seen.add(next_state)
+                    predecessors[next_state] = model_state, transition
+                    next_frontier.append(next_state)
                     if len(seen) >= most_states:
-                        return len(seen), completed
-            level = following
+                        return len(seen), completed_depth
+            frontier = next_frontier
         return len(seen), depth
--- a/leadslip/lab/network.py
+++ b/leadslip/lab/network.py
@@ -1,8 +1,8 @@
 """A virtual clock, and a virtual network of datagrams and connections with faults for each direction of a path.
 
 Hosts are identified by address. The faults in effect when a datagram is sent decide whether it is blocked, lost,
-delayed or duplicated. `connect` runs an exchange over a connection as a callback after two round trips, or never if
-either direction is blocked. The order of events depends on the seed alone.
+delayed or duplicated. `connect` stands for a whole exchange over a TCP connection: a callback after two round trips,
+or never if either direction is blocked. The order of events depends on the seed alone.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
         self.sequence = 0
 
     def call_at(self, due_ms: float, callback: Callable, *args: object) -> None:
-        """Schedule a callback; a time in the past means now."""
+        """Schedule a callback; one for a time in the past runs at the current time."""
         self.sequence += 1
         heapq.heappush(self.heap, (max(due_ms, self.now_ms), self.sequence, callback, args))
 
@@ -39,29 +39,29 @@
 
 @dataclass
 class NetworkConditions:
-    """Conditions that apply to all paths between hosts, and extra delays of single paths."""
+    """Delays, losses and blocked paths of the network; tests and benchmarks set them directly."""
 
     delay_range_ms: tuple[float, float] = (0.3, 3.0)  # range of the one-way delay
     loss_rate: float = 0.0  # share of datagrams lost
     duplicate_rate: float = 0.0  # share of datagrams duplicated
     blocked: Callable[[str, str], bool] | None = None  # (source, target) -> whether the path is blocked
     # (source, target) -> extra one-way delay in ms
-    slow: dict[tuple[str, str], float] = field(default_factory=dict)
+    extra_delay_ms: dict[tuple[str, str], float] = field(default_factory=dict)
 
 
 class Network:
-    """Carries datagrams between hosts, and counts them by sender."""
+    """Carries datagrams and exchanges between hosts, and counts the traffic by sender."""
 
     def __init__(self, clock: Clock, rng: Random) -> None:
         self.clock, self.rng, self.conditions = clock, rng, NetworkConditions()
         self.link_faults = LinkFaults(rng.getrandbits(32))  # the path faults of a scenario
-        self.hosts: dict[str, Callable[[bytes], None]] = {}
-        self.datagrams: dict[str, int] = {}
-        self.bytes: dict[str, int] = {}
-        self.streamed: dict[str, int] = {}
+        self.hosts: dict[str, Callable[[bytes], None]] = {}  # address -> function that receives a datagram
+        self.datagrams: dict[str, int] = {}  # sender -> datagrams sent
+        self.bytes: dict[str, int] = {}  # sender -> bytes sent in datagrams
+        self.streamed: dict[str, int] = {}  # host -> half of the bytes exchanged over its connections
 
     def passes(self, source: str, target: str) -> bool:
-        """Whether a connection passes data from source to target."""
+        """Whether a connection can carry data from source to target at the moment."""
         blocked, muted, _ = (
             self.link_faults.connection_faults((source, target))
             if self.link_faults.faults_by_path
@@ -75,12 +75,12 @@
 
     def delay(self, source: str, target: str) -> float:
         """Draw the one-way delay of a path in ms."""
-        return self.rng.uniform(*self.conditions.delay_range_ms) + self.conditions.slow.get(
+        return self.rng.uniform(*self.conditions.delay_range_ms) + self.conditions.extra_delay_ms.get(
             (source, target), 0.0
         )
 
     def send(self, source: str, target: str, data: bytes) -> None:
-        """Send one datagram, subject to the faults in effect."""
+        """Send one datagram, subject to the conditions and the path faults in effect."""
         self.datagrams[source] = self.datagrams.get(source, 0) + 1
         self.bytes[source] = self.bytes.get(source, 0) + len(data)
         conditions, rng = self.conditions, self.rng
@@ -105,7 +105,7 @@
             receive(data)
 
     def connect(self, source: str, target: str, exchange: Callable[[], int]) -> None:
-        """Run an exchange over TCP in one step after two round trips; `exchange` returns the bytes exchanged."""
+        """Run `exchange`, which returns the bytes exchanged, after two round trips if neither direction is blocked."""
         if not (self.passes(source, target) and self.passes(target, source)):
             return
         duration_ms = 2 * (self.delay(source, target) + self.delay(target, source))
--- a/leadslip/lab/replicated.py
+++ b/leadslip/lab/replicated.py
@@ -1,7 +1,8 @@
 """Simulates replication: a virtual fleet whose calls begin and end, with members killed and restarted without state.
 
-Each member's calls are drawn from a seed. The simulation keeps its own record of the established calls and of what a
-restarted member must recover: what a holder of its replica had acknowledged, while one of these holders still runs.
+Each member's calls are drawn from a seed. The simulation keeps its own record of the established calls, and of those
+that a restarted member must recover: the calls that a holder of a complete replica knew when the member was killed, if
+that holder still runs. The invariants R1 to R4 are defined in leadslip/drill/check.py.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Replicated:
-    """A simulated fleet in which each member owns a replicated table of calls."""
+    """A simulated fleet in which each member owns a table of calls, replicated to `copies` others by class `kind`."""
 
     def __init__(self, seed: int, members: int, copies: int = 2, kind: type[Replicas] = Replicas) -> None:
         self.fleet, self.copies, self.kind = Fleet(seed, zones=3), copies, kind
@@ -27,20 +28,20 @@
         # Call -> the process that recorded its start (or its end) and the sequence number there.
         self.call_starts: dict[str, tuple[int, int]] = {}
         self.call_ends: dict[str, tuple[int, int]] = {}
-        self.killed_processes: dict[str, int] = {}  # killed member -> its process number
+        self.killed_process_numbers: dict[str, int] = {}  # killed member -> its process number
         # Killed member -> process that held its replica -> last change applied there.
         self.applied_by_holder: dict[str, dict[int, int]] = {}
         self.logged: list[tuple[str, dict]] = []  # log events of the members: event, fields
-        self.calls, self.rate = 0, 0.3  # calls begun so far; chance of a new call in each step
+        self.calls, self.rate = 0, 0.3  # calls begun so far; probability of a new call per member and step
         for name in self.names:
             self.start(name)
             self.fleet.run(15.0)
         self.fleet.clock.call_at(self.fleet.clock.now_ms + CALL_STEP_MS, self.step_calls)
 
     def kill(self, name: str) -> None:
-        """Kill a process, and record who held its complete replica and up to which change."""
+        """Kill a process, and record which members held a complete replica of its table, and up to which change."""
         run = self.fleet.hosts[name].view.run
-        self.killed_processes[name] = process_of(run)
+        self.killed_process_numbers[name] = process_of(run)
         self.applied_by_holder[name] = {
             process_of(host.view.run): host.replicas.held_replicas[run].table.applied
             for host in self.fleet.hosts.values()
@@ -52,24 +53,24 @@
         """Start a member without state; after a kill, drop the calls that no surviving holder knew."""
         if name in self.applied_by_holder:
             live = {process_of(host.view.run) for host in self.fleet.hosts.values()}
-            latest = max(
+            last_known_change = max(
                 (number for run, number in self.applied_by_holder.pop(name).items() if run in live),
                 default=-1,
             )
-            process, calls = self.killed_processes[name], self.established[name]
+            process, calls = self.killed_process_numbers[name], self.established[name]
             lost = {
                 call
                 for call in calls
-                if self.call_starts[call][0] == process and self.call_starts[call][1] > latest
+                if self.call_starts[call][0] == process and self.call_starts[call][1] > last_known_change
             }
             self.established[name] = {
-                call: server for call, server in calls.items() if call not in lost and latest >= 0
+                call: server for call, server in calls.items() if call not in lost and last_known_change >= 0
             }
-            # An end that no surviving holder knew is lost: its call counts as established until it is released again.
+            # The end of a call is lost if no surviving holder knew it: the call may be established again.
             self.call_ends = {
                 call: entry
                 for call, entry in self.call_ends.items()
-                if entry[0] != process or entry[1] <= latest
+                if entry[0] != process or entry[1] <= last_known_change
             }
         host = self.fleet.add(name, address=address)
         host.back = {}
@@ -119,7 +120,7 @@
         return self.established[name].keys() <= self.fleet.hosts[name].replicas.own.all(ESTABLISHED).keys()
 
     def replicas_of(self, name: str) -> list[tuple[str, int, int]]:
-        """Holders of a running member's replica: name, last change applied, digest."""
+        """The holders of replicas of a running member's table: name, number of the last change applied, digest."""
         run = self.fleet.hosts[name].view.run
         return [
             (
@@ -132,12 +133,15 @@
         ]
 
     def replicas_equal(self) -> bool:
-        """R3: whether `copies` members hold each table as its owner does, one in another zone if there is one."""
+        """R3: whether `copies` members (or all others, if fewer) hold an equal replica of each table.
+
+        One of them must be in another zone than the owner, if any member is.
+        """
         for name, host in self.fleet.hosts.items():
             own = host.replicas.own
-            current = own.applied, own.digest()
+            own_state = own.applied, own.digest()
             equal_holders = [
-                holder for holder, number, digest in self.replicas_of(name) if (number, digest) == current
+                holder for holder, number, digest in self.replicas_of(name) if (number, digest) == own_state
             ]
             zones = {self.fleet.zone_of(holder) for holder in equal_holders}
             other_zones = {self.fleet.zone_of(other) for other in self.fleet.hosts if other != name}
@@ -147,15 +151,15 @@
                 return False
         return True
 
-    def settle_replicas(self, most_ms: float = 10_000.0) -> float:
-        """Pause the call generator and run until all replicas are equal; returns the time it took in ms, or inf."""
+    def settle_replicas(self, timeout_ms: float = 10_000.0) -> float:
+        """Pause the start and end of calls, and run until all replicas are equal; returns the time in ms, or inf."""
         rate, self.rate = self.rate, 0.0
-        took_ms = self.fleet.until(self.replicas_equal, most_ms)
+        took_ms = self.fleet.until(self.replicas_equal, timeout_ms)
         self.rate = rate
         return took_ms
 
     def resurrected_calls(self) -> list[str]:
-        """R1: ended calls that a replica of a live member still has; meaningful once replicas are equal."""
+        """R1: ended calls that a complete replica of a running owner still has; meaningful once replicas are equal."""
         return [
             f"{name} holds {call}"
             for name, host in self.fleet.hosts.items()
--- a/leadslip/lab/voters.py
+++ b/leadslip/lab/voters.py
@@ -1,7 +1,8 @@
 """Simulates Raft voters: the production Raft on a virtual clock, with an unreliable network and delayed disks.
 
-`Voters` starts, crashes, pauses and restarts voters and records what each commits and what was acknowledged; `wrong`
-and `missing` list the violations found in that record.
+`Voters` starts, crashes, pauses and restarts voters, and records what each commits and which proposals were
+acknowledged. `violations` lists the entries that contradict one committed before, `lost_changes` the acknowledged
+changes that a running voter lacks.
 """
 
 from __future__ import annotations
@@ -30,12 +31,13 @@
 
 
 class Disk:
-    """The persistent state of a voter; saves are atomic and in order, or lost."""
+    """The persistent state of a voter; each save is written in order and as a whole, or is lost."""
 
     def __init__(self, voters: list[str]) -> None:
         self.stored = PersistentState(0, "", Snapshot(0, 0, voters, b""), [])
 
     def write(self, save: Save) -> None:
+        """Apply a save to the stored state."""
         previous = self.stored
         snapshot, entries = previous.snapshot, previous.entries
         if save.snapshot is not None:
@@ -49,11 +51,11 @@
 
 
 class Voter:
-    """One voter process, from its start to its crash."""
+    """One process of a voter, from its start to its crash; `state` is the list of the changes committed."""
 
     def __init__(self, simulation: Voters, id_: str, disk: Disk) -> None:
         self.simulation, self.id, self.disk = simulation, id_, disk
-        self.up, self.stopped = True, False
+        self.up, self.paused = True, False
         self.queued: list = []  # callbacks queued while it is paused
         stored = disk.stored
         loaded = PersistentState(stored.term, stored.vote, stored.snapshot, list(stored.entries))
@@ -70,7 +72,7 @@
 
     @staticmethod
     def decode_state(data: bytes) -> list[bytes]:
-        """The state of the machine that a snapshot holds."""
+        """The committed state that a snapshot contains."""
         return msgspec.msgpack.decode(data, type=list[bytes]) if data else []
 
     def commit(self, entry: Entry) -> None:
@@ -80,17 +82,17 @@
         elif entry.kind == EntryKind.CHANGE:
             self.state.append(entry.data)
         if entry.kind != EntryKind.SNAPSHOT:
-            self.simulation.committed(self.id, entry)
+            self.simulation.record_commit(self.id, entry)
 
     def compact(self) -> None:
-        """Compact the log into a snapshot of the state."""
+        """Replace the committed part of the log by a snapshot of the state."""
         self.raft.compact(msgspec.msgpack.encode(self.state))
 
     def act(self, callback: Callable[[], object]) -> None:
-        """Run a callback, then schedule the saves, messages and the timer that it leads to; queue it while paused."""
+        """Run a callback, then carry out the saves, messages and timer that Raft requests; queued while paused."""
         if not self.up:
             return
-        if self.stopped:
+        if self.paused:
             self.queued.append(callback)
             return
         callback()
@@ -101,25 +103,25 @@
                 simulation.disk_busy_until_ms.get(self.id, 0.0), simulation.now_ms
             ) + simulation.rng.uniform(*DISK_DELAY_RANGE_MS)
             simulation.call_at(simulation.disk_busy_until_ms[self.id], self.complete_save, save)
-        outgoing, self.raft.outbox = self.raft.outbox, []
-        for message in outgoing:
+        messages, self.raft.outbox = self.raft.outbox, []
+        for message in messages:
             simulation.send(message)
         simulation.call_at(self.raft.wake_ms, self.on_timer)
 
     def complete_save(self, save: Save) -> None:
-        """Write a save to the disk and confirm it to Raft, unless the process was killed."""
+        """Write a save to the disk and confirm it to Raft, unless the process has crashed."""
         if self.up:
             self.disk.write(save)
             self.act(lambda: self.raft.saved(self.simulation.now_ms, save.number))
 
     def on_timer(self) -> None:
-        """Run Raft's timer if it is due."""
-        if self.up and not self.stopped and self.simulation.now_ms >= self.raft.wake_ms:
+        """Run Raft's expired timers, unless the timer was rescheduled to a later time."""
+        if self.up and not self.paused and self.simulation.now_ms >= self.raft.wake_ms:
             self.act(lambda: self.raft.due(self.simulation.now_ms))
 
 
 class Voters:
-    """A simulated group of Raft voters; its course depends on the seed alone."""
+    """A simulated group of Raft voters that run class `kind`; what happens depends on the seed alone."""
 
     def __init__(self, seed: int, count: int = 3, pace: Timing = Timing(), kind: type[Raft] = Raft) -> None:  # noqa: B008
         self.rng, self.metrics, self.pace, self.kind = Random(seed), Metrics(), pace, kind
@@ -130,9 +132,10 @@
         self.ids = [f"v{i}" for i in range(count)]
         self.disks = {id_: Disk(self.ids) for id_ in self.ids}
         self.voters: dict[str, Voter] = {}
-        self.log: dict[int, Entry] = {}  # index -> the entry that was committed first there
+        self.first_committed: dict[int, Entry] = {}  # index -> the entry that was committed first there
         self.violations: list[str] = []
-        self.acknowledged: dict[bytes, int] = {}
+        self.acknowledged: dict[bytes, int] = {}  # change -> index at which it was committed
+        # Index -> the changes proposed for it: id of the leader, term, change.
         self.proposed: dict[int, list[tuple[str, int, bytes]]] = {}
         for id_ in self.ids:
             self.start(id_)
@@ -144,7 +147,7 @@
             heapq.heappush(self.heap, (due_ms, self.sequence, callback, args))
 
     def run(self, for_ms: float) -> None:
-        """Advance the clock, running the callbacks due in order of time."""
+        """Advance the clock by `for_ms`, running the callbacks due by then in order of time."""
         until_ms = self.now_ms + for_ms
         while self.heap and self.heap[0][0] <= until_ms:
             self.now_ms, _, callback, args = heapq.heappop(self.heap)
@@ -152,23 +155,23 @@
         self.now_ms = until_ms
 
     def start(self, id_: str) -> None:
-        """Start a voter with its disk."""
+        """Start a voter, or restart it with what its disk holds."""
         voter = self.voters[id_] = Voter(self, id_, self.disks[id_])
         voter.act(lambda: None)
 
     def crash(self, id_: str) -> None:
-        """Kill the process; saves that have not reached its disk are lost."""
+        """Kill a voter's process; saves that have not reached its disk are lost."""
         self.voters[id_].up = False
         self.disk_busy_until_ms.pop(id_, None)
 
     def stop(self, id_: str) -> None:
         """Pause a voter."""
-        self.voters[id_].stopped = True
+        self.voters[id_].paused = True
 
     def resume(self, id_: str) -> None:
-        """Resume a paused voter: its timer runs first, then what was queued."""
+        """Resume a paused voter: expired timers run first, then the queued callbacks."""
         voter = self.voters[id_]
-        voter.stopped = False
+        voter.paused = False
         queued, voter.queued = voter.queued, []
         voter.act(lambda: voter.raft.due(self.now_ms))
         for callback in queued:
@@ -176,11 +179,11 @@
 
     def partition(self, *parts: Iterable[str]) -> None:
         """Block all paths between these groups of voters."""
-        part_of = {id_: i for i, part in enumerate(parts) for id_ in part}
-        self.blocked = {(a, b) for a in part_of for b in part_of if part_of[a] != part_of[b]}
+        group_by_id = {id_: i for i, part in enumerate(parts) for id_ in part}
+        self.blocked = {(a, b) for a in group_by_id for b in group_by_id if group_by_id[a] != group_by_id[b]}
 
     def send(self, message: object) -> None:
-        """Send a message that may be lost, delayed for long or duplicated."""
+        """Send a message: it may be lost, delayed by up to 400 ms more (2% of all) or duplicated (1%)."""
         if (message.source, message.target) in self.blocked or self.rng.random() < self.loss_rate:
             return
         due_ms = self.now_ms + self.rng.uniform(*MESSAGE_DELAY_RANGE_MS)
@@ -201,12 +204,15 @@
         leaders = [
             voter
             for voter in self.voters.values()
-            if voter.up and not voter.stopped and voter.raft.role is Role.LEADER
+            if voter.up and not voter.paused and voter.raft.role is Role.LEADER
         ]
         return max(leaders, key=lambda voter: voter.raft.term, default=None)
 
     def propose(self, data: bytes) -> bool:
-        """Propose a change at the leader; acknowledged once that leader commits it at the proposed index and term."""
+        """Propose a change at the leader; returns whether there is one.
+
+        The change counts as acknowledged once that leader commits it at the proposed index and term.
+        """
         voter = self.leader()
         if voter is None:
             return False
@@ -221,9 +227,9 @@
         voter.act(propose)
         return True
 
-    def committed(self, id_: str, entry: Entry) -> None:
+    def record_commit(self, id_: str, entry: Entry) -> None:
         """Record an entry that a voter committed; all voters must commit the same entry at an index."""
-        first = self.log.setdefault(entry.index, entry)
+        first = self.first_committed.setdefault(entry.index, entry)
         if first != entry:
             self.violations.append(f"{id_} commits {entry} at an index where {first} was committed")
         for leader_id, term, data in self.proposed.get(entry.index, ()):
@@ -232,19 +238,19 @@
 
     def lost_changes(self) -> list[bytes]:
         """Acknowledged changes that are missing from the committed state of a running voter."""
-        running = [voter for voter in self.voters.values() if voter.up and not voter.stopped]
+        running = [voter for voter in self.voters.values() if voter.up and not voter.paused]
         return [data for data in self.acknowledged if any(data not in voter.state for voter in running)]
 
     def converged(self) -> bool:
         """Whether there is a leader and all running voters have the same committed state."""
-        running = [voter for voter in self.voters.values() if voter.up and not voter.stopped]
+        running = [voter for voter in self.voters.values() if voter.up and not voter.paused]
         return self.leader() is not None and len({tuple(voter.state) for voter in running}) == 1
 
-    def until(self, holds: Callable[[], bool], most_ms: float) -> float:
-        """Run until a condition holds; returns the time it took in ms, or inf if it took longer than `most_ms`."""
+    def until(self, condition: Callable[[], bool], timeout_ms: float) -> float:
+        """Run until `condition` is true; returns the time it took in ms, or inf after `timeout_ms`."""
         began_ms = self.now_ms
-        while not holds():
-            if self.now_ms - began_ms >= most_ms:
+        while not condition():
+            if self.now_ms - began_ms >= timeout_ms:
                 return float("inf")
             self.run(10.0)
         return self.now_ms - began_ms
