--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -2,10 +2,10 @@
 
 python -m benchmarks.fleet times --members 200 --rounds 50     # crash, join, leave: p50 and p99
 python -m benchmarks.fleet heal --members 200                  # time to converge after partitions
-python -m benchmarks.fleet quiet --members 200 --minutes 60    # false removals under loss and stalls
+python -m benchmarks.fleet quiet --members 200 --minutes 60    # false removals with loss and stalls, without crashes
 python -m benchmarks.fleet baseline                            # all-to-all heartbeats: fixed time-out, phi accrual
 python -m benchmarks.fleet traffic                             # 50 to 1,000 idle members
-python -m benchmarks.fleet trouble --members 200               # herd, rolling restart, flapping: traffic over idle
+python -m benchmarks.fleet trouble --members 200               # traffic of mass and rolling restarts, flapping network
 python -m benchmarks.fleet cost --members 200                  # us per datagram, memory per member
 python -m benchmarks.fleet calls                               # real processes: calls with the fleet on and off
 """
@@ -38,9 +38,11 @@
 from leadslip.metrics import Metrics
 from leadslip.site import configuration
 
-PHI_8 = -statistics.NormalDist().inv_cdf(1e-8)  # standard deviations of silence at which phi is 8
+# Phi is -log10 of the probability of a longer gap; it is 8 at this many standard deviations above the mean gap.
+PHI_8 = -statistics.NormalDist().inv_cdf(1e-8)
 WINDOW_S = 10  # sliding window of the peak traffic that is reported besides the mean
-# Active components of Lifeguard; "no telling" is without priority updates to suspected members.
+# Values of --parts: all components of Lifeguard; without time-outs that grow with the member's own health score;
+# without suspicion time-outs that confirmations shorten; without priority updates to suspected members; none of them.
 PARTS = ("all", "no health", "no confirmation", "no telling", "none")
 
 
@@ -60,7 +62,7 @@
 
 
 def percentiles(values: list[float]) -> dict[str, float]:
-    """Return p50, p99, the maximum and the number of the values, in their unit."""
+    """Return p50, p99 and the maximum ("most") of the values, and their number ("of")."""
     ordered = sorted(values)
     return {
         "p50": statistics.median(ordered),
@@ -85,7 +87,7 @@
 @seed_option
 @click.option("--rounds", type=int, default=50, show_default=True)
 def times(members: int, seed: int, rounds: int) -> None:
-    """Time until all members know of a crash, a join and a leave."""
+    """Time in ms until all members know of a crash, a join and a leave."""
     fleet = Fleet(seed)
     fleet.grow(members)
     crash_ms, join_ms, leave_ms = [], [], []
@@ -121,7 +123,7 @@
 @seed_option
 @click.option("--seconds", type=float, multiple=True, default=(1.0, 60.0, 3600.0), show_default=True)
 def heal(members: int, seed: int, seconds: tuple[float, ...]) -> None:
-    """Time until all members hold one view after a partition into halves has healed."""
+    """Time until all members hold one view after a partition into halves has healed, and the traffic per member."""
     for partition_s in seconds:
         fleet = Fleet(seed)
         fleet.grow(members)
@@ -150,7 +152,10 @@
 @click.option("--minutes", type=float, default=10.0, show_default=True)
 @click.option("--lost", type=float, default=0.10, show_default=True)
 def quiet(members: int, seed: int, parts: str, minutes: float, lost: float) -> None:
-    """False removals while datagrams are lost and one in ten members is stalled for a second at a time."""
+    """False removals while datagrams are lost and one in ten members is stalled for a second at a time.
+
+    No member crashes; "wrong" counts the members that were removed at least once.
+    """
     disable_lifeguard(parts)
     fleet = Fleet(seed)
     fleet.grow(members)
@@ -161,7 +166,7 @@
             click.echo(
                 f"after {second + 1} s: {len(fleet.false_removals())} removals of running members", err=True
             )
-        # No member twice in a row: it would be stalled for two seconds.
+        # A member stalled twice in a row would be stalled for two seconds.
         stalled = fleet.rng.sample(
             [host for host in fleet.hosts.values() if host not in stalled], members // 10 or 1
         )
@@ -207,7 +212,11 @@
 
 
 def heartbeats(seed: int, members: int, seconds: float, lost: float = 0.0) -> dict[str, float]:
-    """All-to-all baseline: each member sends a heartbeat to every other once a second; dead after 3 s of silence."""
+    """All-to-all baseline: each member sends a heartbeat to every other once a second; dead after 3 s of silence.
+
+    One member crashes after half of the time. Returns the traffic per member and second, the time until all others hold
+    it dead, and the number of pairs in which a running member is held dead at the end ("wrong").
+    """
     clock, rng = Clock(), random.Random(seed)
     network = Network(clock, random.Random(seed))
     network.conditions.loss_rate = lost
@@ -244,11 +253,11 @@
             if other not in (name, victim)
         )
     sent = sum(network.datagrams.values()) / members / seconds
-    known_ms = max(last_from_victim[name] for name in names[1:]) + 3000.0 - seconds * 500.0
+    crash_known_ms = max(last_from_victim[name] for name in names[1:]) + 3000.0 - seconds * 500.0
     return {
         "datagrams_s": sent,
         "bytes_s": sent * len(heartbeat),
-        "crash_known_ms": known_ms,
+        "crash_known_ms": crash_known_ms,
         "wrong": false_suspicions,
     }
 
@@ -259,7 +268,10 @@
 @click.option("--minutes", type=float, default=10.0, show_default=True)
 @click.option("--lost", type=float, default=0.10, show_default=True)
 def baseline(members: int, seed: int, minutes: float, lost: float) -> None:
-    """False suspicions by a fixed time-out of 3 s and by phi accrual, with the same faults and 1 s heartbeats."""
+    """False suspicions by a fixed time-out of 3 s and by phi accrual, with 1 s heartbeats and the faults of `quiet`.
+
+    Reported per hour and ordered pair of members, with the silence after which each method holds a member dead.
+    """
     rng = random.Random(seed)
     names = range(members)
     seconds = int(minutes * 60)
@@ -274,7 +286,7 @@
         second = int(at_s)
         return float(second + 1) if second <= seconds and name in stalled[second] else at_s
 
-    fixed_suspicions = phi_suspicions = heartbeat_count = 0
+    fixed_suspicions = phi_suspicions = received_count = 0
     timeouts_s: dict[str, list[float]] = {"fixed": [], "phi": []}
     for source in names:
         for target in names:
@@ -285,7 +297,7 @@
                 sent_s = resumed_at_s(source, second + phases[source])
                 if rng.random() < lost:
                     continue
-                heartbeat_count += 1
+                received_count += 1
                 received_s = resumed_at_s(target, sent_s + rng.uniform(0.0003, 0.003))
                 gap_s = max(0.0, received_s - last_s)
                 fixed_suspicions += gap_s > 3.0
@@ -297,7 +309,7 @@
     print_json(
         members=members,
         minutes=minutes,
-        beats=heartbeat_count,
+        beats=received_count,
         wrong_an_hour_of_one_pair={
             "fixed": fixed_suspicions / pair_hours,
             "phi": phi_suspicions / pair_hours,
@@ -316,7 +328,11 @@
 @members_option
 @seed_option
 def trouble(members: int, seed: int) -> None:
-    """Traffic in a mass restart, a rolling restart and a flapping partition, as multiples of idle traffic."""
+    """Traffic in a mass restart, a rolling restart and a flapping partition, as multiples of idle traffic.
+
+    "times" is the mean from the first restart or partition until the views have converged, but over at least 10 s;
+    "worst_window" is the highest mean over 10 s.
+    """
 
     def idle_bytes_s(fleet: Fleet) -> float:
         before = fleet.traffic()
@@ -390,7 +406,10 @@
 @members_option
 @seed_option
 def cost(members: int, seed: int) -> None:
-    """CPU time per datagram received and answered, including its seal, and memory of one view."""
+    """CPU time per datagram received and answered, with verifying and signing, and memory of one view.
+
+    Also the share of a core that the timers of one view take.
+    """
     fleet = Fleet(seed)
     fleet.grow(members)
     fleet.run(20_000.0)
@@ -441,7 +460,7 @@
 @click.option("--seconds", type=float, default=10.0, show_default=True)
 @click.option("--rounds", type=int, default=6, show_default=True)
 def calls(members: int, seed: int, rate: float, seconds: float, rounds: int) -> None:
-    """Calls at a process with the fleet on and at one with it off; each round runs both in alternating order."""
+    """Calls at a process with the fleet on and at one with it off; each round measures both, in alternating order."""
     with tempfile.TemporaryDirectory(prefix="fleet-calls-") as folder_name:
         print_json(
             members=members,
@@ -453,8 +472,8 @@
 async def compare_fleet_on_off(
     work_folder: Path, members: int, seed: int, rate: float, seconds: float, rounds: int
 ) -> dict[str, object]:
-    """Run real processes on loopback that share one toy server."""
-    prefix, network_lock = reserve_network()
+    """Measure real processes on loopback that share one toy server; returns the summary with the fleet on and off."""
+    prefix, reservation = reserve_network()
     toy_process, ports = await start_toy_server()
     running: list[asyncio.subprocess.Process] = []
     try:
@@ -464,11 +483,11 @@
         async def start(i: int, with_fleet: bool) -> asyncio.subprocess.Process:
             folder = work_folder / str(i)
             folder.mkdir()
-            conf = configuration(server_port, board_port, 0) | {
+            config = configuration(server_port, board_port, 0) | {
                 "name": f"n{i}",
                 "listen": f"{prefix}.{10 + i}:5060",
             }
-            (folder / "config.json").write_text(json.dumps(conf))
+            (folder / "config.json").write_text(json.dumps(config))
             environ = {
                 key: value for key, value in os.environ.items() if not key.startswith(("LEADSLIP", "NODE"))
             }
@@ -488,26 +507,29 @@
             running.append(await start(i, True))
         running.append(await start(members, False))
         await asyncio.sleep(5.0)
-        process_indexes = {"on": 0, "off": members}
+        index_by_fleet_state = {"on": 0, "off": members}
         results: dict[str, list[list[float]]] = {"on": [], "off": []}
         for round_number in range(rounds):
-            for side in ("on", "off") if round_number % 2 else ("off", "on"):
-                index = process_indexes[side]
-                results[side].append(
+            for fleet_state in ("on", "off") if round_number % 2 else ("off", "on"):
+                index = index_by_fleet_state[fleet_state]
+                results[fleet_state].append(
                     await measure_round(
                         f"{prefix}.{10 + index}", running[index].pid, rate, seconds, seed + round_number
                     )
                 )
-        return {side: summarize(measured) for side, measured in results.items()}
+        return {fleet_state: summarize(measured) for fleet_state, measured in results.items()}
     finally:
         for process in [*running, toy_process]:
             process.kill()
             await process.wait()
-        network_lock.close()
+        reservation.close()
 
 
 async def measure_round(ip: str, pid: int, rate: float, seconds: float, seed: int) -> list[float]:
-    """Measure one round: fraction answered with 200, latency p50 and p99 in ms, share of a core."""
+    """Measure one round: fraction answered with 200, latency p50 and p99 in ms, share of a core.
+
+    Writes the calls that were not answered with exactly one 200 to stderr.
+    """
     caller = Caller("n", (ip, 5060), rate, seed)
     cpu_before_s, began = cpu_s(pid), time.monotonic()
     task = asyncio.create_task(caller.run())
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,6 +1,7 @@
 """Benchmarks the resident memory of a proxy at start and after many calls: python -m benchmarks.memory [ROOT] [CALLS].
 
-ROOT is the checkout to measure (default: this one), so that two versions can be compared on one machine.
+ROOT is the checkout to measure (default: this one), so that two versions can be compared on one machine; CALLS is the
+number of calls (default: 10,000), which are made one after another.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 def measure(root: Path, calls: int) -> tuple[float, float, float]:
-    """Return the memory in MB at start and after the calls, and the seconds that the calls took."""
+    """Run the program of a checkout; return its memory in MB at start and after the calls, and their time in s."""
     standins.ROOT = root
     server = standins.SetupServer("answer")
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/trunks.py
+++ b/benchmarks/trunks.py
@@ -1,8 +1,9 @@
-"""Benchmarks trunk dimensioning and traffic records: python -m benchmarks.trunks. Compare ratios within one run only.
+"""Benchmarks trunk dimensioning and traffic records: python -m benchmarks.trunks.
 
-Measures blocking and sizing against the plain recursion, the traffic observer's cost per call, and appends to a store:
-SQLite through apsw, which the program uses, and lmdb if it is installed (pip install lmdb); each writer is also killed
-with SIGKILL to check that acknowledged records are kept.
+Measures the Erlang B blocking and the sizing of trunk groups against the plain recursion, the CPU time per call of the
+traffic observer, and appends to a store: SQLite through apsw, which the program uses, and lmdb if it is installed
+(pip install lmdb). Each writer is also killed with SIGKILL to check that acknowledged records are kept. Times depend
+on the machine: compare only the ratios within one run.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 from leadslip.trunks import losses
 from leadslip.trunks.traffic import Traffic
 
-ROUNDS = 5
+ROUNDS = 5  # of which `best_seconds` reports the fastest
 
 
 def best_seconds(function: Callable[[], object], repeats: int = 1) -> float:
-    """Return the shortest mean time of one call over all rounds."""
+    """Return the mean time of one call of `function`, in the fastest of ROUNDS rounds of `repeats` calls."""
     best = float("inf")
     for _ in range(ROUNDS):
         began = time.perf_counter()
@@ -38,7 +39,7 @@
 
 
 def size_by_recursion(load: float, blocking: float) -> int:
-    """Size a group by the recursion alone: one step per trunk until the blocking is low enough."""
+    """Size a group by the Erlang B recursion: add trunks one by one until the blocking is at most `blocking`."""
     loss, trunks = 1.0, 0
     while loss > blocking:
         trunks += 1
@@ -46,31 +47,31 @@
     return trunks
 
 
-def formulas() -> None:
-    """Measure the blocking of single groups and the sizing of a thousand."""
+def measure_formulas() -> None:
+    """Measure the blocking of single groups and the sizing of a thousand, and check the sizes against the recursion."""
     for n, load in ((100, 90.0), (10_000, 9900.0), (100_000, 99_000.0)):
-        fast_s = best_seconds(lambda n=n, load=load: losses.erlang_b(n, load), 10)
+        library_s = best_seconds(lambda n=n, load=load: losses.erlang_b(n, load), 10)
         recursion_s = best_seconds(lambda n=n, load=load: losses.erlang_b_by_recursion(n, load))
         print(
-            f"blocking at N={n}: {fast_s * 1e6:.0f} us, "
-            f"recursion {recursion_s * 1e6:.0f} us, ratio {recursion_s / fast_s:.1f}"
+            f"blocking at N={n}: {library_s * 1e6:.0f} us, "
+            f"recursion {recursion_s * 1e6:.0f} us, ratio {recursion_s / library_s:.1f}"
         )
     rng = random.Random(1)
     for name, max_load in (("small, up to 100 erlangs", 100.0), ("large, up to 5,000 erlangs", 5000.0)):
         loads = [rng.uniform(0.1, max_load) for _ in range(1000)]
-        fast_s = best_seconds(lambda loads=loads: [losses.trunks_for(load, 0.01) for load in loads])
+        library_s = best_seconds(lambda loads=loads: [losses.trunks_for(load, 0.01) for load in loads])
         recursion_s = best_seconds(lambda loads=loads: [size_by_recursion(load, 0.01) for load in loads])
         assert [losses.trunks_for(load, 0.01) for load in loads] == [
             size_by_recursion(load, 0.01) for load in loads
         ]
         print(
-            f"1,000 groups, {name}: {fast_s * 1e3:.0f} ms, "
-            f"recursion {recursion_s * 1e3:.0f} ms, ratio {recursion_s / fast_s:.1f}"
+            f"1,000 groups, {name}: {library_s * 1e3:.0f} ms, "
+            f"recursion {recursion_s * 1e3:.0f} ms, ratio {recursion_s / library_s:.1f}"
         )
 
 
-def traffic_observer() -> None:
-    """Measure the cost of an established call and of a refused one."""
+def measure_traffic_observer() -> None:
+    """Measure the CPU time of the traffic observer for an established call and for a refused one."""
     traffic = Traffic(0.0, lambda interval: None, lambda *span: None)
     requests = [
         SimpleNamespace(destination=i % 4, call_class="plain", number=str(i), redialled=False)
@@ -135,14 +136,14 @@
 """
 
 
-def stores() -> None:
-    """Measure the append rate, the memory, and the records lost after SIGKILL."""
+def measure_stores() -> None:
+    """Measure the append rate and the memory of each store, and how many of 20 SIGKILLs lose acknowledged records."""
     for name, script in STORE_SCRIPTS.items():
         with tempfile.TemporaryDirectory() as folder:
             path = str(Path(folder) / "bench.db")
             completed = _run_python(script + RATE_SCRIPT, path)
             if completed.returncode:
-                print(f"store, {name}: not installed")
+                print(f"store, {name}: not measured, its script failed (is the package installed?)")
                 continue
             print(f"store, {name}: {completed.stdout.strip()}")
             path, acknowledged, kills_with_loss = str(Path(folder) / "kill.db"), 0, 0
@@ -169,9 +170,9 @@
 def main() -> None:
     """Print the machine and all results."""
     print(f"{platform.python_implementation()} {platform.python_version()}, {os.cpu_count()} cores")
-    formulas()
-    traffic_observer()
-    stores()
+    measure_formulas()
+    measure_traffic_observer()
+    measure_stores()
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_lab.py
+++ b/tests/test_fleet_lab.py
@@ -1,4 +1,4 @@
-"""Simulated fault-injection scenarios: the checker accepts them, and a run depends on its seed alone."""
+"""Simulated fault-injection scenarios: no invariant is violated, and a run depends on its seed alone."""
 
 import json
 import os
@@ -17,13 +17,13 @@
 
 
 @pytest.mark.parametrize("name", FAST_SCENARIOS)
-def test_scenarios_pass_with_another_fleet_size(name):
+def test_no_scenario_violates_an_invariant_with_another_fleet_size(name):
     result = Simulation(scenario.load(name), 10, seed=3).run()
     assert result["held"], result["breaches"]
     assert result["figures"]["settled_ms"] < 6000.0 and result["joined_ms"] < 4000.0
 
 
-def test_plot_of_a_run_is_written(tmp_path):
+def test_plot_has_its_title_axes_and_faults(tmp_path):
     pytest.importorskip("matplotlib", reason="an extra: pip install .[plots]")
     plot = tmp_path / "run.svg"
     with pytest.raises(SystemExit) as code:
@@ -34,6 +34,7 @@
 
 
 def test_run_is_independent_of_the_hash_seed():
+    """A run must not depend on the order of a set or on hash(), which Python varies between processes."""
     digests = set()
     for hash_seed in ("1", "2"):
         process = subprocess.run(
