--- a/leadslip/drill/check.py
+++ b/leadslip/drill/check.py
@@ -237,32 +237,34 @@
 
     Both follow from the process's own history and the fault record.
     """
-    ends: dict[str, float] = {}
+    end_times_ms: dict[str, float] = {}  # start name -> when the fault record says that it ended
     down_spans: dict[str, list[Span]] = {start_name: [] for start_name in histories}
-    latest: dict[str, list[str]] = {}
-    stopped: dict[str, float] = {}
+    start_names: dict[str, list[str]] = {}  # process name -> its start names so far
+    stopped_since_ms: dict[str, float] = {}  # start name -> since when it has been stopped
     for fault in faults:
         at_ms = fault["mono_ms"]
         if fault["do"] == "started":
-            latest.setdefault(fault["who"][0].rsplit("-", 1)[0], []).append(fault["who"][0])
+            start_names.setdefault(fault["who"][0].rsplit("-", 1)[0], []).append(fault["who"][0])
             continue
         for name in fault["who"]:
-            running = [start_name for start_name in latest.get(name, []) if start_name not in ends]
+            running = [
+                start_name for start_name in start_names.get(name, []) if start_name not in end_times_ms
+            ]
             if fault["do"] in ("kill", "end") and running:
                 for start_name in running:
-                    ends.setdefault(start_name, at_ms)
+                    end_times_ms.setdefault(start_name, at_ms)
             elif fault["do"] == "end the older" and len(running) > 1:
-                ends[running[0]] = at_ms
+                end_times_ms[running[0]] = at_ms
             elif fault["do"] == "stop" and running:
-                stopped[running[-1]] = at_ms
-            elif fault["do"] == "go on, done" and running and running[-1] in stopped:
-                down_spans[running[-1]].append(Span(stopped.pop(running[-1]), at_ms))
-    for start_name, at_ms in stopped.items():
+                stopped_since_ms[running[-1]] = at_ms
+            elif fault["do"] == "go on, done" and running and running[-1] in stopped_since_ms:
+                down_spans[running[-1]].append(Span(stopped_since_ms.pop(running[-1]), at_ms))
+    for start_name, at_ms in stopped_since_ms.items():
         down_spans[start_name].append(Span(at_ms, NO_END))
     run_end_ms = convergence_wait_end_ms(faults)
     alive_spans: dict[str, Span] = {}
     for start_name, history in histories.items():
-        end_ms = ends.get(start_name, run_end_ms)
+        end_ms = end_times_ms.get(start_name, run_end_ms)
         down_spans[start_name].append(Span(end_ms, NO_END))
         runs = [
             (record["run"], record["mono_ms"]) for record in history if record["do"] in ("started", "reborn")
--- a/leadslip/drill/plot.py
+++ b/leadslip/drill/plot.py
@@ -42,15 +42,15 @@
 def view_counts(histories: dict[str, list[dict]]) -> list[tuple[float, int]]:
     """The number of different views over time (monotonic ms), by the last digest of each process in `histories`."""
     digests = sorted(
-        (record["mono_ms"], i, start, record["digest"])
-        for start, lines in histories.items()
-        for i, record in enumerate(lines)
+        (record["mono_ms"], i, start_name, record["digest"])
+        for start_name, records in histories.items()
+        for i, record in enumerate(records)
         if "digest" in record
     )
     latest: dict[str, str] = {}
     counts = []
-    for at_ms, _, start, digest in digests:
-        latest[start] = digest
+    for at_ms, _, start_name, digest in digests:
+        latest[start_name] = digest
         counts.append((at_ms, len(set(latest.values()))))
     return counts
 
@@ -93,8 +93,8 @@
     for state in ("suspect", "dead", "left"):
         times_s = [
             seconds(record["mono_ms"])
-            for lines in histories.values()
-            for record in lines
+            for records in histories.values()
+            for record in records
             if record["do"] == "held" and record["state"] == state
         ]
         if times_s:
--- a/leadslip/drill/run.py
+++ b/leadslip/drill/run.py
@@ -40,7 +40,7 @@
 SHORT_CALL_S, LONG_CALL_S = 0.3, 120.0  # after which the toy server ends a call, without and with `replicas`
 MAX_RELEASED = 40  # most calls of each process that are released through another one at the end
 READY_TIMEOUT_S = 60.0  # for the processes to join the fleet; not judged by the checker
-END_GRACE_S = 6.0  # a process that has not ended this long after SIGTERM is killed
+END_GRACE_S = 6.0  # after which a process that has not ended on SIGTERM is killed
 
 
 def replicas_equal(statuses: dict[str, dict], copies: int = 2) -> bool:
@@ -104,16 +104,16 @@
 
 
 def live_names(view: dict) -> list[str]:
-    """The names of the members that a view holds as live."""
+    """The sorted names of the members that a view, as JSON, holds as live; a name occurs once per process."""
     return sorted(member["name"] for member in view["members"] if member["state"] in ("alive", "suspect"))
 
 
 class Process:
     """The operating-system processes of the program under one name: one after another, or two during an upgrade."""
 
-    def __init__(self, drill: Drill, name: str, number: int) -> None:
+    def __init__(self, drill: Drill, name: str, index: int) -> None:
         self.drill, self.name = drill, name
-        self.ip, self.relay_ip = f"{drill.prefix}.{10 + number}", f"{drill.prefix}.{120 + number}"
+        self.ip, self.relay_ip = f"{drill.prefix}.{10 + index}", f"{drill.prefix}.{120 + index}"
         self.start_count = 0
         self.running: list[asyncio.subprocess.Process] = []  # oldest first
         self.ops_ports: dict[int, int] = {}  # process id -> port of its operators' interface
@@ -281,7 +281,11 @@
 
 
 class Drill:
-    """One run of a scenario."""
+    """One run of a scenario, with its files in `folder`.
+
+    By default the schedule is drawn from the seed. With `faulty_variant`, a key in faulty.py, all processes run that
+    variant of the program.
+    """
 
     def __init__(
         self,
--- a/leadslip/drill/scenario.py
+++ b/leadslip/drill/scenario.py
@@ -37,6 +37,8 @@
 # Process faults with a begin and an end: stopped; stopped again and again; Unix clock set to an offset; out of file
 # descriptors; taken out of service.
 PROCESS_FAULTS = ("stall", "busy", "clock", "descriptors", "service")
+# Besides these: kill (SIGKILL), leave (SIGTERM), upgrade (a second process is started, and the older one ended for_s
+# later, but at least 1 s).
 KINDS = ("partition", *PATH_FAULTS, *PROCESS_FAULTS, "kill", "leave", "upgrade")
 MAX_DRIFT_PPM = 10_000.0
 SCENARIO_DIR = Path(__file__).parent / "scenarios"
