--- a/leadslip/drill/check.py
+++ b/leadslip/drill/check.py
@@ -26,9 +26,8 @@
 from pathlib import Path
 
 MAX_FALSE_REMOVAL_MS = 2000.0
-REPLICATION_DELAY_MS = (
-    1000.0  # a call answered less than this before its process is killed may have no replica
-)
+# A call that was answered less than this before its process was killed may have no replica.
+REPLICATION_DELAY_MS = 1000.0
 ANSWER_TIMEOUT_MS, SLACK_MS = 3000.0, 1000.0
 NO_END = float("inf")
 
--- a/leadslip/drill/clocks.py
+++ b/leadslip/drill/clocks.py
@@ -12,9 +12,8 @@
 import sys
 import time
 
-LAYOUT = struct.Struct(
-    "=dd"
-)  # content of FILE: offset of the Unix clock in s, drift of the monotonic clocks in ppm
+# Content of FILE: offset of the Unix clock in s, drift of the monotonic clocks in ppm.
+LAYOUT = struct.Struct("=dd")
 
 
 class Clocks:
--- a/leadslip/lab/agreed.py
+++ b/leadslip/lab/agreed.py
@@ -41,9 +41,8 @@
         self.logged: list[tuple[float, str, dict]] = []  # log events of the members: time, event, fields
         # Revision -> checksum of its contents, name of the first member to apply it.
         self.checksum_by_revision: dict[int, tuple[int, str]] = {}
-        self.last_applied_revision: dict[
-            str, int
-        ] = {}  # "<member name> <process number>" -> last revision applied
+        # "<member name> <process number>" -> last revision applied.
+        self.last_applied_revision: dict[str, int] = {}
         self.first_applied_ms: dict[int, float] = {}  # revision -> when it was first applied
         self.longest_overlap_ms = 0.0  # longest time an older revision was applied after a newer one
         self.violations: list[str] = []
