--- a/leadslip/trunks/plan.py
+++ b/leadslip/trunks/plan.py
@@ -1,19 +1,19 @@
 """Dimensioning plan of trunk groups: reads loads, growth, overflow and grades of service from TOML, sizes the groups.
 
 blocking = 0.01            # default for each group
-growth = 0.2               # 20% more than the load given or measured
+growth = 0.2               # default for each group: 20% is added to the load given or measured
 
 [[group]]
 name = "seoul"
-load = 21.5                # erlangs; or measured = "seoul" with --store
-module = 30
-overflow = "transit"       # a high-usage group, sized together with its final group
+load = 21.5                # erlangs; or with --store: measured = "seoul", its load in that store
+module = 30                # trunks are installed in multiples of this
+overflow = "transit"       # its final group: the two are sized together
 
 [[group]]
 name = "transit"
-cost = 1.4                 # of a trunk
+cost = 1.4                 # per trunk, in any unit
 
-[group.classes]            # optional: loads by class; `spared` names the class to protect
+[group.classes]            # optional: erlangs by class; the key `spared` of the group names the class to protect
 officer-call = 4.0
 resident-call = 17.5
 """
@@ -57,16 +57,16 @@
     """One group of a plan, validated."""
 
     name: str
-    load: float
-    module: int
-    cost: float
-    peakedness: float
-    blocking: float
-    overflow: str | None
+    load: float  # erlangs, including growth
+    module: int  # the size is a multiple of this
+    cost: float  # per trunk
+    peakedness: float  # variance-to-mean ratio of the load
+    blocking: float  # permitted
+    overflow: str | None  # the final group; None if it has none
     trunks: int | None  # currently installed
-    classes: Mapping[str, float] = field(default_factory=dict)
-    spared: str | None = None
-    spared_blocking: float = 0.0
+    classes: Mapping[str, float] = field(default_factory=dict)  # class -> erlangs, without growth
+    spared: str | None = None  # the class to protect by trunk reservation
+    spared_blocking: float = 0.0  # permitted for that class
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,18 +77,18 @@
     role: str  # alone, high-usage or final
     load: float
     trunks: int
-    blocking: float
-    blocking_one_less: float
-    blocking_one_more: float
+    blocking: float  # of a high-usage group: the probability of overflow
+    blocking_one_less: float  # with one trunk fewer
+    blocking_one_more: float  # with one trunk more
     cost: float
     more: int | None  # trunks to add to the installed ones; negative if there are too many
-    levels: tuple[sizing.Reserved, ...] = ()
+    levels: tuple[sizing.ReservationLevel, ...] = ()  # up to the one that protects the class `spared`
 
 
 def figure(
     table: Mapping, key: str, prefix: str, minimum: float, maximum: float, default: float | None = None
 ) -> float:
-    """Returns a number within its bounds; the key is required if there is no default."""
+    """Returns a number of the table, checked against its bounds; the key is required if there is no default."""
     value = table.get(key, default)
     if value is None:
         raise PlanError(f"{prefix}{key} is missing")
@@ -101,14 +101,14 @@
     """Returns the groups of a plan; `measured` returns a group's recorded load at its upper confidence limit."""
     for key in document:
         if key not in PLAN_KEYS:
-            raise PlanError(f"{key} is unknown")
-    listed = document.get("group")
-    if not isinstance(listed, list) or not listed:
-        raise PlanError("group is missing")
+            raise PlanError(f"{key} is unknown; known keys are {', '.join(PLAN_KEYS)}")
+    group_tables = document.get("group")
+    if not isinstance(group_tables, list) or not group_tables:
+        raise PlanError("group is missing: a plan needs at least one [[group]] table")
     default_blocking = figure(document, "blocking", "", 1e-9, 0.99, 0.01)
     default_growth = figure(document, "growth", "", -0.99, 100.0, 0.0)
     specs: dict[str, GroupSpec] = {}
-    for i, table in enumerate(listed):
+    for i, table in enumerate(group_tables):
         spec = _read_group(table, f"group.{i}.", default_blocking, default_growth, measured)
         if spec.name in specs:
             raise PlanError(f"group.{i}.name is used twice: {spec.name!r}")
@@ -129,26 +129,27 @@
     table: object, prefix: str, blocking: float, growth: float, measured: Callable[[str], float] | None
 ) -> GroupSpec:
     if not isinstance(table, Mapping):
-        raise PlanError(f"{prefix[:-1]} is not a table")
+        raise PlanError(f"{prefix[:-1]} must be a table: {table!r}")
     for key in table:
         if key not in GROUP_KEYS:
-            raise PlanError(f"{prefix}{key} is unknown")
+            raise PlanError(f"{prefix}{key} is unknown; known keys are {', '.join(GROUP_KEYS)}")
     name = table.get("name")
     if not isinstance(name, str) or not name:
-        raise PlanError(f"{prefix}name is missing")
+        raise PlanError(f"{prefix}name is missing or is not a non-empty string: {name!r}")
     classes = table.get("classes", {})
     if not isinstance(classes, Mapping):
-        raise PlanError(f"{prefix}classes is not a table")
+        raise PlanError(f"{prefix}classes must be a table of loads by class: {classes!r}")
     loads = {key: figure(classes, key, f"{prefix}classes.", 0.0, MAX_LOAD) for key in classes}
     if "measured" in table:
         if "load" in table:
             raise PlanError(f"{prefix}load and {prefix}measured exclude each other")
         if measured is None:
-            raise PlanError(f"{prefix}measured needs a store to read from")
+            raise PlanError(f"{prefix}measured needs a store to read from: give --store")
         load = measured(str(table["measured"]))
         if not MIN_LOAD <= load <= MAX_LOAD:
             raise PlanError(
-                f"{prefix}measured: no load within bounds is recorded for {table['measured']!r}: {load!r}"
+                f"{prefix}measured: no load between {MIN_LOAD:g} and {MAX_LOAD:g} is recorded for"
+                f" {table['measured']!r}: {load!r}"
             )
     else:
         load = figure(table, "load", prefix, 0.0, MAX_LOAD, total_load(loads))
@@ -163,7 +164,7 @@
     group_blocking = figure(table, "blocking", prefix, 1e-9, 0.99, blocking)
     grown_load = load * (1.0 + figure(table, "growth", prefix, -0.99, 100.0, growth))
     if grown_load > MAX_LOAD:
-        raise PlanError(f"{prefix}load is above {MAX_LOAD:g} erlangs after growth")
+        raise PlanError(f"{prefix}load is above {MAX_LOAD:g} erlangs after growth: {grown_load!r}")
     return GroupSpec(
         name,
         grown_load,
@@ -188,10 +189,10 @@
     """Sizes all groups, each final group together with the groups that overflow to it."""
     sized: dict[str, SizedGroup] = {}
     for final in specs:
-        sources = [spec for spec in specs if spec.overflow == final.name]
+        high_usage_specs = [spec for spec in specs if spec.overflow == final.name]
         try:
-            if sources:
-                _size_with_overflow(final, sources, sized)
+            if high_usage_specs:
+                _size_with_overflow(final, high_usage_specs, sized)
             elif final.overflow is None:
                 sized[final.name] = _size_alone(final)
         except LossError as error:
@@ -208,17 +209,21 @@
     )
 
 
-def _size_with_overflow(final: GroupSpec, sources: list[GroupSpec], sized: dict[str, SizedGroup]) -> None:
-    groups = [sizing.Group(spec.name, spec.load, spec.cost, spec.module) for spec in sources]
-    final_group = sizing.Final(final.name, final.load, final.cost, final.module)
-    network = sizing.network(groups, final_group, final.blocking)
+def _size_with_overflow(
+    final: GroupSpec, high_usage_specs: list[GroupSpec], sized: dict[str, SizedGroup]
+) -> None:
+    groups = [
+        sizing.HighUsageGroup(spec.name, spec.load, spec.cost, spec.module) for spec in high_usage_specs
+    ]
+    final_group = sizing.FinalGroup(final.name, final.load, final.cost, final.module)
+    network = sizing.size_network(groups, final_group, final.blocking)
     mean, variance = network.offered
-    for spec in sources:
+    for spec in high_usage_specs:
         trunks = network.trunks[spec.name]
         blocking = [
             sizing.losses.erlang_b(count, spec.load) if count >= 0 else 1.0
             for count in (trunks, trunks - 1, trunks + 1)
-        ]  # the overflow probability; calls are lost at the final group only
+        ]  # the probability of overflow; calls are lost at the final group only
         sized[spec.name] = _sized_group(spec, "high-usage", trunks, *blocking)
     trunks = network.trunks[final.name]
     if mean < MIN_LOAD:
@@ -240,7 +245,7 @@
     blocking_one_more: float,
     load: float | None = None,
 ) -> SizedGroup:
-    levels: tuple[sizing.Reserved, ...] = ()
+    levels: tuple[sizing.ReservationLevel, ...] = ()
     if spec.spared is not None and trunks:
         class_load = sum(spec.classes.values())
         growth_factor = spec.load / class_load if class_load else 1.0
--- a/leadslip/trunks/report.py
+++ b/leadslip/trunks/report.py
@@ -17,26 +17,26 @@
     """The report of one group; busy-hour values are None if no hour was fully measured."""
 
     group: str
-    busy_hour: str
+    busy_hour: str  # its definition: tcbh or adph
     starts_s: int | None  # seconds after midnight UTC, for tcbh only
     load: float | None  # erlangs of first attempts offered in the busy hour
-    low: float | None
-    high: float | None  # upper confidence limit, used for sizing
-    normal: float | None
-    high_days: float | None
-    days: int
+    low: float | None  # lower confidence limit of the load
+    high: float | None  # upper confidence limit of the load, used for sizing
+    normal: float | None  # E.500: the fourth highest daily peak
+    high_days: float | None  # E.500: the second highest daily peak
+    days: int  # days that contribute to the load
     naive: float  # erlangs offered by all attempts, redials included, over the whole record
     offered: float  # erlangs offered by first attempts, over the whole record
-    carried: float
-    blocking: float
-    persistence: float
+    carried: float  # erlangs
+    blocking: float  # fraction of all attempts that were refused or failed
+    persistence: float  # estimated fraction of lost calls redialled without a mark
     classes: dict[str, float]  # class -> carried erlangs
-    surges: tuple[tuple[int, float], ...]
-    gaps: tuple[tuple[int, int], ...]
+    surges: tuple[tuple[int, float], ...]  # days left out: midnight UTC, peak load
+    gaps: tuple[tuple[int, int], ...]  # not fully measured: start, seconds
 
 
 class Quarters:
-    """The quarter-hour intervals of a store, by group."""
+    """The quarter hours of a store by group, read once; `by_group` adds up the classes, `by_class` does not."""
 
     def __init__(self, path: str) -> None:
         store = Store(path, read_only=True)
@@ -57,7 +57,7 @@
         return sorted(self.by_group)
 
     def group_report(self, group: str, kind: str, confidence: float) -> GroupReport:
-        """Returns the report of one group."""
+        """Returns the report of one group; `kind` is the definition of the busy hour, tcbh or adph."""
         quarters = self.by_group.get(group)
         if quarters is None:
             raise LossError(f"group is not in the store: {group!r}")
@@ -70,7 +70,7 @@
         classes: dict[str, float] = {}
         for interval in self.by_class[group]:
             classes[interval.call_class] = classes.get(interval.call_class, 0.0) + interval.erlang_s / seconds
-        gaps = measured_hour.gaps if measured_hour is not None else tuple(busyhour.days_of(quarters)[1])
+        gaps = measured_hour.gaps if measured_hour is not None else tuple(busyhour.days_and_gaps(quarters)[1])
         return GroupReport(
             group=group,
             busy_hour=kind,
@@ -106,11 +106,11 @@
             counted_quarters = [
                 quarter for quarter in counted_quarters if quarter.start_s % busyhour.DAY_S in busy_seconds
             ]
-            calls = sum(quarter.first_tries for quarter in counted_quarters)
+            calls = sum(quarter.first_attempts for quarter in counted_quarters)
         else:
-            # ADPH takes one hour of each day: the mean over all hours gives fewer calls, which errs on the safe side.
+            # ADPH takes one hour of each day: the mean over all hours gives fewer calls, and so wider limits.
             calls = (
-                sum(quarter.first_tries for quarter in counted_quarters)
+                sum(quarter.first_attempts for quarter in counted_quarters)
                 * 4.0
                 * measured_hour.days
                 / max(1, len(counted_quarters))
@@ -120,13 +120,14 @@
         )
 
     def upper_load(self, group: str, kind: str, confidence: float) -> float:
-        """Returns the load to size a group for, its upper confidence limit; 0 if the group has no record."""
+        """Returns the load to size a group for: its upper confidence limit, 0 if no hour of it was fully measured."""
         if group not in self.by_group:
             return 0.0
         return self.group_report(group, kind, confidence).high or 0.0
 
 
 def _total(quarters: Sequence[Interval]) -> Interval:
+    """Returns the sum of intervals that do not overlap."""
     total = Interval(0, 0, "", "")
     for quarter in quarters:
         total.add(quarter)
@@ -155,17 +156,17 @@
             starts,
             [quarter.offered for quarter in group_quarters],
             where="post",
-            label="offered, first tries",
+            label="offered by first attempts",
         )
         axis.step(starts, [quarter.erlangs for quarter in group_quarters], where="post", label="carried")
         axis.step(
             starts,
             [quarter.naive for quarter in group_quarters],
             where="post",
-            label="by attempts",
+            label="offered by all attempts",
             linewidth=0.7,
         )
-        for start_s, seconds in busyhour.days_of(group_quarters)[1]:
+        for start_s, seconds in busyhour.days_and_gaps(group_quarters)[1]:
             gap_start = datetime.datetime.fromtimestamp(start_s, datetime.UTC)
             axis.axvspan(gap_start, gap_start + datetime.timedelta(seconds=seconds), alpha=0.2, color="grey")
         axis.set_title(group)
--- a/leadslip/trunks/reservation.py
+++ b/leadslip/trunks/reservation.py
@@ -1,8 +1,9 @@
 """Trunk reservation for live calls: keeps some trunks of a group free for the classes of greatest worth.
 
-A filter ahead of the Controller. It counts this proxy's set-ups in progress and established calls in each group,
-and refuses a class when no more trunks than its reserve would stay free, with a retry time after which one is likely
-to be free. Proxies that share a group do not coordinate: each is configured with its part of them. Off by default.
+A filter ahead of the Controller. It counts this proxy's set-ups in progress and established calls in each group, and
+refuses a request that would leave fewer trunks free than its class must leave. The refusal has a retry time after which
+a trunk is likely to be free. Proxies that share a group do not coordinate: each is configured with its part of the
+trunks. Off by default.
 """
 
 from __future__ import annotations
@@ -29,18 +30,18 @@
 
     def __init__(self, config: TrunkGroup) -> None:
         self.config = config
-        self.busy = 0.0
-        # id(request) -> trunks held, time of establishment in ms (0 before that)
+        self.busy = 0.0  # trunks in use; not an integer if requests need fractions of a trunk
+        # id(request) -> trunks used, time of establishment in ms (0 before that)
         self.in_use: dict[int, tuple[float, float]] = {}
         self.hold_ms = 0.0  # smoothed holding time; 0 until a call has ended
 
     def pause_ms(self) -> float:
-        """Returns the expected time until a trunk becomes free: the holding time divided by the calls in progress."""
+        """Returns the expected ms until a trunk becomes free: the holding time divided by the calls in progress."""
         return self.hold_ms / max(1, len(self.in_use))
 
 
 class Reservation:
-    """The filter. Requests to destinations outside every group are admitted."""
+    """The filter. Requests to destinations that belong to no group are admitted."""
 
     name = "reservation"
 
@@ -51,8 +52,8 @@
             destination: self.groups[config.name] for config in configs for destination in config.destinations
         }
         if previous is not None:
-            # Prevents a reload from losing track of established calls: a group that remains configured keeps its
-            # state. The ends of its calls are reported to the filter that admitted them, which shares this state.
+            # After a reload, a group that remains configured keeps its state, so that its calls still count. Their
+            # ends are reported to the previous filter, which admitted them and shares this state.
             for name, group in previous.groups.items():
                 if name in self.groups:
                     group.config = self.groups[name].config
@@ -64,7 +65,10 @@
             }
 
     def set_reserved_lines(self, lines: Mapping[str, float], classes: Sequence[str]) -> None:
-        """Reserves these trunks of each group for the first class, where that exceeds the reserve in its settings."""
+        """Makes all classes but the first leave at least these trunks free (group -> trunks).
+
+        Where the settings reserve more, that stays. Groups not in `lines` return to the reserve of their settings.
+        """
         for config in self.configs:
             raised_reserve = (
                 {name: max(config.reserve.get(name, 0.0), lines[config.name]) for name in classes[1:]}
@@ -73,13 +77,13 @@
             )
             self.groups[config.name].config = replace(config, reserve={**config.reserve, **raised_reserve})
 
-    def free(self, group: str) -> float:
+    def free_trunks(self, group: str) -> float:
         """Returns the free trunks of a group; negative after the group was made smaller than its calls in progress."""
         state = self.groups[group]
         return state.config.trunks - state.busy
 
     def admit(self, request: Request, now_ms: float) -> Refusal | None:
-        """Takes the trunks that a request needs, unless they are reserved for other classes."""
+        """Allocates the trunks that a request needs; returns a refusal if too few would stay free for other classes."""
         group = self.by_destination.get(request.destination)
         if group is None:
             return None
@@ -91,13 +95,13 @@
         return None
 
     def established(self, request: Request, now_ms: float) -> None:
-        """Notes when a call was established: its holding time predicts when trunks become free."""
+        """Records when a call was established, to measure its holding time."""
         group = self._group(request)
         if group is not None:
             group.in_use[id(request)] = (group.in_use[id(request)][0], now_ms)
 
     def _group(self, request: Request) -> _GroupState | None:
-        """Returns the group whose trunks a request holds; None if it was admitted before the group existed."""
+        """Returns the group whose trunks a request uses; None if it was admitted before its group was configured."""
         group = self.by_destination.get(request.destination)
         if group is not None and id(request) in group.in_use:
             return group
@@ -109,7 +113,7 @@
         if group is None:
             return
         lines, established_ms = group.in_use.pop(id(request))
-        # Exactly 0 when idle, so that rounding errors of fractional trunks do not accumulate.
+        # Set to exactly 0 when idle, so that rounding errors of fractional trunks do not accumulate.
         group.busy = group.busy - lines if group.in_use else 0.0
         call_ms = now_ms - established_ms
         if established_ms and 0.0 < call_ms < MAX_HOLD_MS:
@@ -119,7 +123,7 @@
 
 def recommended_levels(
     config: TrunkGroup, loads: Mapping[str, float], spared: str, goal: float
-) -> list[sizing.Reserved]:
-    """Returns the reservation levels up to the first at which a class meets its blocking goal, with others' losses."""
+) -> list[sizing.ReservationLevel]:
+    """Returns the reservation levels up to the first at which the protected class's blocking meets the goal."""
     others = sum(load for name, load in loads.items() if name != spared)
     return sizing.levels(int(config.trunks), loads.get(spared, 0.0), others, goal)
--- a/leadslip/trunks/sizing.py
+++ b/leadslip/trunks/sizing.py
@@ -2,8 +2,9 @@
 
 Loads are in erlangs, costs in any unit per trunk. Confidence limits: calls are assumed Poisson, and holding times
 vary as measured, so the load of n calls varies like that of n / (1 + c²) calls of equal length, where c² is the
-squared coefficient of variation of the holding times. For exponential holding times this gives Riordan's variance
-2 A h / T; for few calls it gives the exact Poisson limits, which a normal approximation would put too low.
+squared coefficient of variation of the holding times. For a load A measured over a time T with exponential holding
+times of mean h, this gives Riordan's variance 2 A h / T. For few calls it gives nearly the exact Poisson limits, where
+a normal approximation would be too low.
 """
 
 from __future__ import annotations
@@ -17,18 +18,23 @@
 from leadslip.trunks import losses
 from leadslip.trunks.losses import LossError, check_range
 
-MAX_GROUPS = 1000  # maximum in one network
-MAX_PAIRED_GROUPS = 24  # maximum number of groups for moves of pairs, whose number grows with the square
-STRIDES = (8, 4, 1, 2)  # modules moved at once; 2 comes last, for improvements that need a pair of moves
+MAX_GROUPS = 1000  # high-usage groups in one network
+MAX_PAIRED_GROUPS = 24  # groups up to which pairs are moved too: the number of pairs grows with the square
+MOVE_SIZES = (
+    8,
+    4,
+    1,
+    2,
+)  # modules per move, in search order; 2 is last: its pairs find what single modules miss
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """The size and blocking of a group, also with one trunk less and more, which matters for small groups."""
+    """A group's size, and its blocking with that size, one trunk fewer and one more (a large step in a small group)."""
 
     trunks: int
     blocking: float
-    blocking_one_less: float  # 1 for a group of 0 trunks
+    blocking_one_less: float  # 1 if the group has no trunks
     blocking_one_more: float
     load: float  # the load it was sized for, including growth
 
@@ -36,7 +42,10 @@
 def measured_bounds(
     load: float, calls: float, hold_variation: float = 1.0, confidence: float = 0.95
 ) -> tuple[float, float]:
-    """Returns the two-sided confidence limits of a load measured from this number of calls."""
+    """Returns the two-sided confidence limits of a load measured from this number of calls.
+
+    `hold_variation` is the squared coefficient of variation of the holding times; 1 if they are exponential.
+    """
     check_range("load", load, 0.0, losses.MAX_LOAD)
     check_range("calls", calls, 0.0, 1e12)
     check_range("hold_variation", hold_variation, 0.0, 1e6)
@@ -45,13 +54,17 @@
     if n == 0.0:
         return 0.0, math.inf  # no calls observed: the load has no upper limit
     tail = (1.0 - confidence) / 2.0
-    low = _chi_square(tail, 2.0 * n) / 2.0
-    high = _chi_square(1.0 - tail, 2.0 * n + 2.0) / 2.0
+    low = _chi_square_quantile(tail, 2.0 * n) / 2.0
+    high = _chi_square_quantile(1.0 - tail, 2.0 * n + 2.0) / 2.0
     return load * low / n, load * high / n
 
 
-def _chi_square(probability: float, degrees: float) -> float:
-    """A quantile of the chi-square distribution (Wilson and Hilferty; within 1% from two degrees of freedom on)."""
+def _chi_square_quantile(probability: float, degrees: float) -> float:
+    """Returns a quantile of the chi-square distribution, by the approximation of Wilson and Hilferty.
+
+    At 97.5% it is within 1% from 2 degrees of freedom on. At 2.5% it is too low for few calls: by 48% for 2 degrees
+    of freedom, 2.5% for 6, below 1% from 10 on; the lower confidence limit of a load is then too low as well.
+    """
     c = 2.0 / (9.0 * degrees)
     return degrees * max(0.0, 1.0 - c + NormalDist().inv_cdf(probability) * math.sqrt(c)) ** 3
 
@@ -91,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
+class HighUsageGroup:
     """A high-usage group: its overflow goes to the final group."""
 
     name: str
@@ -101,37 +114,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Final:
-    """The final group: carries the overflow of the high-usage groups and direct traffic."""
+class FinalGroup:
+    """The final group: is offered the overflow of the high-usage groups, and direct traffic."""
 
     name: str
-    load: float = 0.0
+    load: float = 0.0  # direct traffic only
     cost: float = 1.0
     module: int = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Network:
+class SizedNetwork:
     """High-usage groups and their final group, sized together."""
 
-    trunks: dict[str, int]
+    trunks: dict[str, int]  # by group, the final one included
     cost: float
-    overflow: dict[str, tuple[float, float]]  # by high-usage group: mean and variance
-    offered: tuple[float, float]  # to the final group: mean and variance
+    overflow: dict[str, tuple[float, float]]  # mean and variance by high-usage group
+    offered: tuple[float, float]  # mean and variance of the load offered to the final group
     blocking: float  # of the final group
-    loss: dict[str, float]  # end-to-end loss of each group's calls
+    loss: dict[str, float]  # by group: fraction of its calls lost, after overflow
 
 
-def network(groups: Sequence[Group], final: Final, blocking: float) -> Network:
+def size_network(groups: Sequence[HighUsageGroup], final: FinalGroup, blocking: float) -> SizedNetwork:
     """Sizes high-usage groups and their final group at the lowest cost that meets the final group's blocking.
 
     Starts from the sizes of Truitt's rule of equal marginal cost, then adds or removes modules while that lowers
-    the total cost, resizing the final group for the mean and variance of its traffic (Wilkinson). Moves change one
-    group or, if there are few groups, two at once, since the final group shrinks by whole trunks only.
+    the total cost, resizing the final group for the mean and variance of its traffic (Wilkinson). A move changes one
+    group. With few groups it may also change two: the final group shrinks by whole trunks only, so that a single
+    change may save nothing there.
     """
     names = [group.name for group in groups] + [final.name]
     if len(set(names)) < len(names):
-        raise LossError(f"groups: names must be unique: {sorted(names)}")
+        raise LossError(f"groups must have unique names: {sorted(names)}")
     if len(groups) > MAX_GROUPS:
         raise LossError(f"groups must be at most {MAX_GROUPS}: {len(groups)}")
     for group in (*groups, final):
@@ -144,10 +158,12 @@
 class _Search:
     """Local search over group sizes; caches each group's overflow, which the search needs repeatedly."""
 
-    def __init__(self, groups: Sequence[Group], final: Final, blocking: float) -> None:
+    def __init__(self, groups: Sequence[HighUsageGroup], final: FinalGroup, blocking: float) -> None:
         self.groups, self.final, self.blocking = groups, final, blocking
-        self.flows: dict[tuple[int, int], tuple[float, float]] = {}
-        self.final_sizes: dict[tuple[float, float], int] = {}
+        self.flows: dict[
+            tuple[int, int], tuple[float, float]
+        ] = {}  # group, trunks -> mean, variance of overflow
+        self.final_sizes: dict[tuple[float, float], int] = {}  # mean, variance offered -> trunks
 
     def flow(self, i: int, trunks: int) -> tuple[float, float]:
         """Returns mean and variance of the overflow of group i with this number of trunks."""
@@ -159,11 +175,13 @@
         return flow
 
     def offered(self, trunks: Sequence[int]) -> tuple[float, float]:
+        """Returns mean and variance of the load offered to the final group."""
         flows = [self.flow(i, n) for i, n in enumerate(trunks)]
         mean = self.final.load + math.fsum(flow[0] for flow in flows)
         return mean, self.final.load + math.fsum(flow[1] for flow in flows)
 
     def final_trunks(self, mean: float, variance: float) -> int:
+        """Returns the trunks that the final group needs for a load of this mean and variance, in whole modules."""
         if mean < losses.MIN_LOAD:
             return 0
         flow = (mean, max(mean, variance))  # overflow is never smoother than Poisson, except by rounding
@@ -174,36 +192,37 @@
         return trunks
 
     def cost(self, trunks: Sequence[int]) -> tuple[float, float]:
-        """Returns the cost and the final group's mean load, so that of equal costs the least overflow is preferred."""
+        """Returns the total cost, and the final group's mean load so that the lower load wins at equal cost."""
         mean, variance = self.offered(trunks)
         high_usage_cost = math.fsum(group.cost * n for group, n in zip(self.groups, trunks, strict=True))
         return high_usage_cost + self.final.cost * self.final_trunks(mean, variance), mean
 
-    def truitt(self, i: int) -> int:
-        """Adds modules until one more saves less in the final group than it costs (Truitt's rule)."""
+    def truitt_size(self, i: int) -> int:
+        """Returns the size of group i at which one more module costs more than it saves in the final group."""
         group, n = self.groups[i], 0
-        per_erlang = self._per_erlang()
+        cost_per_erlang = self._final_cost_per_erlang()
         while n + group.module <= losses.MAX_TRUNKS:
             gain = self.flow(i, n)[0] - self.flow(i, n + group.module)[0]
-            if gain * per_erlang <= group.cost * group.module:
+            if gain * cost_per_erlang <= group.cost * group.module:
                 break
             n += group.module
         return n
 
-    def _per_erlang(self) -> float:
-        """Returns the marginal cost per erlang in the final group near its expected load."""
+    def _final_cost_per_erlang(self) -> float:
+        """Returns the marginal cost per erlang in the final group, if a tenth of the load overflows to it."""
         mean = max(1.0, self.final.load + 0.1 * math.fsum(group.load for group in self.groups))
         step = 0.1 * mean
-        more = losses.trunks_for_peaked(mean + step, 1.0, self.blocking)
-        return self.final.cost * (more - losses.trunks_for_peaked(mean, 1.0, self.blocking)) / step
+        trunks_more = losses.trunks_for_peaked(mean + step, 1.0, self.blocking)
+        return self.final.cost * (trunks_more - losses.trunks_for_peaked(mean, 1.0, self.blocking)) / step
 
-    def best(self) -> Network:
-        trunks = [self.truitt(i) for i in range(len(self.groups))]
+    def best(self) -> SizedNetwork:
+        """Runs the search; returns the network of lowest cost found."""
+        trunks = [self.truitt_size(i) for i in range(len(self.groups))]
         cost = self.cost(trunks)
-        for stride in STRIDES:
-            moves = [{i: step} for i in range(len(trunks)) for step in (stride, -stride)]
+        for move_size in MOVE_SIZES:
+            moves = [{i: step} for i in range(len(trunks)) for step in (move_size, -move_size)]
             if len(trunks) <= MAX_PAIRED_GROUPS:
-                moves += self._pairs(stride)
+                moves += self._pair_moves(move_size)
             improved = True
             while improved:
                 improved = False
@@ -214,15 +233,15 @@
                     candidate_cost = self.cost(candidate) if candidate != trunks else cost
                     if candidate_cost < cost:
                         trunks, cost, improved = candidate, candidate_cost, True
-        return self._network(trunks)
+        return self._sized_network(trunks)
 
-    def _pairs(self, stride: int) -> list[dict[int, int]]:
-        """Returns the moves that change two groups at once, each by up to `stride` modules."""
-        steps = [step for step in range(-stride, stride + 1) if step]
+    def _pair_moves(self, move_size: int) -> list[dict[int, int]]:
+        """Returns the moves that change two groups at once, each by up to `move_size` modules."""
+        steps = [step for step in range(-move_size, move_size + 1) if step]
         pairs = combinations(range(len(self.groups)), 2)
         return [{i: first, j: second} for i, j in pairs for first in steps for second in steps]
 
-    def _network(self, trunks: Sequence[int]) -> Network:
+    def _sized_network(self, trunks: Sequence[int]) -> SizedNetwork:
         mean, variance = self.offered(trunks)
         final_trunks = self.final_trunks(mean, variance)
         final_blocking = (
@@ -237,27 +256,30 @@
         trunks_by_name = {group.name: n for group, n in zip(self.groups, trunks, strict=True)} | {
             self.final.name: final_trunks
         }
-        return Network(trunks_by_name, self.cost(trunks)[0], flows, (mean, variance), final_blocking, loss)
+        return SizedNetwork(
+            trunks_by_name, self.cost(trunks)[0], flows, (mean, variance), final_blocking, loss
+        )
 
 
 # Trunk reservation.
 
 
 @dataclass(frozen=True, slots=True)
-class Reserved:
-    """The blocking of each class at one reservation level."""
+class ReservationLevel:
+    """The blocking of the protected class and of the others at one reservation level."""
 
     level: int  # trunks reserved for the protected class
-    spared_blocking: float
+    spared_blocking: float  # of the protected class
     others_blocking: float
     carried: float  # erlangs of both classes
 
 
-def reservation(trunks: int, spared: float, others: float, level: int) -> Reserved:
-    """Solves the birth-death chain of trunk reservation: others are refused while no more than `level` trunks are free.
+def reservation(trunks: int, spared: float, others: float, level: int) -> ReservationLevel:
+    """Returns the blocking at a reservation level: other classes are refused while at most `level` trunks are free.
 
-    `spared` and `others` are loads in erlangs with the same mean holding time; if the holding times differ, as 7 s
-    and 9 s do, the chain is an approximation that is close for levels far below the number of trunks.
+    `spared` (the protected class) and `others` are loads in erlangs. Solves the birth-death chain of the busy trunks,
+    which is exact if all classes have the same mean holding time. If these differ, for example 7 s and 9 s, it is an
+    approximation that is close for levels far below the number of trunks.
     """
     n = losses.check_range("trunks", trunks, 1, losses.MAX_TRUNKS)
     check_range("level", level, 0, n)
@@ -266,12 +288,12 @@
         for name, load in (("spared", spared), ("others", others))
     )
     admission_limit = int(n) - level
-    # Computed from the full state downwards, relative to it, so that nothing overflows whatever the load.
+    # Weights are relative to the state with all trunks busy, and scaled down before they overflow.
     weights, weight, total = [1.0], 1.0, 1.0
     for busy in range(int(n), 0, -1):
         rate = a + b if busy - 1 < admission_limit else a
         if rate <= 0.0:
-            # The states above are unreachable from here: all probability lies below.
+            # No call is admitted in the state below, so the states from here up have probability 0.
             weights, weight, total = [0.0] * len(weights) + [1.0], 1.0, 1.0
             continue
         weight *= busy / rate
@@ -283,13 +305,13 @@
     probabilities = [value / total for value in weights]  # of n, n-1, ... 0 trunks busy
     others_blocking = math.fsum(probabilities[: level + 1])
     carried = a * (1.0 - probabilities[0]) + b * (1.0 - others_blocking)
-    return Reserved(level, probabilities[0], others_blocking, carried)
+    return ReservationLevel(level, probabilities[0], others_blocking, carried)
 
 
 def levels(
     trunks: int, spared: float, others: float, goal: float, max_level: int | None = None
-) -> list[Reserved]:
-    """Returns the levels from 0 to the first at which the protected class meets the goal, with the others' blocking."""
+) -> list[ReservationLevel]:
+    """Returns levels from 0 to the first, or `max_level`, at which the protected class's blocking meets the goal."""
     check_range("goal", goal, 0.0, 1.0)
     reserved = []
     for level in range(min(trunks, trunks if max_level is None else max_level) + 1):
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Loss formulas: against printed tables, against exact fractions, at the bounds, and their inverses."""
+"""Loss formulas: compared with printed tables and exact fractions, at their bounds, and inverted."""
 
 import math
 from fractions import Fraction
@@ -8,9 +8,9 @@
 from leadslip.trunks import losses
 from leadslip.trunks.losses import LossError
 
-# Loads in erlangs as the common Erlang B tables print them (for instance in the ITU-D Teletraffic Engineering
-# Handbook and in vendors' tables), to four decimals; {loss: {trunks: load}}. They were entered without the
-# books at hand, so the exact fractions below are the stronger check.
+# Loads in erlangs, {blocking: {trunks: load}}, as common Erlang B tables print them to four decimals (for instance the
+# ITU-D Teletraffic Engineering Handbook). They were not copied from a book, so the comparison with exact fractions is
+# the stronger check.
 ERLANG_B = {
     0.001: dict(
         zip(
@@ -38,7 +38,7 @@
         )
     ),
 }
-# The same tables for large groups: the load, and the number of its known decimals.
+# The same tables for large groups: (blocking, trunks) -> (load, decimals printed).
 LARGE_B = {
     (0.001, 50): (32.512, 3),
     (0.001, 100): (75.242, 3),
@@ -65,6 +65,7 @@
 
 
 def exact_b(trunks, load):
+    """Erlang B as a fraction, by its defining sum."""
     term = total = Fraction(1)
     for k in range(1, trunks + 1):
         term = term * load / k
@@ -124,7 +125,7 @@
 
 @pytest.mark.parametrize("n", [0, 1, 2, 999.5, 10_000, 99_999.5, 100_000])
 @pytest.mark.parametrize("load", [1e-6, 0.5, 1.0, 1000.0, 9_999.0, 1e5])
-def test_formulas_stay_finite_from_the_minimum_to_the_maximum(n, load):
+def test_formulas_are_finite_at_the_bounds_of_trunks_and_load(n, load):
     lost = losses.erlang_b(n, load)
     assert 0.0 <= lost <= 1.0 and (lost < 1.0 or n == 0)
     assert losses.erlang_b(n + 1 if n < 99_999 else n, load) <= lost
@@ -189,7 +190,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ask", "named"),
+    ("formula", "named"),
     [
         (lambda: losses.erlang_b(-1, 1.0), "trunks"),
         (lambda: losses.erlang_b(100_001, 1.0), "trunks"),
@@ -202,7 +203,7 @@
         (lambda: losses.erlang_c(2.5, 2.0), "trunks must be an integer"),
         (lambda: losses.engset(2, 3, 3.0), "erlangs must be below sources"),
         (lambda: losses.trunks_for(1.0, 0.0), "blocking"),
-        (lambda: losses.trunks_for(1e5, 1e-9), "blocking is not reached with 100000 trunks"),
+        (lambda: losses.trunks_for(1e5, 1e-9), "blocking of 1e-09 is not reached with 100000 trunks"),
         (lambda: losses.load_for(0, 0.1), "trunks must be above 0"),
         (lambda: losses.load_for(1, 1e-9), "blocking of 1e-09 is met by no load"),
         (lambda: losses.equivalent_random(5.0, 4.0), "variance"),
@@ -210,6 +211,6 @@
         (lambda: losses.wait_over(5, 4.0, 0.0, 1.0), "hold_s"),
     ],
 )
-def test_an_argument_out_of_bounds_raises_an_error_that_names_it(ask, named):
+def test_an_argument_out_of_bounds_raises_an_error_that_names_it(formula, named):
     with pytest.raises(LossError, match=named):
-        ask()
+        formula()
--- a/tests/test_trunks.py
+++ b/tests/test_trunks.py
@@ -1,4 +1,4 @@
-"""Traffic measurement, the busy hour, dimensioning, trunk reservation and plans."""
+"""Traffic measurement, the busy hour, dimensioning, trunk reservation and dimensioning plans of trunk groups."""
 
 import itertools
 import math
@@ -16,19 +16,22 @@
 from leadslip.trunks.reservation import Reservation, recommended_levels
 from leadslip.trunks.traffic import MAX_CELLS, Interval, Traffic, aggregate
 
-T0 = 1_764_547_200_000.0  # midnight UTC
+T0 = 1_764_547_200_000.0  # Unix ms of a midnight UTC
 
 
-def request(destination=0, kind="plain", number="1", redialled=False, lines=1.0):
-    fake = SimpleNamespace(destination=destination, call_class=kind, number=number, redialled=redialled)
-    fake.lines, fake.admitted_by, fake.valid_until_ms = lines, (), math.inf
-    return fake
+def request(destination=0, call_class="plain", number="1", redialled=False, lines=1.0):
+    stand_in = SimpleNamespace(
+        destination=destination, call_class=call_class, number=number, redialled=redialled
+    )
+    stand_in.lines, stand_in.admitted_by, stand_in.valid_until_ms = lines, (), math.inf
+    return stand_in
 
 
-def call(traffic, offered_request, from_ms, to_ms):
-    traffic.request_answered(offered_request, "stands", T0 + from_ms)
+def call(traffic, call_request, from_ms, to_ms):
+    """Establishes a call at from_ms after T0; returns a function that ends it, at to_ms after T0."""
+    traffic.request_answered(call_request, "stands", T0 + from_ms)
     return lambda: traffic.attempt_ended(
-        SimpleNamespace(request=offered_request, established=True, sent_ms=T0 + from_ms),
+        SimpleNamespace(request=call_request, established=True, sent_ms=T0 + from_ms),
         interface.Outcome.SERVED,
         T0 + to_ms,
     )
@@ -38,6 +41,7 @@
 
 
 def measured_traffic():
+    """Returns an observer with destinations 0 and 1 in one group, and the lists of its intervals and gaps."""
     intervals, gaps = [], []
     traffic = Traffic(T0, intervals.extend, lambda *span: gaps.append(span), 60, {0: "north", 1: "north"})
     return traffic, intervals, gaps
@@ -69,7 +73,7 @@
     assert (total.span_s, total.covered_s, total.erlang_s, total.peak) == (900, 120.0, 76.0, 2)
 
 
-def test_a_late_roll_splits_carried_load_by_interval_and_a_clock_jump_is_a_gap():
+def test_a_late_finish_splits_carried_load_by_interval_and_a_clock_jump_is_a_gap():
     traffic, intervals, gaps = measured_traffic()
     call(traffic, request(), 0, 0)
     traffic.finish_intervals(T0 + 150_000)
@@ -83,7 +87,7 @@
     assert hours[0].covered_s < 121.0, "the gap does not count as covered time"
 
 
-def test_unknown_calls_are_ignored_and_cells_of_destinations_are_bounded():
+def test_ends_of_uncounted_calls_are_ignored_and_the_number_of_cells_is_bounded():
     traffic, intervals, _ = measured_traffic()
     attempt = SimpleNamespace(request=request(9), established=True, sent_ms=T0)
     traffic.attempt_ended(attempt, interface.Outcome.CUT, T0 + 5.0)
@@ -95,7 +99,7 @@
     assert sum(interval.refused for interval in intervals) == 3 * MAX_CELLS
 
 
-def test_chance_matches_are_subtracted_from_the_persistence():
+def test_persistence_excludes_calls_to_the_same_number_by_chance():
     traffic, intervals, _ = measured_traffic()
     rng = random.Random(3)
     # 4000 numbers are called at random and nobody redials: many refused numbers are called again by chance.
@@ -106,13 +110,13 @@
     assert total.found / total.sampled > 0.2 and total.persistence < 0.03
 
 
-def test_a_marked_repeat_is_not_matched_again():
+def test_a_marked_repeat_is_not_counted_as_an_unmarked_one_as_well():
     traffic, intervals, _ = measured_traffic()
     for i in range(200):
         traffic.request_answered(request(number=str(i)), "refused", T0 + i)
         traffic.request_answered(request(number=str(i), redialled=True), "stands", T0 + i + 0.5)
     traffic.close(T0 + 60_000.0)
-    assert (intervals[0].fresh, intervals[0].marked, intervals[0].found, intervals[0].first_tries) == (
+    assert (intervals[0].fresh, intervals[0].marked, intervals[0].found, intervals[0].first_attempts) == (
         200,
         200,
         0,
@@ -124,7 +128,7 @@
 
 
 def quarter(start_s, load, covered=900.0):
-    """A quarter hour with this offered load, in calls of 90 s."""
+    """A quarter hour with this offered load, in calls of 90 s, of which `covered` seconds were measured."""
     calls = round(load * covered / 90.0)
     interval = Interval(
         start_s, 900, "north", "", covered, fresh=calls, stood=calls, held=calls, held_s=90.0 * calls
@@ -134,6 +138,7 @@
 
 
 def days(count, shape, start=1_764_547_200):
+    """The quarter hours of some days; shape(day, quarter of the day) is the load."""
     return [quarter(start + day * 86_400 + q * 900, shape(day, q)) for day in range(count) for q in range(96)]
 
 
@@ -147,7 +152,7 @@
     assert adph.starts_s is None and adph.load == pytest.approx(20.0) and adph.days == 5
 
 
-def test_a_surge_is_excluded_and_the_ranks_follow_e500():
+def test_a_day_with_a_surge_is_left_out_of_the_load_and_of_the_e500_normal_and_high_load():
     quarters = days(10, lambda day, q: (60.0 if day == 6 else 10.0 + day) if 50 <= q < 54 else 2.0)
     busy_hour = busyhour.busy_hour(quarters)
     assert [start for start, _ in busy_hour.surges] == [1_764_547_200 + 6 * 86_400]
@@ -160,7 +165,7 @@
 
 def test_gaps_are_reported_and_do_not_count_as_low_load():
     quarters = days(3, lambda day, q: 20.0 if 50 <= q < 54 else 2.0)
-    # The busy hour of the second day is covered to a third, and its evening not at all.
+    # On the second day a third of the busy hour is measured, and nothing in the evening.
     for q in range(50, 54):
         quarters[96 + q] = quarter(quarters[96 + q].start_s, 20.0, 300.0)
     quarters = [interval for i, interval in enumerate(quarters) if not 96 + 80 <= i < 96 + 90]
@@ -171,7 +176,7 @@
     assert busyhour.busy_hour([quarter(0, 5.0)]) is None
 
 
-# Sizes.
+# Dimensioning.
 
 
 def test_a_size_meets_the_grade_of_service_and_shows_the_effect_of_one_trunk():
@@ -184,7 +189,7 @@
     assert (small.trunks, small.blocking_one_less) == (1, 1.0) and small.blocking_one_more < 1e-4
 
 
-def test_confidence_limits_cover_the_load_at_the_stated_rate():
+def test_95_percent_confidence_limits_contain_the_true_load_in_about_95_percent_of_runs():
     rng, covered, runs = random.Random(7), 0, 400
     for _ in range(runs):
         holds = [rng.expovariate(1.0 / 90.0) for _ in range(_poisson(rng, 40.0))]
@@ -202,16 +207,17 @@
 
 
 def _poisson(rng, mean):
+    """Returns a Poisson random number."""
     count, elapsed = 0, rng.expovariate(1.0)
     while elapsed < mean:
         count, elapsed = count + 1, elapsed + rng.expovariate(1.0)
     return count
 
 
-def test_a_network_with_overflow_has_the_lowest_cost_of_all_sizes():
-    groups = [sizing.Group("a", 6.0, 1.0), sizing.Group("b", 3.0, 0.7)]
-    final = sizing.Final("f", 1.0, 1.6)
-    network = sizing.network(groups, final, 0.01)
+def test_the_size_of_a_network_with_overflow_has_the_lowest_cost_of_all_combinations():
+    groups = [sizing.HighUsageGroup("a", 6.0, 1.0), sizing.HighUsageGroup("b", 3.0, 0.7)]
+    final = sizing.FinalGroup("f", 1.0, 1.6)
+    network = sizing.size_network(groups, final, 0.01)
 
     def cost(a, b):
         flows = [losses.overflow(a, 6.0) if a else (6.0, 6.0), losses.overflow(b, 3.0) if b else (3.0, 3.0)]
@@ -246,7 +252,7 @@
 NORTH = TrunkGroup("north", (0, 1), 4.0, {"resident": 2.0, "officer": 0.0})
 
 
-def test_the_reserve_refuses_residents_but_not_officers():
+def test_a_class_with_a_reserve_is_refused_when_few_trunks_are_free_and_others_are_not():
     metrics = Metrics()
     reservation = Reservation((NORTH,))
     chain = Chain(metrics, discard, [reservation])
@@ -255,19 +261,19 @@
     assert chain.admit(request(1, "resident"), T0) is not None, "two trunks are free, and both are reserved"
     officers = [request(1, "officer") for _ in range(2)]
     assert [chain.admit(offered, T0) for offered in officers] == [None, None]
-    assert chain.admit(request(1, "officer"), T0) is not None and reservation.free("north") == 0.0
+    assert chain.admit(request(1, "officer"), T0) is not None and reservation.free_trunks("north") == 0.0
     assert chain.admit(request(5, "resident"), T0) is None, "its destination is in no group"
     assert metrics.counts["filters.reservation.refused"] == 2
     chain.established(admitted[0], T0 + 50)
     chain.ended(admitted[0], T0 + 8050.0)
     chain.ended(admitted[1], T0 + 60.0)
     chain.ended(admitted[1], T0 + 60.0)
-    assert reservation.free("north") == 2.0
+    assert reservation.free_trunks("north") == 2.0
     pause = chain.admit(request(0, "resident"), T0 + 9000.0).pause_ms
     assert pause == pytest.approx(4000.0), "two calls of 8 s each: one is expected to end in 4 s"
 
 
-def test_a_reload_keeps_established_calls_when_a_group_shrinks():
+def test_established_calls_still_count_after_a_reload_that_makes_their_group_smaller():
     before = Reservation((NORTH,))
     chain = Chain(Metrics(), discard, [before])
     calls = [request(0, "officer") for _ in range(4)]
@@ -275,10 +281,10 @@
         assert chain.admit(established_call, T0) is None
     after = Reservation((TrunkGroup("north", (0,), 2.0, {}), TrunkGroup("south", (1,), 1.0, {})), before)
     chain.replace([after])
-    assert after.free("north") == -2.0 and chain.admit(request(0, "officer"), T0) is not None
+    assert after.free_trunks("north") == -2.0 and chain.admit(request(0, "officer"), T0) is not None
     for established_call in calls:
         chain.ended(established_call, T0)
-    assert after.free("north") == 2.0 and chain.admit(request(0, "officer"), T0) is None
+    assert after.free_trunks("north") == 2.0 and chain.admit(request(0, "officer"), T0) is None
     levels = recommended_levels(NORTH, {"resident": 2.0, "officer": 1.0}, "officer", 0.001)
     assert levels[-1].level > 0
 
@@ -286,14 +292,15 @@
 # Plans.
 
 
-def solved_plan(text):
+def solve_plan(text):
+    """Sizes the groups of a plan in TOML; returns them by name."""
     import tomllib
 
     return {group.name: group for group in plan.solve(plan.read(tomllib.loads(text)))}
 
 
 def test_a_plan_sizes_single_groups_and_groups_with_overflow():
-    groups = solved_plan(
+    groups = solve_plan(
         'blocking = 0.01\ngrowth = 0.5\n[[group]]\nname = "alone"\nload = 10\nmodule = 10\ntrunks = 40\n'
         '[[group]]\nname = "high"\nload = 20\noverflow = "last"\n'
         '[[group]]\nname = "last"\ncost = 1.4\nload = 2\n'
@@ -324,4 +331,4 @@
 )
 def test_an_invalid_plan_raises_an_error_that_names_the_key(text, key):
     with pytest.raises(plan.PlanError, match=key):
-        solved_plan(text)
+        solve_plan(text)
