--- a/leadslip/shares/problem.py
+++ b/leadslip/shares/problem.py
@@ -1,7 +1,7 @@
-"""The optimization problem of planned shares, read from TOML and fully validated; every error names its key.
+"""The optimization problem of planned shares, read from TOML and validated; each error names the key at fault.
 
-shed = true                # calls beyond capacity may be shed, the class of least worth first
-survive_one = true         # the plan must still fit after the loss of any one server
+shed = true                # calls beyond capacity may be shed, at the least loss of worth; default: false
+survive_one = true         # the calls must still fit after the loss of any one server; default: false
 
 [[class]]
 name = "officer-call"
@@ -10,15 +10,20 @@
 [[server]]
 name = "s-1"
 capacity = 40.0            # set-ups a second
-highest_use = 0.85
+highest_use = 0.85         # part of the capacity that the plan may use; default: 1
 zone = "seoul"
+running = true             # default; a server that is not running gets no calls
+least = 0.1                # bounds on its part of all calls; default: 0 and 1
+greatest = 0.6
 
 [[district]]
 name = "mapo"
 zone = "seoul"
 servers = ["s-1", "s-2"]   # allowed servers; default: all
 demand = { officer-call = 2.0, resident-call = 7.5 }  # calls a second
-cost = { s-2 = 12.0 }      # default: the delay between the zones
+cost = { s-2 = 12.0 }      # of a call; default: the delay between the zones
+least = { s-1 = 0.2 }      # bounds on a server's part of the district's calls; default: 0 and 1
+greatest = { s-2 = 0.5 }
 
 [delay]                    # one-way ms from a zone to others; 0 within a zone
 seoul = { busan = 24.0 }
@@ -32,7 +37,7 @@
 from leadslip.errors import OperatorError
 
 MAX_RATE = 100_000.0
-KEYS = ("shed", "survive_one", "class", "server", "district", "delay")
+PROBLEM_KEYS = ("shed", "survive_one", "class", "server", "district", "delay")
 
 
 class ProblemError(OperatorError):
@@ -44,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Class:
-    """A class of calls and the worth of serving one of them."""
+    """A class of calls, and the worth of serving one call of it."""
 
     name: str
     worth: float
@@ -56,16 +61,16 @@
 
     name: str
     capacity: float  # set-ups a second
-    highest_use: float  # part of the capacity that the plan may use
+    max_utilization: float  # part of the capacity that the plan may use (key highest_use)
     zone: str
     running: bool
-    least: float  # minimum part of all calls
-    greatest: float  # maximum part of all calls
+    min_share: float  # minimum part of all calls (key least)
+    max_share: float  # maximum part of all calls (key greatest)
 
     @property
     def limit(self) -> float:
-        """The maximum set-ups per second that the plan may send to it."""
-        return self.capacity * self.highest_use if self.running else 0.0
+        """The set-ups per second that the plan may send to the server at most."""
+        return self.capacity * self.max_utilization if self.running else 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,8 +82,9 @@
     demand: Mapping[str, float]  # class -> calls a second
     servers: tuple[str, ...]  # servers its calls may go to
     cost: Mapping[str, float]  # server -> cost of a call
-    least: Mapping[str, float] = field(default_factory=dict)  # server -> minimum part of the district's calls
-    greatest: Mapping[str, float] = field(default_factory=dict)  # server -> maximum part
+    # server -> minimum and maximum part of the district's calls (keys least and greatest)
+    min_shares: Mapping[str, float] = field(default_factory=dict)
+    max_shares: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,14 +94,14 @@
     classes: tuple[Class, ...]
     servers: tuple[Server, ...]
     districts: tuple[District, ...]
-    shed: bool
-    survive_one: bool
+    shed: bool  # whether calls beyond capacity may be shed
+    survive_one: bool  # whether the calls must still fit after the loss of any one server
 
 
-def figure(
+def bounded_number(
     table: Mapping, key: str, prefix: str, minimum: float, maximum: float, default: float | None = None
 ) -> float:
-    """Returns a number within its bounds; the key is required if there is no default."""
+    """Returns a number of the table, checked against its bounds; the key is required if there is no default."""
     value = table.get(key, default)
     if value is None:
         raise ProblemError(f"{prefix}{key} is missing")
@@ -104,7 +110,7 @@
     return float(value)
 
 
-def _flag(table: Mapping, key: str, prefix: str, default: bool) -> bool:
+def _boolean(table: Mapping, key: str, prefix: str, default: bool) -> bool:
     value = table.get(key, default)
     if not isinstance(value, bool):
         raise ProblemError(f"{prefix}{key} must be true or false: {value!r}")
@@ -112,19 +118,20 @@
 
 
 def _tables(document: Mapping, key: str, allowed: tuple[str, ...]) -> list[Mapping]:
+    """Returns the tables of an array of tables, with unique names and no other keys than those allowed."""
     tables = document.get(key)
     if not isinstance(tables, list) or not tables:
-        raise ProblemError(f"{key} is missing")
+        raise ProblemError(f"{key} is missing: a problem needs at least one [[{key}]] table")
     names = set()
     for i, table in enumerate(tables):
         if not isinstance(table, Mapping):
-            raise ProblemError(f"{key}.{i} is not a table")
+            raise ProblemError(f"{key}.{i} must be a table: {table!r}")
         for table_key in table:
             if table_key not in allowed:
-                raise ProblemError(f"{key}.{i}.{table_key} is unknown")
+                raise ProblemError(f"{key}.{i}.{table_key} is unknown; known keys are {', '.join(allowed)}")
         name = table.get("name")
         if not isinstance(name, str) or not name:
-            raise ProblemError(f"{key}.{i}.name is missing")
+            raise ProblemError(f"{key}.{i}.name is missing or is not a non-empty string: {name!r}")
         if name in names:
             raise ProblemError(f"{key}.{i}.name is used twice: {name!r}")
         names.add(name)
@@ -134,23 +141,25 @@
 def _numbers(
     parent: Mapping, key: str, prefix: str, known_names: set[str], maximum: float
 ) -> dict[str, float]:
-    """Returns a table of numbers whose keys must be known names."""
+    """Returns a table of numbers from 0 to the maximum, keyed by known names (of servers, classes or zones)."""
     table = parent.get(key, {})
     if not isinstance(table, Mapping):
-        raise ProblemError(f"{prefix}{key} is not a table")
+        raise ProblemError(f"{prefix}{key} must be a table of numbers: {table!r}")
     for name in table:
         if name not in known_names:
-            raise ProblemError(f"{prefix}{key}.{name} is unknown")
-    return {name: figure(table, name, f"{prefix}{key}.", 0.0, maximum) for name in table}
+            raise ProblemError(
+                f"{prefix}{key}.{name} is unknown; known here: {', '.join(sorted(known_names))}"
+            )
+    return {name: bounded_number(table, name, f"{prefix}{key}.", 0.0, maximum) for name in table}
 
 
 def read(document: Mapping) -> Problem:
     """Returns the validated problem."""
     for key in document:
-        if key not in KEYS:
-            raise ProblemError(f"{key} is unknown")
+        if key not in PROBLEM_KEYS:
+            raise ProblemError(f"{key} is unknown; known keys are {', '.join(PROBLEM_KEYS)}")
     classes = tuple(
-        Class(table["name"], figure(table, "worth", f"class.{i}.", 1e-6, 1e6))
+        Class(table["name"], bounded_number(table, "worth", f"class.{i}.", 1e-6, 1e6))
         for i, table in enumerate(_tables(document, "class", ("name", "worth")))
     )
     keys = ("name", "capacity", "highest_use", "zone", "running", "least", "greatest")
@@ -167,41 +176,43 @@
         _district(table, f"district.{i}.", servers, class_names, delays)
         for i, table in enumerate(district_tables)
     )
-    if sum(server.least for server in servers) > 1.0:
-        raise ProblemError("server.least: the minimum shares of all servers add up to more than 1")
+    if sum(server.min_share for server in servers) > 1.0:
+        raise ProblemError("server.least: the minimum shares of all servers must add up to at most 1")
     return Problem(
         classes,
         servers,
         districts,
-        _flag(document, "shed", "", False),
-        _flag(document, "survive_one", "", False),
+        _boolean(document, "shed", "", False),
+        _boolean(document, "survive_one", "", False),
     )
 
 
 def _server(table: Mapping, prefix: str) -> Server:
-    least = figure(table, "least", prefix, 0.0, 1.0, 0.0)
+    min_share = bounded_number(table, "least", prefix, 0.0, 1.0, 0.0)
     return Server(
         table["name"],
-        figure(table, "capacity", prefix, 0.0, MAX_RATE),
-        figure(table, "highest_use", prefix, 0.01, 1.0, 1.0),
+        bounded_number(table, "capacity", prefix, 0.0, MAX_RATE),
+        bounded_number(table, "highest_use", prefix, 0.01, 1.0, 1.0),
         str(table.get("zone", "")),
-        _flag(table, "running", prefix, True),
-        least,
-        figure(table, "greatest", prefix, least, 1.0, 1.0),
+        _boolean(table, "running", prefix, True),
+        min_share,
+        bounded_number(table, "greatest", prefix, min_share, 1.0, 1.0),
     )
 
 
 def _delays(table: object, zones: set[str]) -> dict[tuple[str, str], float]:
-    """Returns the delays between zones, which are symmetric."""
+    """Returns the one-way delays between zones in ms; one given for only one direction holds for both."""
     if not isinstance(table, Mapping):
-        raise ProblemError("delay is not a table")
+        raise ProblemError("delay must be a table of tables, by zone")
     delays: dict[tuple[str, str], float] = {}
     for zone in table:
         if zone not in zones:
-            raise ProblemError(f"delay.{zone} is unknown")
+            raise ProblemError(f"delay.{zone} is unknown: no server or district is in this zone")
         for other, delay in _numbers(table, zone, "delay.", zones, 1e6).items():
             if delays.setdefault((other, zone), delay) != delay:
-                raise ProblemError(f"delay.{zone}.{other} differs from delay.{other}.{zone}")
+                raise ProblemError(
+                    f"delay.{zone}.{other} differs from delay.{other}.{zone}: {delay:g}, not {delays[other, zone]:g}"
+                )
             delays[zone, other] = delay
     return delays
 
@@ -216,32 +227,34 @@
     zone, server_names = str(table.get("zone", "")), {server.name for server in servers}
     allowed = table.get("servers", [server.name for server in servers])
     if not isinstance(allowed, list) or not allowed:
-        raise ProblemError(f"{prefix}servers must be a list of at least one server")
+        raise ProblemError(f"{prefix}servers must be a list of at least one server: {allowed!r}")
     for name in allowed:
         if name not in server_names:
             raise ProblemError(f"{prefix}servers names no server of the problem: {name!r}")
     if len(set(allowed)) < len(allowed):
-        raise ProblemError(f"{prefix}servers names a server more than once")
+        raise ProblemError(f"{prefix}servers names a server more than once: {allowed!r}")
     if "demand" not in table:
         raise ProblemError(f"{prefix}demand is missing")
-    set_costs = _numbers(table, "cost", prefix, set(allowed), 1e9)
+    given_costs = _numbers(table, "cost", prefix, set(allowed), 1e9)
     cost = {}
     for server in servers:
         if server.name not in allowed:
             continue
-        cost[server.name] = set_costs.get(
+        cost[server.name] = given_costs.get(
             server.name, 0.0 if server.zone == zone else delays.get((zone, server.zone))
         )
         if cost[server.name] is None:
             raise ProblemError(
                 f"{prefix}cost.{server.name} is missing, and there is no delay from {zone!r} to {server.zone!r}"
             )
-    least = _numbers(table, "least", prefix, set(allowed), 1.0)
-    greatest = _numbers(table, "greatest", prefix, set(allowed), 1.0)
-    for name, share in least.items():
-        if share > greatest.get(name, 1.0):
-            raise ProblemError(f"{prefix}least.{name} is above greatest.{name}")
-    if sum(least.values()) > 1.0:
-        raise ProblemError(f"{prefix}least: the minimum shares add up to more than 1")
+    min_shares = _numbers(table, "least", prefix, set(allowed), 1.0)
+    max_shares = _numbers(table, "greatest", prefix, set(allowed), 1.0)
+    for name, share in min_shares.items():
+        if share > max_shares.get(name, 1.0):
+            raise ProblemError(
+                f"{prefix}least.{name} is above greatest.{name}: {share:g}, {max_shares[name]:g}"
+            )
+    if sum(min_shares.values()) > 1.0:
+        raise ProblemError(f"{prefix}least: the minimum shares must add up to at most 1")
     demand = _numbers(table, "demand", prefix, class_names, MAX_RATE)
-    return District(table["name"], zone, demand, tuple(allowed), cost, least, greatest)
+    return District(table["name"], zone, demand, tuple(allowed), cost, min_shares, max_shares)
--- a/leadslip/shares/solve.py
+++ b/leadslip/shares/solve.py
@@ -1,7 +1,7 @@
-"""Solves for planned shares by linear programming with HiGHS, or names the constraints in conflict.
+"""Computes planned shares by linear programming with HiGHS; if there are none, names the conflicting constraints.
 
-The objectives are lexicographic: maximum worth served, then minimum cost, then minimum peak utilization of a server,
-then a minimum under fixed weights as a tie-break, so that the plan is unique and does not change between equal optima.
+The objectives are lexicographic: least worth shed, then least cost, then least utilization of the most utilized server.
+A last objective with fixed, different weights breaks ties, so that the plan does not alternate between equal optima.
 Rates are in calls per second. HiGHS is installed with `leadslip[plan]` only; a proxy reads plans and never solves them.
 """
 
@@ -18,12 +18,14 @@
 from leadslip.errors import OperatorError
 from leadslip.shares.problem import Problem
 
-TOLERANCE = 1e-7  # relative tolerance on the optimum of earlier objectives while a later one is optimized
-GOLDEN_RATIO = (math.sqrt(5.0) - 1.0) / 2.0  # spreads the weights of the tie-break objective
+TOLERANCE = 1e-7  # relative slack on the optima of earlier objectives while a later one is optimized
+GOLDEN_RATIO = (
+    math.sqrt(5.0) - 1.0
+) / 2.0  # its multiples modulo 1 are the spread-out weights of the tie-break objective
 
 
 class RefusedError(OperatorError):
-    """No share plan meets all constraints; `conflict` names those of which any one would have to be removed."""
+    """No share plan meets all constraints; `conflict` names constraints that can't all be met together."""
 
     code, status = "shares.no-plan", 409
     action = "Relax any one of the constraints named; one is enough."
@@ -46,31 +48,34 @@
 
     shares: dict[str, dict[str, float]]  # district -> server -> part of the district's calls
     rates: dict[str, dict[str, float]]  # district -> server -> calls per second
-    shed: dict[str, dict[str, float]]  # district -> class -> calls per second shed
+    shed: dict[str, dict[str, float]]  # district -> class -> calls per second that are shed
     use: dict[str, float]  # server -> utilization of its capacity
-    worth_shed: float
-    cost: float
-    seconds: float
+    worth_shed: float  # per second
+    cost: float  # per second
+    seconds: float  # time taken to solve
 
 
 class _Model:
-    """A linear program as named rows over columns, in the form that HiGHS takes."""
+    """A linear program: columns (variables from 0 up) and named rows (constraints), as HiGHS takes them."""
 
     def __init__(self) -> None:
         self.lower: list[float] = []
         self.upper: list[float] = []
+        # name, lower bound, upper bound, columns, coefficients
         self.rows: list[tuple[str, float, float, list[int], list[float]]] = []
 
-    def column(self, upper: float = math.inf) -> int:
+    def add_column(self, upper: float = math.inf) -> int:
+        """Adds a variable between 0 and an upper bound; returns its index."""
         self.lower.append(0.0)
         self.upper.append(upper)
         return len(self.lower) - 1
 
-    def row(self, name: str, low: float, high: float, columns: list[int], values: list[float]) -> None:
-        """Adds a constraint; rows of the same name are included or left out together."""
+    def add_row(self, name: str, low: float, high: float, columns: list[int], values: list[float]) -> None:
+        """Adds a constraint. Rows of the same name are left out together; those with an empty name never are."""
         self.rows.append((name, low, high, columns, values))
 
-    def solver(self, excluded: set[str], seconds: float) -> highspy.Highs:
+    def new_solver(self, excluded: set[str], seconds: float) -> highspy.Highs:
+        """Returns a solver with a time limit for this program, without the rows of the excluded names."""
         rows = [row for row in self.rows if row[0] not in excluded]
         lp = highspy.HighsLp()
         lp.num_col_, lp.num_row_ = len(self.lower), len(rows)
@@ -93,7 +98,7 @@
 
 
 class _ShareModel:
-    """The linear program of a problem, and the meaning of its columns."""
+    """The linear program of a problem, and the columns of its rates: assigned to servers, and shed."""
 
     def __init__(self, problem: Problem) -> None:
         self.problem, self.model = problem, _Model()
@@ -104,20 +109,20 @@
         for district in problem.districts:
             for name in district.servers:
                 if name in running:
-                    self.assigned[district.name, name] = model.column()
+                    self.assigned[district.name, name] = model.add_column()
             for call_class, rate in district.demand.items():
-                self.shed[district.name, call_class] = model.column(rate if problem.shed else 0.0)
-        self.peak_use = model.column()  # peak utilization; unbounded, as capacities have their own rows
-        columns_of: dict[str, list[int]] = {name: [] for name in running}
+                self.shed[district.name, call_class] = model.add_column(rate if problem.shed else 0.0)
+        self.peak_utilization = model.add_column()  # not bounded here, as each capacity has its own row
+        columns_by_server: dict[str, list[int]] = {name: [] for name in running}
         for (_, name), column in self.assigned.items():
-            columns_of[name].append(column)
+            columns_by_server[name].append(column)
         all_columns = list(self.assigned.values())
         for district in problem.districts:
             own_columns = [self.assigned[district.name, name] for name in district.servers if name in running]
             shed_columns = [self.shed[district.name, call_class] for call_class in district.demand]
             total = sum(district.demand.values())
             constraint = f"district {district.name}: demand of {total:g} calls/s must be met"
-            model.row(
+            model.add_row(
                 constraint,
                 total,
                 total,
@@ -125,90 +130,92 @@
                 [1.0] * (len(own_columns) + len(shed_columns)),
             )
             for bounds, low, high, relation in (
-                (district.least, 0.0, math.inf, "at least"),
-                (district.greatest, -math.inf, 0.0, "at most"),
+                (district.min_shares, 0.0, math.inf, "at least"),
+                (district.max_shares, -math.inf, 0.0, "at most"),
             ):
                 for name, share in bounds.items():
                     constraint = f"district {district.name}: {relation} {share:g} of it to {name}"
                     values = [
                         (column == self.assigned.get((district.name, name))) - share for column in own_columns
                     ]
-                    model.row(constraint, low, high, own_columns, [float(value) for value in values])
+                    model.add_row(constraint, low, high, own_columns, [float(value) for value in values])
         for server in problem.servers:
-            name, own_columns = server.name, columns_of.get(server.name, [])
+            name, own_columns = server.name, columns_by_server.get(server.name, [])
             if own_columns:
                 constraint = f"server {name}: at most {server.limit:g} calls/s"
-                model.row(constraint, -math.inf, server.limit, own_columns, [1.0] * len(own_columns))
-                model.row(
+                model.add_row(constraint, -math.inf, server.limit, own_columns, [1.0] * len(own_columns))
+                model.add_row(
                     "",
                     -math.inf,
                     0.0,
-                    [*own_columns, self.peak_use],
+                    [*own_columns, self.peak_utilization],
                     [1.0] * len(own_columns) + [-server.capacity],
                 )
             server_columns = set(own_columns)
-            if server.least:
-                constraint = f"server {name}: at least {server.least:g} of all calls"
-                model.row(
+            if server.min_share:
+                constraint = f"server {name}: at least {server.min_share:g} of all calls"
+                model.add_row(
                     constraint,
                     0.0,
                     math.inf,
                     all_columns,
-                    [(index in server_columns) - server.least for index in all_columns],
+                    [(index in server_columns) - server.min_share for index in all_columns],
                 )
-            if server.greatest < 1.0:
-                constraint = f"server {name}: at most {server.greatest:g} of all calls"
-                model.row(
+            if server.max_share < 1.0:
+                constraint = f"server {name}: at most {server.max_share:g} of all calls"
+                model.add_row(
                     constraint,
                     -math.inf,
                     0.0,
                     all_columns,
-                    [(index in server_columns) - server.greatest for index in all_columns],
+                    [(index in server_columns) - server.max_share for index in all_columns],
                 )
         if problem.survive_one:
             for name in running:
-                self._add_survival_rows(name, running, columns_of)
-
-    def _add_survival_rows(self, lost: str, running: dict, columns_of: dict[str, list[int]]) -> None:
-        """Requires that one server's calls fit on the others its districts may use, in addition to their own calls."""
-        model, rerouted = self.model, {name: [] for name in running if name != lost}
-        constraint = f"after the loss of server {lost} its calls must fit on the others"
+                self._add_survival_rows(name, running, columns_by_server)
+
+    def _add_survival_rows(
+        self, lost_server: str, running: dict, columns_by_server: dict[str, list[int]]
+    ) -> None:
+        """Adds rows which require that the calls of one server fit on the others that their districts may use."""
+        model, rerouted = self.model, {name: [] for name in running if name != lost_server}
+        constraint = f"after the loss of server {lost_server} its calls must fit on the others"
         for district in self.problem.districts:
-            if (district.name, lost) not in self.assigned:
+            if (district.name, lost_server) not in self.assigned:
                 continue
             columns = []
             for name in district.servers:
                 if name in rerouted:
-                    columns.append(model.column())
+                    columns.append(model.add_column())
                     rerouted[name].append(columns[-1])
-            model.row(
+            model.add_row(
                 constraint,
                 0.0,
                 0.0,
-                [*columns, self.assigned[district.name, lost]],
+                [*columns, self.assigned[district.name, lost_server]],
                 [1.0] * len(columns) + [-1.0],
             )
         for name, rerouted_columns in rerouted.items():
-            all_columns = columns_of[name] + rerouted_columns
-            model.row(constraint, -math.inf, running[name].limit, all_columns, [1.0] * len(all_columns))
+            all_columns = columns_by_server[name] + rerouted_columns
+            model.add_row(constraint, -math.inf, running[name].limit, all_columns, [1.0] * len(all_columns))
 
 
 def solve(problem: Problem, seconds: float = 10.0) -> Plan:
-    """Solves a problem; raises RefusedError if no plan exists, OutOfTimeError if the time limit is exceeded."""
-    started = time.perf_counter()
+    """Returns the plan of a problem; raises RefusedError if there is none, OutOfTimeError at the time limit."""
+    started_s = time.perf_counter()
     running = {server.name for server in problem.servers if server.limit > 0.0}
     for district in problem.districts:
         if sum(district.demand.values()) > 0.0 and not running & set(district.servers):
-            # Refused even if calls may be shed: every district with demand needs a running server.
+            # An error even if calls may be shed: each district with demand needs a running server.
             raise RefusedError([f"district {district.name}: has demand", "none of its servers runs"])
     share_model = _ShareModel(problem)
-    solver = share_model.model.solver(set(), seconds)
+    solver = share_model.model.new_solver(set(), seconds)
     worth = {call_class.name: call_class.worth for call_class in problem.classes}
     cost = {district.name: district.cost for district in problem.districts}
-    objectives = (
+    objectives = (  # column -> weight, in order of priority
         {column: worth[call_class] for (_, call_class), column in share_model.shed.items()},
         {column: cost[district][name] for (district, name), column in share_model.assigned.items()},
-        {share_model.peak_use: 1.0},
+        {share_model.peak_utilization: 1.0},
         {
             column: 1.0 + (i * GOLDEN_RATIO) % 1.0
             for i, column in enumerate([*share_model.assigned.values(), *share_model.shed.values()])
@@ -219,23 +226,25 @@
         costs = np.zeros(count)
         costs[list(objective)] = list(objective.values())
         solver.changeColsCost(count, np.arange(count, dtype=np.int32), costs)
-        solver.setOptionValue("time_limit", max(0.01, seconds - (time.perf_counter() - started)))
+        solver.setOptionValue("time_limit", max(0.01, seconds - (time.perf_counter() - started_s)))
         solver.run()
         status = solver.getModelStatus()
         if status == highspy.HighsModelStatus.kInfeasible:
-            raise RefusedError(conflict(share_model.model))
+            raise RefusedError(find_conflict(share_model.model))
         if status != highspy.HighsModelStatus.kOptimal:
             raise OutOfTimeError(f"no plan within {seconds:g} s: {solver.modelStatusToString(status)}")
         optimum = solver.getInfo().objective_function_value
         values = np.array(solver.getSolution().col_value)
         columns = np.array(list(objective), dtype=np.int32)
+        # Later objectives must keep this optimum.
         solver.addRow(
             -math.inf, optimum + TOLERANCE * max(1.0, abs(optimum)), len(objective), columns, costs[columns]
         )
-    return _plan(share_model, values, time.perf_counter() - started)
+    return _plan(share_model, values, time.perf_counter() - started_s)
 
 
 def _plan(share_model: _ShareModel, values: np.ndarray, seconds: float) -> Plan:
+    """Returns the plan that the values of the columns mean."""
     problem = share_model.problem
     rates: dict[str, dict[str, float]] = {district.name: {} for district in problem.districts}
     for (district, name), column in share_model.assigned.items():
@@ -277,10 +286,10 @@
     )
 
 
-def conflict(model: _Model) -> list[str]:
-    """Returns an irreducible infeasible set of constraints: without any one of them the others can be met.
+def find_conflict(model: _Model) -> list[str]:
+    """Returns an irreducible infeasible set of constraints: if any one of them is removed, the rest can be met.
 
-    Deletion filter: each constraint is left out in turn, and stays out if the rest is still infeasible.
+    A deletion filter: leaves out each constraint in turn, for good if the remaining ones are still infeasible.
     """
     names = list(dict.fromkeys(row[0] for row in model.rows if row[0]))
     excluded: set[str] = set()
@@ -291,7 +300,7 @@
 
 
 def is_infeasible(model: _Model, excluded: set[str]) -> bool:
-    """Returns whether the constraints, without those left out, are infeasible."""
-    solver = model.solver(excluded, 10.0)
+    """Returns whether the program without the rows of the excluded names is infeasible."""
+    solver = model.new_solver(excluded, 10.0)
     solver.run()
     return solver.getModelStatus() == highspy.HighsModelStatus.kInfeasible
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -11,6 +11,7 @@
 
 
 def choices(strides, calls, usable=lambda name: True):
+    """Counts the calls that each server is chosen for."""
     return Counter(strides.choose(usable) for _ in range(calls))
 
 
@@ -29,7 +30,7 @@
         assert max_error <= (1.0 if n <= 2 else 3.0)
 
 
-def test_a_change_of_shares_keeps_the_passes():
+def test_frequent_changes_of_shares_do_not_restart_the_sequence():
     strides = Strides({"a": 1.0, "b": 1.0})
     counts = Counter()
     for i in range(1000):
@@ -51,7 +52,7 @@
     assert Strides({}).choose(lambda name: True) is None
 
 
-GOOD = """
+VALID_PROBLEM = """
 shed = true
 [[class]]
 name = "officer"
@@ -84,8 +85,8 @@
 """
 
 
-def test_a_problem_is_read_completely():
-    parsed = problem.read(tomllib.loads(GOOD))
+def test_a_problem_is_read_with_defaults_and_delays_as_costs():
+    parsed = problem.read(tomllib.loads(VALID_PROBLEM))
     assert [server.limit for server in parsed.servers] == [34.0, 0.0]
     first, second = parsed.districts
     assert first.cost == {"s1": 0.0, "s2": 24.0} and second.cost == {"s2": 1.5}
@@ -123,9 +124,9 @@
     ],
 )
 def test_an_invalid_problem_raises_an_error_that_names_the_key(old, new, key):
-    assert old in GOOD
+    assert old in VALID_PROBLEM
     with pytest.raises(problem.ProblemError, match=key):
-        problem.read(tomllib.loads(GOOD.replace(old, new, 1)))
+        problem.read(tomllib.loads(VALID_PROBLEM.replace(old, new, 1)))
 
 
 # The solver.
@@ -157,7 +158,7 @@
 
 
 def exhaustive_optimum(servers, districts):
-    """Returns the minimum worth shed, then the minimum cost, by exhaustive search over all placements of calls."""
+    """Returns the least worth shed and the least cost with it, by search over all placements of whole calls."""
     limits = {f"s{i}": capacity if running else 0 for i, (capacity, running) in enumerate(servers)}
     best = (float("inf"), float("inf"))
 
@@ -197,38 +198,38 @@
         allowed = rng.sample(names, rng.randint(1, len(names)))
         demand = {"o": rng.randint(0, 1), "r": rng.randint(1, 2)}
         districts.append((demand, {name: float(rng.randint(0, 9)) for name in allowed}))
-    posed_problem = problem_of(servers, districts, shed=True)
+    share_problem = problem_of(servers, districts, shed=True)
     unserved = any(not any(servers[int(name[1:])][1] for name in costs) for _, costs in districts)
     if unserved:
         with pytest.raises(solve.RefusedError, match="none of its servers runs"):
-            solve.solve(posed_problem)
+            solve.solve(share_problem)
         return
-    plan = solve.solve(posed_problem)
+    plan = solve.solve(share_problem)
     worth, cost = exhaustive_optimum(servers, districts)
     assert plan.worth_shed == pytest.approx(worth, abs=1e-5) and plan.cost == pytest.approx(cost, abs=1e-4)
     assert all(use <= 1.0 + 1e-6 for use in plan.use.values())
-    assert solve.solve(posed_problem).rates == plan.rates
+    assert solve.solve(share_problem).rates == plan.rates
     for district_shares in plan.shares.values():
         assert not district_shares or sum(district_shares.values()) == pytest.approx(1.0)
 
 
-def test_a_conflict_is_named_and_irreducible():
-    posed_problem = problem_of(
+def test_an_infeasible_problem_names_an_irreducible_set_of_constraints():
+    share_problem = problem_of(
         [(5.0, True), (4.0, True)], [({"r": 6.0}, {"s0": 1.0, "s1": 1.0}), ({"r": 5.0}, {"s0": 1.0})]
     )
     with pytest.raises(solve.RefusedError) as refused:
-        solve.solve(posed_problem)
+        solve.solve(share_problem)
     conflict = refused.value.conflict
     assert any("district d0" in name for name in conflict) and any("server s0" in name for name in conflict)
-    model = solve._ShareModel(posed_problem).model
+    model = solve._ShareModel(share_problem).model
     others = {row[0] for row in model.rows if row[0]} - set(conflict)
     assert solve.is_infeasible(model, others)
     assert not any(solve.is_infeasible(model, others | {name}) for name in conflict), (
-        "the problem is feasible without any one of them"
+        "without any one of the named constraints the problem is feasible"
     )
 
 
-def test_a_plan_that_survives_the_loss_of_any_server_leaves_capacity_for_it():
+def test_survive_one_leaves_capacity_on_the_other_servers_for_the_calls_of_any_one():
     costs = {"s0": 0.0, "s1": 5.0, "s2": 9.0}
     servers, districts = [(10.0, True)] * 3, [({"r": 18.0}, costs)]
     assert solve.solve(problem_of(servers, districts)).rates["d0"]["s0"] == pytest.approx(10.0)
