--- a/leadslip/parts/store/part.py
+++ b/leadslip/parts/store/part.py
@@ -8,7 +8,7 @@
 
 
 class Store(Part):
-    """Owns the recorder that stores the data of the other parts."""
+    """Owns the recorder, which measures traffic for the trunk-group part and writes it to the store."""
 
     def add_observers(self, observers: dict[str, list[Observer]]) -> None:
         node = self.node
--- a/leadslip/parts/store/settings.py
+++ b/leadslip/parts/store/settings.py
@@ -15,9 +15,9 @@
     """Configuration of the embedded store."""
 
     path: str
-    most_mb: int
-    fine_days: int
-    days: int
+    most_mb: int  # maximum size of the file
+    fine_days: int  # retention of the intervals as measured
+    days: int  # retention of quarter hours
 
 
 STORE_BOUNDS = {  # key -> (default, minimum, maximum)
@@ -37,7 +37,7 @@
     numbers = bounded_numbers(table, "store", STORE_BOUNDS)
     if numbers["days"] < numbers["fine_days"]:
         raise BoundsError(
-            f"store.days must be at least fine_days ({numbers['fine_days']}): {numbers['days']}"
+            f"store.days must be at least store.fine_days ({numbers['fine_days']}): {numbers['days']}"
         )
     if context is not None and context.running:
         folder = os.path.dirname(path) or "."
@@ -47,14 +47,14 @@
 
 
 class StoreSettings(PartSettings):
-    """The settings file of this part."""
+    """The settings file of the store part: its name, its environment variable and what needs a restart."""
 
     name, environment_variable, restart_keys = "store", "LEADSLIP_STORE", "store"
     settings = staticmethod(settings)
 
     @staticmethod
     def exclusive_values(conf: StoreConfig) -> tuple[tuple[str, object], ...]:
-        return (("store.path", conf.path),)  # two writers of one file would block each other
+        return (("store.path", conf.path),)  # two proxies that write to one file would block each other
 
 
 SETTINGS_CLASS = StoreSettings
--- a/leadslip/parts/trunks/part.py
+++ b/leadslip/parts/trunks/part.py
@@ -1,4 +1,4 @@
-"""The trunk-group part of a proxy: traffic measurement, and the reservation filter ahead of the Controller."""
+"""The trunk-group part of a proxy: measures traffic, and reserves trunks in a filter ahead of the Controller."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class Trunks(Part):
-    """Records traffic in the store, and filters requests by trunk reservation."""
+    """Has the store's recorder measure traffic, and filters requests by trunk reservation."""
 
-    reservation = None
+    reservation = None  # the Reservation filter; None if no group has had a reserve
 
     def add_observers(self, observers: dict[str, list[Observer]]) -> None:
         if self.conf.measure:
--- a/tests/test_trunk_server.py
+++ b/tests/test_trunk_server.py
@@ -1,8 +1,8 @@
-"""Measured blocking against the formulas: the real engine with a stand-in trunk server, in virtual time.
+"""Compares the blocking that the real engine meets at a stand-in trunk server, in virtual time, with the formulas.
 
-Independent runs of one length give independent means. The prediction must lie in their two-sided 99% confidence
-interval by Student's t, and for small groups that interval must be narrow enough to tell one trunk more or less.
-Seeds are fixed, so the result is reproducible.
+Independent runs of equal length give independent means. The prediction must lie in their two-sided 99% confidence
+interval by Student's t. For small groups the interval must also exclude the predictions for one trunk more and one
+fewer. Seeds are fixed, so that the result is reproducible.
 """
 
 from math import sqrt
@@ -22,18 +22,23 @@
 
 
 def confidence_interval(values):
+    """Returns the bounds of the 99% confidence interval of the mean of RUNS values."""
     half = T_99 * stdev(values) / sqrt(len(values))
     return fmean(values) - half, fmean(values) + half
 
 
-def simulate(sizes, load, seed, calls, observer=None, persistence=0.0, marks=False, redial_part=0.0):
-    """Runs one simulation; returns callers, trunks, and the part of attempts lost after the first quarter."""
+def simulate(sizes, load, seed, calls, observer=None, persistence=0.0, marks=False, redial_fraction=0.0):
+    """Runs one simulation of about this many calls; returns callers, trunks and the blocking.
+
+    The blocking is the fraction of attempts lost, without the first quarter of them, in which the load builds up.
+    `redial_fraction` is the minimum mean time before a redial, as a fraction of the simulated time.
+    """
     world, engine, trunks = site(sizes, HOLD_S, seed, observer)
     callers = Callers(world, engine, load / HOLD_S, seed + 1000)
     callers.persistence, callers.max_redials, callers.marks = persistence, 2, marks
     length_s = calls * HOLD_S / load
-    # Long against the holding time, as the predictions assume, and short against the run.
-    callers.redial_s = max(6.0 * HOLD_S, redial_part * length_s)
+    # Much longer than the holding time, as the predictions assume, and much shorter than the run.
+    callers.redial_s = max(6.0 * HOLD_S, redial_fraction * length_s)
     callers.start()
     end_s = START_S + length_s
     while world.now_s < end_s:
@@ -54,7 +59,7 @@
 
 
 @pytest.mark.parametrize(("sizes", "load"), [([1, 1], 0.8), ([4, 3], 5.0), ([20, 10], 26.0)])
-def test_overflow_and_loss_match_the_prediction(sizes, load):
+def test_overflow_to_a_second_server_and_total_loss_match_the_prediction(sizes, load):
     overflowed, lost = [], []
     for seed in range(RUNS):
         callers, trunks, blocking = simulate(sizes, load, seed, 2500)
@@ -62,18 +67,18 @@
         lost.append(blocking)
     low, high = confidence_interval(lost)
     assert low <= losses.erlang_b(sum(sizes), load) <= high
-    # The engine does not send to a server without free lines: the rest of the overflow is refused by the engine.
+    # Of the overflow, the engine sends only as much as finds a trunk free at the second server; it refuses the rest.
     mean, variance = losses.overflow(sizes[0], load)
-    sent_on = mean * (1.0 - losses.peaked_blocking(sizes[1], mean, variance)) / load
+    sent_fraction = mean * (1.0 - losses.peaked_blocking(sizes[1], mean, variance)) / load
     low, high = confidence_interval(overflowed)
-    assert low <= sent_on <= high
+    assert low <= sent_fraction <= high
 
 
 @pytest.mark.parametrize(("n", "load"), [(1, 0.3), (2, 1.0), (5, 4.0), (30, 28.0), (120, 118.0)])
 def test_blocking_with_redials_matches_the_prediction(n, load):
     lost, _ = redials.with_redials(n, load, 0.8, 2)
     runs = [
-        simulate([n], load, seed, 3000 if n < 30 else 6000, None, 0.8, redial_part=0.01)
+        simulate([n], load, seed, 3000 if n < 30 else 6000, None, 0.8, redial_fraction=0.01)
         for seed in range(RUNS)
     ]
     low, high = confidence_interval([run[2] for run in runs])
@@ -82,28 +87,28 @@
 
 
 @pytest.mark.parametrize("marks", [False, True], ids=["unmarked", "marked"])
-@pytest.mark.parametrize(("load", "aimed"), [(22.5, 0.05), (28.0, 0.2), (34.5, 0.4)])
-def test_the_fresh_load_is_estimated_despite_redials(load, aimed, marks):
+@pytest.mark.parametrize(("load", "expected_blocking"), [(22.5, 0.05), (28.0, 0.2), (34.5, 0.4)])
+def test_the_fresh_load_is_estimated_despite_redials(load, expected_blocking, marks):
     n, intervals = 30, []
     observer = Traffic(START_S * 1000.0, intervals.extend, lambda *_: None, 60)
     callers, _, _ = simulate([n], load, 5, 24_000, observer, persistence=0.8, marks=marks)
     observer.close(callers.world.now_ms())
     (total,) = aggregate(intervals, 1 << 40)
     fresh_load = callers.first * HOLD_S / total.covered_s
-    assert total.blocking == pytest.approx(aimed, abs=0.04)
+    assert total.blocking == pytest.approx(expected_blocking, abs=0.04)
     assert total.offered == pytest.approx(fresh_load, rel=0.03)
-    if aimed >= 0.2:
-        assert total.naive > 1.15 * fresh_load, "the load of all attempts is far too high"
+    if expected_blocking >= 0.2:
+        assert total.naive > 1.15 * fresh_load, "redials make the load of all attempts far too high"
     redialled = callers.redials / total.lost
     if not marks:
         assert total.persistence == pytest.approx(redialled, abs=0.02)
         estimate = redials.fresh_load(total.erlangs, total.blocking, total.persistence)
-        assert estimate == pytest.approx(fresh_load, rel=0.03), "E.501 gives the same from the counters alone"
+        assert estimate == pytest.approx(fresh_load, rel=0.03), "the formula of E.501 gives the same load"
     assert total.erlangs <= total.peak <= n
 
 
 def test_blocking_over_sockets_matches_the_prediction(tmp_path):
-    """Calls and ends are drawn as a sequence and each awaits its answer, so the result does not depend on timing."""
+    """Each random start or end of a call awaits its answer before the next, so that timing does not matter."""
     n, load, events, rng = 5, 4.0, 3000, Random(11)
     server = TrunkServer(n)
     program = Program(tmp_path, {"s0": server.address})
@@ -123,6 +128,6 @@
             assert status.startswith("SIP/2.0 503")
             lost += 1
     assert program.stop() == 0 and len(established) <= n
-    # Successive calls are correlated, but the chain's exact blocking is that of the formula.
+    # The calls form a Markov chain with the blocking of the formula; as they are correlated, no interval is computed.
     assert lost / attempts == pytest.approx(losses.erlang_b(n, load), abs=0.04)
     assert lost / attempts > losses.erlang_b(n + 1, load)
