--- a/leadslip/store/writer.py
+++ b/leadslip/store/writer.py
@@ -1,7 +1,7 @@
 """Asynchronous writes from the reactor thread to the store: a bounded queue and one writer thread.
 
-`put` never blocks. Records beyond the queue's capacity, or that the disk rejects, are dropped and counted, since
-history must not delay calls; commits are acknowledged on the reactor thread.
+`Writer.put` never waits for the disk, since records must not delay calls. Records that the queue has no room for, or
+that the disk rejects, are dropped and counted. The outcome of each batch is reported on the reactor thread.
 """
 
 from __future__ import annotations
@@ -16,13 +16,17 @@
 from leadslip.metrics import Metrics
 from leadslip.store.base import Item, Point, Store, StoreError
 
-MAX_PENDING_RECORDS = 10_000  # records queued or being written
-MAX_COMMIT_RECORDS = 1000  # records after which no further batch joins a commit
+MAX_PENDING_RECORDS = 10_000  # records in the queue or being written; more are dropped
+MAX_COMMIT_RECORDS = 1000  # a commit takes further batches until it has this many records
 RETRY_S = 1.0  # delay after a disk error before the next attempt
 
 
 class Batch:
-    """Records that are committed together or not at all; `done` is called with whether they were committed."""
+    """Records that are committed together or not at all, or a task: a function that the writer thread calls.
+
+    `task` gets the store and runs between two commits. `done` is called on the reactor thread with whether the
+    batch was committed.
+    """
 
     __slots__ = ("points", "items", "deleted", "done", "task")
 
@@ -41,7 +45,7 @@
 
 
 class Writer:
-    """Owns the store and the writer thread; `call_from_thread` schedules a function on the reactor thread."""
+    """Owns the store and its writer thread; `call_from_thread` runs a function on the reactor thread."""
 
     def __init__(
         self,
@@ -57,10 +61,12 @@
             log,
         )
         self.queue: deque[Batch] = deque()
-        self.pending_records = 0  # records not acknowledged yet; used on the reactor thread only
+        self.pending_records = (
+            0  # records whose outcome was not reported yet; used on the reactor thread only
+        )
         self.queue_changed = threading.Condition()
         self.closing = False
-        self.failing = False
+        self.failing = False  # whether the latest commit failed; used on the reactor thread only
         self.thread = threading.Thread(target=self._run, name="store", daemon=True)
 
     def start(self) -> None:
@@ -68,7 +74,7 @@
         self.thread.start()
 
     def put(self, batch: Batch) -> bool:
-        """Queues a batch; returns False if the queue is full or closing: the batch is then dropped and counted."""
+        """Queues a batch; returns False if it was dropped, because the queue is full or the writer closing."""
         if self.closing or self.pending_records + len(batch) > MAX_PENDING_RECORDS:
             self.metrics.add("store.dropped", len(batch))
             if batch.done is not None:
@@ -81,7 +87,7 @@
         return True
 
     def close(self, timeout_s: float) -> bool:
-        """Writes the queued batches and stops the thread; returns whether that finished within the time-out."""
+        """Writes the queued batches and stops the thread; returns whether the thread ended within the time-out."""
         with self.queue_changed:
             self.closing = True
             self.queue_changed.notify()
@@ -105,7 +111,8 @@
                 self._write_batches(store, batches)
                 self._report(batches, True, "")
             except (apsw.Error, StoreError, OSError) as error:
-                # The disk is full or read-only, or the file is gone: reopened for the next batch, as it may recover.
+                # The disk is full or read-only, or the file was removed, all of which may pass. These batches are
+                # dropped, and the next ones open the file again.
                 if store is not None:
                     self._close_store(store)
                     store = None
@@ -116,7 +123,7 @@
             self._close_store(store)
 
     def _next_batches(self) -> list[Batch]:
-        """Returns the batches of the next commit, in order; a task is run on its own."""
+        """Removes the batches of the next commit from the queue, in order; a task is returned alone."""
         batches: list[Batch] = []
         size = 0
         while self.queue and size < MAX_COMMIT_RECORDS:
@@ -129,6 +136,7 @@
         return batches
 
     def _open(self) -> Store:
+        """Opens the store; reports a damaged file that was renamed."""
         store = self.open_store()
         if store.damaged_path is not None:
             damaged_path = store.damaged_path
@@ -136,6 +144,7 @@
         return store
 
     def _write_batches(self, store: Store, batches: list[Batch]) -> None:
+        """Runs a task, or commits batches; if the file is full, evicts the oldest points and tries once more."""
         if batches[0].task is not None:
             batches[0].task(store)
             return
@@ -161,15 +170,18 @@
             self.call_from_thread(lambda: self.log("store.close_failed", level="warning", fault=message))
 
     def _report(self, batches: list[Batch], written: bool, error: str) -> None:
+        """Schedules the report of an outcome on the reactor thread."""
         self.call_from_thread(lambda: self._on_written(batches, written, error))
 
     # On the reactor thread.
 
     def _on_damaged_file(self, damaged_path: str) -> None:
+        """Counts and logs that a damaged file was renamed to this path."""
         self.metrics.add("store.set_aside")
         self.log("store.set_aside", level="error", file=damaged_path)
 
     def _on_written(self, batches: list[Batch], written: bool, error: str) -> None:
+        """Counts and logs the outcome of batches, and reports it to those who queued them."""
         size = sum(len(batch) for batch in batches)
         self.pending_records -= size
         self.metrics.add("store.written" if written else "store.dropped", size)
@@ -178,7 +190,7 @@
             if written:
                 self.log("store.writes_again")
             else:
-                # Only history is lost; calls are not affected.
+                # Records are lost; calls are not affected.
                 self.log("store.drops", level="error", fault=error)
         for batch in batches:
             if batch.done is not None:
--- a/leadslip/trunks/reservation.py
+++ b/leadslip/trunks/reservation.py
@@ -3,7 +3,7 @@
 A filter ahead of the Controller. It counts this proxy's set-ups in progress and established calls in each group, and
 refuses a request that would leave fewer trunks free than its class must leave. The refusal has a retry time after which
 a trunk is likely to be free. Proxies that share a group do not coordinate: each is configured with its part of the
-trunks. Off by default.
+trunks. Off unless a group of the settings has a reserve.
 """
 
 from __future__ import annotations
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: durability across kills, damage, full and read-only disks, and schema versions."""
+"""The store after kills, damage, full and read-only disks and changes of version; its writer; a proxy with a store."""
 
 import os
 import signal
@@ -22,6 +22,7 @@
 
 
 def point(i, space="t", value=b"v"):
+    """A one-minute point of a series, at minute i."""
     return Point(space, 60, i * 60, "north/plain", 1, value)
 
 
@@ -30,7 +31,7 @@
     return str(tmp_path / "leadslip.db")
 
 
-def test_written_records_are_read_back_in_order(path):
+def test_written_records_are_read_in_order_and_selected_by_span_time_and_expiry(path):
     store = Store(path)
     store.write([point(2), point(1, value=b"old")], [Item("gaps", "b", b"2", 50.0), Item("gaps", "a", b"1")])
     store.write([point(1, value=b"new")], [], [("gaps", "absent")])
@@ -59,7 +60,7 @@
     store.close()
 
 
-@pytest.mark.parametrize("damage", ["noise", "pages"])
+@pytest.mark.parametrize("damage", ["noise", "pages"])  # the file's header, or data pages only
 def test_a_damaged_file_is_renamed_and_a_new_one_created(path, damage):
     store = Store(path)
     store.write([point(i, value=bytes(3000)) for i in range(200)])
@@ -81,6 +82,8 @@
 
 
 class _no_error:  # noqa: N801
+    """Context without a check: a read-only open does not read the damaged pages."""
+
     def __enter__(self):
         return self
 
@@ -103,7 +106,7 @@
             stored_point.key,
             stored_point.run,
             stored_point.value,
-            stored_point.sum(),
+            stored_point.checksum(),
         ),
     )
     old.close()
@@ -127,16 +130,17 @@
 
 
 def interval(start_s, group="north", stood=3, covered_s=60.0):
+    """A one-minute interval with three established calls and one refused."""
     return Interval(
         start_s, 60, group, "plain", covered_s, fresh=4, stood=stood, refused=1, erlang_s=90.0, peak=2
     )
 
 
-def test_history_is_rolled_up_as_it_ages_without_losing_calls(path):
+def test_intervals_are_rolled_up_as_they_age_without_losing_or_doubling_calls(path):
     store = Store(path)
     intervals = [interval(i * 60) for i in range(3 * 24 * 60)]
     store.write([record.to_point(traffic_interval, run=1) for traffic_interval in intervals])
-    # A restart in the first quarter hour: another run covers part of a minute.
+    # A restart in the first minute: two runs of the process have each measured part of it.
     store.write([record.to_point(interval(0, covered_s=20.0), run=2)])
 
     def sums():
@@ -154,7 +158,7 @@
     assert record.apply_retention(store, now_s, 1, 2) == 0 and sums() == expected, (
         "applying retention again changes nothing"
     )
-    late_interval = interval(30 * 60)  # arrives late, in a span that is already rolled up
+    late_interval = interval(30 * 60)  # written late, when its span is already rolled up
     store.write([record.to_point(late_interval, run=3)])
     record.apply_retention(store, now_s, 1, 2)
     assert sums()[0] == expected[0] + 3
@@ -165,7 +169,7 @@
     store.close()
 
 
-def test_a_full_store_evicts_its_oldest_history_and_retains_its_state(path):
+def test_a_full_store_evicts_its_oldest_points_and_retains_its_items(path):
     store = Store(path, max_bytes=1 << 20)
     store.write([], [Item("gaps", "a", b"1")])
     for i in range(40):
@@ -181,7 +185,7 @@
 
 
 class ReactorStandin:
-    """Stands in for the reactor: runs on this thread the functions that the writer thread schedules."""
+    """Stands in for the reactor: runs the functions that the writer thread schedules, on the test's thread."""
 
     def __init__(self):
         self.work_added, self.work = threading.Condition(), []
@@ -201,6 +205,7 @@
 
 
 def started_writer(path, reactor, metrics, log=discard, **options):
+    """Returns a running writer; the options are those of its Store."""
     writer = Writer(lambda: Store(path, **options), reactor.call, metrics, log)
     writer.start()
     return writer
@@ -225,7 +230,7 @@
     assert writer.close(TEST_TIMEOUT_S) and not writer.put(Batch([point(1)]))
 
 
-def test_an_unusable_disk_drops_history_and_logs_each_change_of_state_once(path, tmp_path):
+def test_an_unusable_path_drops_records_and_logs_the_failure_and_the_recovery_once_each(path, tmp_path):
     reactor, metrics, done, events = ReactorStandin(), Metrics(), [], []
     os.mkdir(path)  # a folder at the file's path, so nothing can be written
     writer = started_writer(path, reactor, metrics, lambda event, **fields: events.append(event))
@@ -239,7 +244,7 @@
     assert writer.close(TEST_TIMEOUT_S)
 
 
-def test_a_full_disk_evicts_old_history_and_a_read_only_disk_drops_records(path):
+def test_the_writer_evicts_old_points_from_a_full_file_and_drops_records_for_a_read_only_one(path):
     reactor, metrics, done = ReactorStandin(), Metrics(), []
     writer = started_writer(path, reactor, metrics, max_bytes=1 << 20)
     for i in range(40):
@@ -257,7 +262,8 @@
     writer.close(TEST_TIMEOUT_S)
 
 
-WRITES = """
+# Writes points without end; prints after each commit how many are committed.
+WRITER_PROGRAM = """
 import sys
 from leadslip.store.base import Point, Store
 store = Store(sys.argv[1])
@@ -270,10 +276,10 @@
 
 
 @pytest.mark.parametrize("kills", [25])
-def test_acknowledged_records_survive_sigkill(path, kills):
+def test_records_committed_before_sigkill_are_in_the_file_and_without_holes(path, kills):
     acknowledged = 0
     for i in range(kills):
-        command = [sys.executable, "-c", WRITES, path, str(acknowledged)]
+        command = [sys.executable, "-c", WRITER_PROGRAM, path, str(acknowledged)]
         process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True)
         for _ in range(3 + i % 7):
             acknowledged = int(process.stdout.readline())
@@ -292,7 +298,9 @@
 
 
 @pytest.fixture
-def stored(tmp_path, monkeypatch):
+def start_stored_proxy(tmp_path, monkeypatch):
+    """Returns a function that starts a proxy with a store and one trunk group of 50 trunks."""
+
     def start_proxy(servers, *options, reserve=""):
         (tmp_path / "store.toml").write_text(f'enabled = true\npath = "{tmp_path}/leadslip.db"\n')
         group = f'[[group]]\nname = "north"\ndestinations = [0]\ntrunks = 50\n{reserve}'
@@ -305,8 +313,8 @@
     return start_proxy
 
 
-def stored_intervals(program):
-    """Returns the (run, start) of the intervals that the proxy logged as stored."""
+def logged_intervals(program):
+    """Returns the (run, start) of the intervals that the proxy has logged as committed."""
     fields_of_lines = [
         dict(part.split("=") for part in line.split()[2:]) for line in program.log if " trunks.kept" in line
     ]
@@ -314,25 +322,27 @@
 
 
 @pytest.mark.parametrize("part", range(5))
-def test_history_survives_kills_of_a_proxy_under_load(stored, tmp_path, part):
+def test_intervals_logged_as_committed_survive_kills_of_a_proxy_under_load(
+    start_stored_proxy, tmp_path, part
+):
     acknowledged, calls = set(), 0
     server = SetupServer("answer")
     for kill in range(10):
-        program = stored([server])
+        program = start_stored_proxy([server])
         caller = Caller(program)
         for i in range(400):
             caller.invite(f"{part:04x}{kill:04x}{i:08x}", dest=0)
             while not caller.receive()[0].startswith(("BYE", "SIP/2.0 5")):
                 pass
             calls += 1
-            if stored_intervals(program) and i % 5 == kill % 5:
+            if logged_intervals(program) and i % 5 == kill % 5:
                 break
             if i > 20:
-                wait_for(lambda program=program: stored_intervals(program))
+                wait_for(lambda program=program: logged_intervals(program))
         program.process.kill()
         program.process.wait()
         program.reader.join(TEST_TIMEOUT_S)
-        acknowledged |= stored_intervals(program)
+        acknowledged |= logged_intervals(program)
         program.board.die()
     store = Store(str(tmp_path / "leadslip.db"))
     assert store.damaged_path is None
@@ -346,9 +356,9 @@
     store.close()
 
 
-def test_a_proxy_measures_reserves_and_stores_all_when_it_stops(stored, tmp_path):
+def test_a_proxy_applies_reserves_and_stores_all_measured_calls_when_it_stops(start_stored_proxy, tmp_path):
     server = SetupServer("hold")
-    program = stored([server], reserve="[group.reserve]\nplain = 49\n")
+    program = start_stored_proxy([server], reserve="[group.reserve]\nplain = 49\n")
     caller = Caller(program)
     caller.invite("0" * 15 + "1", "plain")
     assert caller.receive()[0] == "SIP/2.0 200 OK"
@@ -383,7 +393,7 @@
     store.close()
 
 
-def test_libraries_of_disabled_features_are_not_loaded():
+def test_starting_a_proxy_does_not_load_the_libraries_of_features_that_are_off():
     code = "import sys, leadslip.__main__; print(*sorted({name.split('.')[0] for name in sys.modules}))"
     process = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
