--- a/leadslip/shares/solve.py
+++ b/leadslip/shares/solve.py
@@ -24,7 +24,7 @@
 ) / 2.0  # its multiples modulo 1 are the spread-out weights of the tie-break objective
 
 
-class RefusedError(OperatorError):
+class InfeasibleError(OperatorError):
     """No share plan meets all constraints; `conflict` names constraints that can't all be met together."""
 
     code, status = "shares.no-plan", 409
@@ -134,7 +134,9 @@
                 (district.max_shares, -math.inf, 0.0, "at most"),
             ):
                 for name, share in bounds.items():
-                    constraint = f"district {district.name}: {relation} {share:g} of it to {name}"
+                    constraint = (
+                        f"district {district.name}: {relation} {share:g} of its calls to server {name}"
+                    )
                     values = [
                         (column == self.assigned.get((district.name, name))) - share for column in own_columns
                     ]
@@ -201,13 +203,13 @@
 
 
 def solve(problem: Problem, seconds: float = 10.0) -> Plan:
-    """Returns the plan of a problem; raises RefusedError if there is none, OutOfTimeError at the time limit."""
+    """Returns the plan of a problem; raises InfeasibleError if there is none, OutOfTimeError at the time limit."""
     started_s = time.perf_counter()
     running = {server.name for server in problem.servers if server.limit > 0.0}
     for district in problem.districts:
         if sum(district.demand.values()) > 0.0 and not running & set(district.servers):
             # An error even if calls may be shed: each district with demand needs a running server.
-            raise RefusedError([f"district {district.name}: has demand", "none of its servers runs"])
+            raise InfeasibleError([f"district {district.name}: has demand", "none of its servers runs"])
     share_model = _ShareModel(problem)
     solver = share_model.model.new_solver(set(), seconds)
     worth = {call_class.name: call_class.worth for call_class in problem.classes}
@@ -230,7 +232,7 @@
         solver.run()
         status = solver.getModelStatus()
         if status == highspy.HighsModelStatus.kInfeasible:
-            raise RefusedError(find_conflict(share_model.model))
+            raise InfeasibleError(find_conflict(share_model.model))
         if status != highspy.HighsModelStatus.kOptimal:
             raise OutOfTimeError(f"no plan within {seconds:g} s: {solver.modelStatusToString(status)}")
         optimum = solver.getInfo().objective_function_value
--- a/leadslip/trunks/losses.py
+++ b/leadslip/trunks/losses.py
@@ -30,7 +30,7 @@
     """A value given to the trunk formulas or traffic reports is not accepted; the error message names it."""
 
     code, status = "trunks.figure", 400
-    action = "Choose a value within the range named."
+    action = "Choose a value that the message allows."
 
 
 def check_range(name: str, value: float, minimum: float, maximum: float) -> float:
--- a/leadslip/trunks/record.py
+++ b/leadslip/trunks/record.py
@@ -18,9 +18,8 @@
 ROLL_UP_STEPS = ((60, 900), (900, 3600))  # span and the longer span it is rolled up into, in seconds
 DAY_S = 86_400
 HOUR_RETENTION_FACTOR = 4  # retention of hours, as a multiple of that of quarter hours
-MAX_ROLL_UP_POINTS = (
-    20_000  # points that a roll-up replaces in one transaction, exceeded only to complete a span
-)
+# Points that a roll-up reads before it replaces them in one transaction; exceeded only to complete a span.
+MAX_ROLL_UP_POINTS = 20_000
 
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Interval).decode
--- a/leadslip/trunks/report.py
+++ b/leadslip/trunks/report.py
@@ -60,7 +60,9 @@
         """Returns the report of one group; `kind` is the definition of the busy hour, tcbh or adph."""
         quarters = self.by_group.get(group)
         if quarters is None:
-            raise LossError(f"group is not in the store: {group!r}")
+            raise LossError(
+                f"group is not in the store: {group!r}; recorded are {', '.join(self.groups) or 'none'}"
+            )
         total = _total(quarters)
         measured_hour = busyhour.busy_hour(quarters, kind)
         low = high = None
--- a/tests/standin_trunks.py
+++ b/tests/standin_trunks.py
@@ -119,7 +119,7 @@
             Random(seed),
             call_class,
         )
-        self.persistence, self.max_redials, self.redial_s, self.marks = 0.0, 0, 5.0, False
+        self.persistence, self.max_redials, self.redial_s, self.marks_redials = 0.0, 0, 5.0, False
         self.timeout_ms = 3000.0  # time that a request stays valid
         self.first = self.redials = self.attempts = 0  # numbers of first attempts, of redials and of both
         self.log: list[bool] = []  # for each attempt, whether it was lost
@@ -140,7 +140,7 @@
             f"{self.attempts:016x}", self.call_class, self.world.now_ms() + self.timeout_ms, self
         )
         request.destination, request.number = 0, number
-        request.redialled = self.marks and earlier_attempts > 0
+        request.redialled = self.marks_redials and earlier_attempts > 0
         request.context = earlier_attempts
         self.engine.offer(request)
 
@@ -167,7 +167,7 @@
         """Does nothing: the caller sends no further messages."""
 
 
-def site(
+def engine_with_trunks(
     sizes: list[int], hold_s: float, seed: int, observer: core.Observer | None = None
 ) -> tuple[VirtualTime, core.Engine, Trunks]:
     """Returns an engine with one server per trunk group; the first server is the first choice of each call."""
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize(
     "load", ["1/1000000", "1/10", "1", "21/2", "50", "199/2", "150", "200", "250", "400"]
 )
-def test_erlang_b_and_c_match_direct_sums_in_exact_fractions(load):
+def test_erlang_b_and_c_match_their_defining_sums_in_exact_fractions(load):
     load = Fraction(load)
     for n in [*range(40), 50, 75, 100, 125, 150, 175, 199, 200]:
         blocking = exact_b(n, load)
@@ -107,7 +107,7 @@
             )
 
 
-def test_engset_matches_direct_sums_in_exact_fractions():
+def test_engset_matches_its_defining_sums_in_exact_fractions():
     for sources, n, load in ((3, 2, "1"), (10, 4, "5/2"), (40, 12, "8"), (200, 30, "20")):
         load = Fraction(load)
         idle = load / (sources - load)
@@ -137,7 +137,7 @@
     assert math.isfinite(mean) and math.isfinite(variance) and variance >= mean * (1.0 - 1e-6)
 
 
-def test_the_continuous_extension_satisfies_the_recursion_between_integers():
+def test_erlang_b_satisfies_its_recursion_for_fractional_trunks():
     for x, load in ((0.25, 0.7), (3.5, 2.0), (17.75, 21.0), (200.5, 190.0)):
         blocking = losses.erlang_b(x, load)
         assert losses.erlang_b(x + 1, load) == pytest.approx(
@@ -165,14 +165,14 @@
     assert losses.engset(n, 60, losses.load_for_sources(n, 60, 0.01)) == pytest.approx(0.01, rel=1e-9)
 
 
-def test_waits_match_the_m_m_c_queue():
+def test_waits_on_one_trunk_match_the_m_m_1_queue():
     # One trunk at load a: the probability of waiting is a, the mean wait a h / (1 - a).
     assert losses.erlang_c(1, 0.8) == pytest.approx(0.8)
     assert losses.mean_wait_s(1, 0.8, 10.0) == pytest.approx(40.0)
     assert losses.wait_over(1, 0.8, 10.0, 50.0) == pytest.approx(0.8 * math.exp(-1.0))
 
 
-def test_equivalent_random_theory_recovers_the_group_of_an_overflow():
+def test_equivalent_random_theory_finds_the_load_and_trunks_that_an_overflow_comes_from():
     for n, load in ((1, 0.4), (10, 8.0), (37.5, 50.0), (400, 380.0)):
         found_load, found_n = losses.equivalent_random(*losses.overflow(n, load))
         assert found_load == pytest.approx(load, rel=1e-5) and found_n == pytest.approx(n, rel=1e-4)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -201,7 +201,7 @@
     share_problem = problem_of(servers, districts, shed=True)
     unserved = any(not any(servers[int(name[1:])][1] for name in costs) for _, costs in districts)
     if unserved:
-        with pytest.raises(solve.RefusedError, match="none of its servers runs"):
+        with pytest.raises(solve.InfeasibleError, match="none of its servers runs"):
             solve.solve(share_problem)
         return
     plan = solve.solve(share_problem)
@@ -217,7 +217,7 @@
     share_problem = problem_of(
         [(5.0, True), (4.0, True)], [({"r": 6.0}, {"s0": 1.0, "s1": 1.0}), ({"r": 5.0}, {"s0": 1.0})]
     )
-    with pytest.raises(solve.RefusedError) as refused:
+    with pytest.raises(solve.InfeasibleError) as refused:
         solve.solve(share_problem)
     conflict = refused.value.conflict
     assert any("district d0" in name for name in conflict) and any("server s0" in name for name in conflict)
@@ -236,5 +236,5 @@
     rates = solve.solve(problem_of(servers, districts, survive_one=True)).rates["d0"]
     for lost in costs:
         assert sum(10.0 - rate for name, rate in rates.items() if name != lost) >= rates[lost] - 1e-6
-    with pytest.raises(solve.RefusedError, match="loss of server"):
+    with pytest.raises(solve.InfeasibleError, match="loss of server"):
         solve.solve(problem_of(servers, [({"r": 21.0}, costs)], survive_one=True))
--- a/tests/test_trunk_server.py
+++ b/tests/test_trunk_server.py
@@ -13,7 +13,7 @@
 
 from leadslip.trunks import losses, redials
 from leadslip.trunks.traffic import Traffic, aggregate
-from tests.standin_trunks import START_S, Callers, TrunkServer, site
+from tests.standin_trunks import START_S, Callers, TrunkServer, engine_with_trunks
 from tests.standins import Caller, Program
 
 RUNS = 8
@@ -33,9 +33,9 @@
     The blocking is the fraction of attempts lost, without the first quarter of them, in which the load builds up.
     `redial_fraction` is the minimum mean time before a redial, as a fraction of the simulated time.
     """
-    world, engine, trunks = site(sizes, HOLD_S, seed, observer)
+    world, engine, trunks = engine_with_trunks(sizes, HOLD_S, seed, observer)
     callers = Callers(world, engine, load / HOLD_S, seed + 1000)
-    callers.persistence, callers.max_redials, callers.marks = persistence, 2, marks
+    callers.persistence, callers.max_redials, callers.marks_redials = persistence, 2, marks
     length_s = calls * HOLD_S / load
     # Much longer than the holding time, as the predictions assume, and much shorter than the run.
     callers.redial_s = max(6.0 * HOLD_S, redial_fraction * length_s)
