--- a/leadslip/parts/trunks/settings.py
+++ b/leadslip/parts/trunks/settings.py
@@ -24,8 +24,8 @@
     """One trunk group of the settings: its trunks, and how many each class must leave free."""
 
     name: str
-    destinations: tuple[int, ...]  # destinations of requests that are sent over this group
-    trunks: float  # this proxy's part of them: the keys trunks times share
+    destinations: tuple[int, ...]  # requests to these use the group's trunks
+    trunks: float  # of them, this proxy's part: key trunks times key share
     reserve: Mapping[str, float]  # class -> trunks that it must leave free
 
 
@@ -87,7 +87,7 @@
     destinations = required_value(table, "destinations", list, prefix)
     for destination in destinations:
         if isinstance(destination, bool) or not isinstance(destination, int):
-            raise MalformedError(f"{prefix}.destinations must be a list of integers: {destination!r}")
+            raise MalformedError(f"{prefix}.destinations must contain integers only: {destination!r}")
     if "trunks" not in table:
         raise MissingError(f"{prefix}.trunks is missing")
     bounds = {"trunks": (1, 0, 100_000), "share": (1.0, 0.0, 1.0)}
--- a/leadslip/store/base.py
+++ b/leadslip/store/base.py
@@ -106,7 +106,7 @@
 class Store:
     """An open store. Opening raises StoreError if the file cannot be used; later disk errors raise apsw.Error.
 
-    A file larger than `max_bytes` is rejected by SQLite as full; `evict_oldest` makes room in it.
+    Writes that would make the file larger than `max_bytes` raise apsw.FullError; `evict_oldest` makes room.
     """
 
     def __init__(self, path: str, max_bytes: int = 64 << 20, read_only: bool = False) -> None:
--- a/leadslip/store/writer.py
+++ b/leadslip/store/writer.py
@@ -61,9 +61,7 @@
             log,
         )
         self.queue: deque[Batch] = deque()
-        self.pending_records = (
-            0  # records whose outcome was not reported yet; used on the reactor thread only
-        )
+        self.pending_records = 0  # records without a reported outcome; used on the reactor thread only
         self.queue_changed = threading.Condition()
         self.closing = False
         self.failing = False  # whether the latest commit failed; used on the reactor thread only
