--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Loss formulas: against printed tables, against exact fractions, at the bounds, and their inverses."""
+"""Loss formulas: compared with printed tables and exact fractions, at their bounds, and inverted."""
 
 import math
 from fractions import Fraction
@@ -8,9 +8,9 @@
 from leadslip.trunks import losses
 from leadslip.trunks.losses import LossError
 
-# Loads in erlangs as the common Erlang B tables print them (for instance in the ITU-D Teletraffic Engineering
-# Handbook and in vendors' tables), to four decimals; {loss: {trunks: load}}. They were entered without the
-# books at hand, so the exact fractions below are the stronger check.
+# Loads in erlangs, {blocking: {trunks: load}}, as common Erlang B tables print them to four decimals (for instance the
+# ITU-D Teletraffic Engineering Handbook). They were not copied from a book, so the comparison with exact fractions is
+# the stronger check.
 ERLANG_B = {
     0.001: dict(
         zip(
@@ -38,7 +38,7 @@
         )
     ),
 }
-# The same tables for large groups: the load, and the number of its known decimals.
+# The same tables for large groups: (blocking, trunks) -> (load, decimals printed).
 LARGE_B = {
     (0.001, 50): (32.512, 3),
     (0.001, 100): (75.242, 3),
@@ -65,6 +65,7 @@
 
 
 def exact_b(trunks, load):
+    """Erlang B as a fraction, by its defining sum."""
     term = total = Fraction(1)
     for k in range(1, trunks + 1):
         term = term * load / k
@@ -91,7 +92,7 @@
 @pytest.mark.parametrize(
     "load", ["1/1000000", "1/10", "1", "21/2", "50", "199/2", "150", "200", "250", "400"]
 )
-def test_erlang_b_and_c_match_direct_sums_in_exact_fractions(load):
+def test_erlang_b_and_c_match_their_defining_sums_in_exact_fractions(load):
     load = Fraction(load)
     for n in [*range(40), 50, 75, 100, 125, 150, 175, 199, 200]:
         blocking = exact_b(n, load)
@@ -106,7 +107,7 @@
             )
 
 
-def test_engset_matches_direct_sums_in_exact_fractions():
+def test_engset_matches_its_defining_sums_in_exact_fractions():
     for sources, n, load in ((3, 2, "1"), (10, 4, "5/2"), (40, 12, "8"), (200, 30, "20")):
         load = Fraction(load)
         idle = load / (sources - load)
@@ -124,7 +125,7 @@
 
 @pytest.mark.parametrize("n", [0, 1, 2, 999.5, 10_000, 99_999.5, 100_000])
 @pytest.mark.parametrize("load", [1e-6, 0.5, 1.0, 1000.0, 9_999.0, 1e5])
-def test_formulas_stay_finite_from_the_minimum_to_the_maximum(n, load):
+def test_formulas_are_finite_at_the_bounds_of_trunks_and_load(n, load):
     lost = losses.erlang_b(n, load)
     assert 0.0 <= lost <= 1.0 and (lost < 1.0 or n == 0)
     assert losses.erlang_b(n + 1 if n < 99_999 else n, load) <= lost
@@ -136,7 +137,7 @@
     assert math.isfinite(mean) and math.isfinite(variance) and variance >= mean * (1.0 - 1e-6)
 
 
-def test_the_continuous_extension_satisfies_the_recursion_between_integers():
+def test_erlang_b_satisfies_its_recursion_for_fractional_trunks():
     for x, load in ((0.25, 0.7), (3.5, 2.0), (17.75, 21.0), (200.5, 190.0)):
         blocking = losses.erlang_b(x, load)
         assert losses.erlang_b(x + 1, load) == pytest.approx(
@@ -164,14 +165,14 @@
     assert losses.engset(n, 60, losses.load_for_sources(n, 60, 0.01)) == pytest.approx(0.01, rel=1e-9)
 
 
-def test_waits_match_the_m_m_c_queue():
+def test_waits_on_one_trunk_match_the_m_m_1_queue():
     # One trunk at load a: the probability of waiting is a, the mean wait a h / (1 - a).
     assert losses.erlang_c(1, 0.8) == pytest.approx(0.8)
     assert losses.mean_wait_s(1, 0.8, 10.0) == pytest.approx(40.0)
     assert losses.wait_over(1, 0.8, 10.0, 50.0) == pytest.approx(0.8 * math.exp(-1.0))
 
 
-def test_equivalent_random_theory_recovers_the_group_of_an_overflow():
+def test_equivalent_random_theory_finds_the_load_and_trunks_that_an_overflow_comes_from():
     for n, load in ((1, 0.4), (10, 8.0), (37.5, 50.0), (400, 380.0)):
         found_load, found_n = losses.equivalent_random(*losses.overflow(n, load))
         assert found_load == pytest.approx(load, rel=1e-5) and found_n == pytest.approx(n, rel=1e-4)
@@ -189,7 +190,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ask", "named"),
+    ("formula", "named"),
     [
         (lambda: losses.erlang_b(-1, 1.0), "trunks"),
         (lambda: losses.erlang_b(100_001, 1.0), "trunks"),
@@ -202,7 +203,7 @@
         (lambda: losses.erlang_c(2.5, 2.0), "trunks must be an integer"),
         (lambda: losses.engset(2, 3, 3.0), "erlangs must be below sources"),
         (lambda: losses.trunks_for(1.0, 0.0), "blocking"),
-        (lambda: losses.trunks_for(1e5, 1e-9), "blocking is not reached with 100000 trunks"),
+        (lambda: losses.trunks_for(1e5, 1e-9), "blocking of 1e-09 is not reached with 100000 trunks"),
         (lambda: losses.load_for(0, 0.1), "trunks must be above 0"),
         (lambda: losses.load_for(1, 1e-9), "blocking of 1e-09 is met by no load"),
         (lambda: losses.equivalent_random(5.0, 4.0), "variance"),
@@ -210,6 +211,6 @@
         (lambda: losses.wait_over(5, 4.0, 0.0, 1.0), "hold_s"),
     ],
 )
-def test_an_argument_out_of_bounds_raises_an_error_that_names_it(ask, named):
+def test_an_argument_out_of_bounds_raises_an_error_that_names_it(formula, named):
     with pytest.raises(LossError, match=named):
-        ask()
+        formula()
