--- a/leadslip/__main__.py
+++ b/leadslip/__main__.py
@@ -28,14 +28,16 @@
 from leadslip.readiness import Readiness
 
 MIN_DRAIN_MS = 900.0  # minimum time between SIGTERM and exit: new requests may still arrive
-# Where no other process shares the address, clients may open connections for up to 400 ms after SIGTERM.
+# How long the proxy listens after SIGTERM: clients that no other process serves may still connect for up to 400 ms.
 LISTEN_AFTER_SIGTERM_MS = 500.0
-FINAL_CLOSE_MS = 400.0  # before the exit, for closing each connection as soon as no answer is pending on it
+# In this time before the exit, connections without a pending answer are closed despite established calls.
+FINAL_CLOSE_MS = 400.0
 COUNTS_LOG_INTERVAL_MS = 10_000.0
 FLUSH_TIMEOUT_MS = 120.0  # for callers to read the last answers before the exit
 FLUSH_POLL_MS = 10.0
-# Descriptors other than connections of callers and servers: standard streams, the reactor's own, listeners and their
-# reserve, polls of two notice boards, requests at the operators' address, files read again on a reload.
+# Descriptors other than connections of callers and servers: standard streams, the reactor's own, listeners and the
+# spare descriptors of Twisted's accept, polls of the notice board (two while its address changes), operators'
+# connections, and files read on a reload.
 OTHER_DESCRIPTORS = 24
 
 
@@ -47,7 +49,7 @@
 
 
 class SystemClock:
-    """Wall clock in Unix milliseconds; used for the rules, `boot_ms` and all deadlines."""
+    """Wall clock in Unix milliseconds; used for decisions, all deadlines and comparison with a server's `boot_ms`."""
 
     def now_ms(self) -> float:
         return time.time() * 1000.0
@@ -61,17 +63,17 @@
 
 
 def combine_observers(observers: list[Observer]) -> Observer | None:
-    """Combine observers into one; None for an empty list, so that the engine skips notifications."""
+    """Combine observers into one; returns None for an empty list, so that the engine skips notifications."""
     return observers[0] if len(observers) == 1 else Observers(*observers) if observers else None
 
 
 @dataclass(frozen=True, slots=True)
 class Descriptors:
-    """Shares of the file descriptor limit, so that no use of descriptors starves another."""
+    """Maximum numbers of connections by kind, which divide the file descriptor limit so that none starves another."""
 
-    callers: int  # inbound connections of callers, who hold a third of all
-    overflow: int  # further inbound connections, accepted only to ask callers to retry
-    servers: int  # connections to setup servers; above this only indispensable ones are opened
+    callers: int  # inbound connections; callers use about a third of all descriptors
+    overflow: int  # further inbound connections, accepted only to refuse requests, so that callers retry
+    servers: int  # connections to setup servers; at this number each server gets only the one that it needs
 
     @classmethod
     def from_config(cls, conf: config.Config) -> Descriptors:
@@ -162,8 +164,8 @@
         self.engine.chain.replace([filter_ for part in self.parts.values() for filter_ in part.filters()])
 
     def start(self) -> None:
-        """Start serving; the notices in the configuration are applied before anything is polled."""
-        # Before listening: once the load balancer can reach the proxy, SIGTERM must drain it, not end it.
+        """Start serving; the notices in the configuration are applied before the first poll of the notice board."""
+        # Installed before listening: once the load balancer can reach the proxy, SIGTERM must drain it, not end it.
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(self.drain))
         for notice in self.conf.notices:
             self.apply_notice(notice)
@@ -188,7 +190,7 @@
         self.log("serves", name=self.conf.name, address=f"{host}:{port}")
 
     def apply_notice(self, notice: config.Notice) -> None:
-        """Apply a server list update: upstream first, as the engine may send to new servers at once."""
+        """Apply a server list update: first to the connections, as the engine may send to new servers at once."""
         self.servers.apply_list_update(notice.update, notice.addresses)
         self.engine.update_servers(notice.update)
 
@@ -260,7 +262,7 @@
                 if fixed_settings != running[key]:
                     raise config.FixedError(f"{key} can't change without a restart")
             if (conf.settings, conf.most_held) != (self.conf.settings, self.conf.most_held):
-                # first, as the Controller may reject them
+                # Before anything else is changed, as the Controller may reject the settings.
                 self.engine.apply_settings(conf.settings, conf.most_held)
         except OperatorError as error:
             self.counters.config_rejected += 1
@@ -302,9 +304,9 @@
         self.exit_when_drained()
 
     def exit_when_drained(self, _: object = None) -> None:
-        """Exit once no call depends on this process, or shortly before SIGKILL; otherwise check again."""
+        """Exit once no call depends on this process, or shortly before SIGKILL; otherwise check again later."""
         now_ms = self.clock.now_ms()
-        ending_ms, last_ms = (
+        shutdown_since_ms, exit_by_ms = (
             self.readiness.shutdown_since_ms,
             self.readiness.answer_by_ms(self.longest_deadline_ms()),
         )
@@ -313,12 +315,12 @@
         pending = any(engine.open for engine in self.engines) or (
             self.engine.established and self.clients.connections
         )
-        if now_ms >= last_ms - FINAL_CLOSE_MS:
+        if now_ms >= exit_by_ms - FINAL_CLOSE_MS:
             # Prevents the exit from dropping connections during a set-up: each is closed once no answer is pending,
             # so that callers resend a set-up that crosses the close.
-            for link in self.clients.connections:
-                link.still_used = True
-        if now_ms >= last_ms or (now_ms >= ending_ms + MIN_DRAIN_MS and not pending):
+            for connection in self.clients.connections:
+                connection.close_despite_calls = True
+        if now_ms >= exit_by_ms or (now_ms >= shutdown_since_ms + MIN_DRAIN_MS and not pending):
             self.begin_exit()
             return
         self.deadlines.call_at(now_ms + 50.0, self.exit_when_drained)
@@ -330,7 +332,7 @@
     def begin_exit(self) -> None:
         """Shut down in order: stop sending set-ups, answer all requests, flush the answers, close connections.
 
-        Prevents SIGKILL from leaving open requests unanswered, and requests from being accepted while the last
+        Prevents open requests from being left unanswered at SIGKILL, and new ones from being accepted while the last
         answers are being sent.
         """
         self.board.stop()
@@ -341,13 +343,13 @@
         self.log_counters()
         self.stop_when_flushed(self.clock.now_ms() + FLUSH_TIMEOUT_MS)
 
-    def stop_when_flushed(self, last_ms: float) -> None:
-        """Stop the reactor once all answers have been flushed to the callers, or at `last_ms`."""
+    def stop_when_flushed(self, exit_by_ms: float) -> None:
+        """Stop the reactor once all answers are flushed and all client connections closed, or at `exit_by_ms`."""
         now_ms = self.clock.now_ms()
-        if now_ms < last_ms and not self.clients.close_connections():
-            self.deadlines.call_at(now_ms + FLUSH_POLL_MS, self.stop_when_flushed, last_ms)
+        if now_ms < exit_by_ms and not self.clients.close_connections():
+            self.deadlines.call_at(now_ms + FLUSH_POLL_MS, self.stop_when_flushed, exit_by_ms)
             return
-        # The delay lets cancellations of unfinished attempts reach the servers first.
+        # The delay lets the cancellations of attempts in progress be sent to the servers before the exit.
         reactor.callLater(FLUSH_POLL_MS / 1000.0, reactor.stop)
 
 
@@ -356,7 +358,8 @@
     node = None
     # A SIGTERM before the proxy listens exits with status 0, as a later one does.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
-    # Installed first, as SIGHUP without a handler ends the process; an early one waits until the reactor runs.
+    # Installed before the configuration is read: SIGHUP without a handler would end the process. A SIGHUP that comes
+    # before the reactor runs is handled once it does.
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(lambda: node.reload()))
     try:
         loaded = LoadedConfig.load(config.load())
--- a/leadslip/net/__init__.py
+++ b/leadslip/net/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each kind of peer; only these speak Twisted's protocols."""
+"""Network I/O: one module for each kind of peer. Protocols of Twisted are implemented only here."""
--- a/leadslip/net/board.py
+++ b/leadslip/net/board.py
@@ -1,4 +1,4 @@
-"""Client of the notice board: server-sent events over HTTP, polled anew when a stream ends or falls silent."""
+"""Client of the notice board: server-sent events over HTTP, polled again when a stream ends or falls silent."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
 from leadslip.deadlines import Deadline, Deadlines
 from leadslip.metrics import Metrics
 
-SILENCE_TIMEOUT_MS = 2500.0  # the board sends a comment every second: two missing mean a dead connection
-POLL_DELAY_MS = 200.0  # limits the rate of polls at a board that ends each one at once
+SILENCE_TIMEOUT_MS = (
+    2500.0  # the board sends a comment every second: if two are missing, the connection is dead
+)
+POLL_DELAY_MS = 200.0  # limits the rate of polls of a board that ends each poll at once
 MAX_LINE_BYTES = 256 * 1024  # a complete server list is one line
 
 
-def url_of(address: Address) -> bytes:
-    """Returns the URL to poll."""
+def poll_url(address: Address) -> bytes:
+    """Returns the URL to poll at the board's address."""
     host, port = address
     return f"http://{f'[{host}]' if ':' in host else host}:{port}/board/poll".encode()
 
@@ -33,7 +35,7 @@
 
     def __init__(self, board: BoardClient, poll: int) -> None:
         self.board, self.poll = board, poll
-        self.id, self.data = "", b""
+        self.id, self.data = "", b""  # of the event that is being received
 
     def lineReceived(self, line: bytes) -> None:
         if not self.board.line_received(self.poll):
@@ -66,7 +68,7 @@
         on_notice: Callable[[Notice], None],
         connect_timeout_s: float,
     ) -> None:
-        self.url = url_of(address)
+        self.url = poll_url(address)
         self.agent = Agent(reactor, connectTimeout=connect_timeout_s)
         self.deadlines, self.metrics, self.last_event_id, self.on_notice = (
             deadlines,
@@ -78,7 +80,7 @@
         self.stream: EventStream | None = None
         self.last_received_ms = 0.0
         self.current_poll = 0  # number of the current poll; data of earlier ones is ignored
-        self.timer: Deadline | None = None  # the check of this poll for silence, or the next poll
+        self.timer: Deadline | None = None  # the next silence check of the current poll, or the next poll
 
     def poll(self, _: object = None) -> None:
         """Requests all events after the last one received; cancels a poll still in progress."""
@@ -96,12 +98,13 @@
 
     def change_address(self, address: Address) -> None:
         """Polls at another address from now on; event numbers continue."""
-        # At once: prevents a gap between the old board's last event and the end of its connection.
-        self.url = url_of(address)
+        # Polls at once, without waiting for the old board's stream to end: prevents missing the new board's events
+        # between the last event of the old stream and its end.
+        self.url = poll_url(address)
         self.poll()
 
     def line_received(self, poll: int) -> bool:
-        """Records that a line has arrived; returns whether it belongs to the current poll."""
+        """Resets the silence time-out if a line belongs to the current poll; returns whether it does."""
         if poll == self.current_poll:
             self.last_received_ms = self.deadlines.clock.now_ms()
         return poll == self.current_poll
@@ -118,7 +121,7 @@
             None,
         )
         if stream is not None:
-            # The body's transport is a proxy without abortConnection.
+            # Twisted's wrapper of the transport, which a response body gets, has no abortConnection.
             stream.transport.loseConnection()
         elif response is not None:
             response.cancel()
@@ -138,6 +141,7 @@
         return True
 
     def stream_ended(self, poll: int) -> None:
+        """Schedules the next poll if the stream was that of the current one."""
         if poll == self.current_poll:
             self._schedule_poll()
 
@@ -158,7 +162,7 @@
         self.timer = self.deadlines.call_at(self.deadlines.clock.now_ms() + POLL_DELAY_MS, self.poll)
 
     def _check_silence(self, poll: int) -> None:
-        """Polls anew after a silence: a board whose machine has vanished does not end the connection."""
+        """Polls again if nothing was received for the silence time-out: a crashed machine ends no connection."""
         due_ms = self.last_received_ms + SILENCE_TIMEOUT_MS
         if self.deadlines.clock.now_ms() < due_ms:
             self.timer = self.deadlines.call_at(due_ms, self._check_silence, poll)
--- a/leadslip/net/clients.py
+++ b/leadslip/net/clients.py
@@ -1,4 +1,4 @@
-"""Downstream side for callers: SIP over TCP. Turns SIP messages into requests, and answers into SIP messages."""
+"""Downstream side of the proxy: SIP over TCP. Turns callers' SIP messages into requests, and answers into SIP."""
 
 from __future__ import annotations
 
@@ -21,16 +21,20 @@
 CONTENT_LENGTH = re.compile(rb"\r\n(?:Content-Length|l)[ \t]*:[ \t]*([^\r\n]*)", re.IGNORECASE)
 DIGITS = re.compile(rb"[0-9]{1,9}[ \t]*")
 ECHOED_HEADERS = (b"via", b"from", b"to", b"call-id", b"cseq")
-RELEASE_TTL_MS = 8000.0  # for this long an unacknowledged release is sent on connections that open
-RESEND_AFTER_MS = 300.0  # until an unacknowledged release goes to another connection; doubles each time
+RELEASE_TTL_MS = 8000.0  # after this time since the call's end, an unacknowledged release is dropped
+RESEND_AFTER_MS = (
+    300.0  # time before an unacknowledged release is sent on another connection; doubles each time
+)
 RESEND_CHECK_INTERVAL_MS = 100.0  # while any release is unacknowledged
 CAUSE_NORMAL, CAUSE_TEMPORARY_FAILURE = 16, 41
 
 
 DRAIN_CHECK_INTERVAL_MS = 100.0
-STILL_USED_AFTER_MS = 900.0  # set-ups this long after SIGTERM: a new process shares the address
-MAX_WAIT_DEADLINES = 10.0  # Expires-Ms may be at most this many times the longest deadline of a class
-MAX_LINES_PER_CALL = 1000.0
+# A connection that brings a set-up this long after SIGTERM is closed despite established calls: clients that still
+# come have another process at the same address.
+CLOSE_DESPITE_CALLS_AFTER_MS = 900.0
+MAX_EXPIRES_DEADLINES = 10.0  # Expires-Ms may be at most this many times the longest deadline of a class
+MAX_LINES_PER_CALL = 1000.0  # upper limit for `width`, the number of lines that a call occupies
 
 
 class PendingRelease:
@@ -40,7 +44,7 @@
 
     def __init__(self, ended_ms: float, message: bytes) -> None:
         self.ended_ms, self.message = ended_ms, message
-        self.connection: CallerConnection | None = None  # the last it was sent on
+        self.connection: CallerConnection | None = None  # it was last sent on; None: not sent
         self.sent_ms, self.send_count = 0.0, 0
 
 
@@ -58,7 +62,7 @@
         self.inbound = downstream.inbound
         self.set_ups: dict[str, Request] = {}  # awaiting an answer on this connection
         self.new_requests: dict[str, Request] = {}  # of the current read, not offered yet
-        self.still_used = False  # set-ups have arrived long after SIGTERM
+        self.close_despite_calls = False  # a drain closes it even if calls established on it go on
 
     def connectionMade(self) -> None:
         super().connectionMade()
@@ -85,8 +89,8 @@
         return bool(self.new_requests)
 
     def read_finished(self) -> None:
-        # Offered only now. Prevents servers from working on set-ups that are withdrawn in the same read, or
-        # followed by a malformed message.
+        # Requests are offered only after all available data. Prevents servers from working on set-ups that are
+        # cancelled in the same read, or followed by a malformed message.
         new_requests, self.new_requests = self.new_requests, {}
         for request in new_requests.values():
             self.downstream.engine.offer(request, has_capacity=not self.overflow)
@@ -97,13 +101,13 @@
         self.message_received()
         start = START_LINE.match(head)
         if start is None:
-            raise MessageError("malformed start line")
+            raise MessageError("start line is neither a SIP request with a sip: URI nor a SIP response")
         headers: dict[bytes, bytes] = {}
         offset, size = start.end(), len(head)
         while offset < size:
             match = HEADER.match(head, offset)
             if match is None:
-                raise MessageError(f"malformed header at byte {offset}")
+                raise MessageError(f"header at byte {offset} is not of the form 'name: value'")
             headers.setdefault(match.group(1).lower(), match.group(2).strip())
             offset = match.end()
         method, number, status = start.groups()
@@ -127,13 +131,13 @@
         expires_ms = parse_unsigned(
             headers.get(b"expires-ms"), "Expires-Ms must be an integer of 1 to 12 digits"
         )
-        if expires_ms > MAX_WAIT_DEADLINES * max(
+        if expires_ms > MAX_EXPIRES_DEADLINES * max(
             call_class.deadline_ms for call_class in downstream.engine.settings.classes
         ):
             raise MessageError(
-                f"Expires-Ms {expires_ms:.0f} exceeds {MAX_WAIT_DEADLINES:.0f} times the longest deadline"
+                f"Expires-Ms {expires_ms:.0f} exceeds {MAX_EXPIRES_DEADLINES:.0f} times the longest deadline"
             )
-        # Expires-Ms is a duration from the sending of the set-up, while the engine uses Unix time: converted here.
+        # Expires-Ms counts from the sending of the set-up, while the engine uses Unix time.
         request = Request(
             parse_call_id(headers),
             headers.get(b"priority-class", b"").decode("utf-8", "replace"),
@@ -159,16 +163,16 @@
         request.redialled = headers.get(b"p-repeat") == b"1"
         request.context = (self, echo_headers(headers))
         if request.id in self.set_ups:
-            # Two set-ups with one id can't both be answered, and an answer could not be assigned to either.
+            # Only one request is tracked per id, and the caller could not tell which of the two an answer is for.
             raise MessageError(f"Call-ID {request.id} is already in use on this connection")
         self.set_ups[request.id] = self.new_requests[request.id] = request
         downstream.mark_as_caller(self)
-        ending_ms = downstream.readiness.shutdown_since_ms
-        if ending_ms and now_ms > ending_ms + STILL_USED_AFTER_MS:
-            self.still_used = True
+        shutdown_since_ms = downstream.readiness.shutdown_since_ms
+        if shutdown_since_ms and now_ms > shutdown_since_ms + CLOSE_DESPITE_CALLS_AFTER_MS:
+            self.close_despite_calls = True
 
     def cancel(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
-        # Only set-ups of this connection: one caller must not withdraw those of another.
+        # Only set-ups of this connection may be cancelled, so that no caller cancels those of another.
         request = self.set_ups.get(parse_call_id(headers))
         self.reply(b"200 OK" if request else UNKNOWN_CALL, headers)
         if request is not None and self.new_requests.pop(request.id, None) is not None:
@@ -181,7 +185,8 @@
         # The caller's release may cross the proxy's own, which is retained until it is acknowledged.
         known = request is not None or parse_call_id(headers) in self.downstream.pending_releases
         if not known and self.downstream.release_elsewhere is not None:
-            echoed = echo_headers(headers)  # the headers are not retained until the result arrives
+            # Encoded now, so that the parsed headers need not be kept until the result arrives.
+            echoed = echo_headers(headers)
 
             def on_result(found: bool) -> None:
                 if self in self.downstream.connections:
@@ -198,7 +203,7 @@
         self.reply(b"200 OK" if self.downstream.readiness.ready() else b"503 Service Unavailable", headers)
 
     def ack(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
-        """Ignored: over TCP an answer arrives complete, or the connection ends."""
+        """Ignored: over TCP an answer arrives complete, or the connection ends; answers are never resent."""
 
     def reply(self, status: bytes, headers: dict[bytes, bytes]) -> None:
         self.send(b"SIP/2.0 ", status, b"\r\n", echo_headers(headers), b"Content-Length: 0\r\n\r\n")
@@ -257,14 +262,15 @@
         self.engine, self.metrics, self.readiness = engine, metrics, readiness
         self.inbound = InboundConnections(metrics, "clients", max_connections, engine.deadlines, overflow)
         self.connections = self.inbound.open
-        self.unsent_releases: dict[str, None] = {}  # wait for a connection
-        self.draining = False  # connections are closed as they become free
-        self.pending_releases: OrderedDict[str, PendingRelease] = OrderedDict()
+        self.unsent_releases: dict[str, None] = {}  # ids of calls whose release waits for a connection
+        self.draining = False  # whether the check that closes connections without calls is scheduled
+        self.pending_releases: OrderedDict[str, PendingRelease] = OrderedDict()  # by call id, oldest first
         self.caller_connections: OrderedDict[CallerConnection, None] = (
             OrderedDict()
         )  # most recently used last
-        self.resending = False
-        # Releases a call held by another proxy, and reports whether one was found. None: there is no other proxy.
+        self.resend_scheduled = False
+        # Releases a call that this engine does not have, and calls back with whether its server was found.
+        # None: calls are not replicated to other proxies.
         self.release_elsewhere: Callable[[str, Callable[[bool], None]], None] | None = None
 
     def buildProtocol(self, addr: object) -> CallerConnection | None:
@@ -276,16 +282,16 @@
             self._send_release(id_, connection)
 
     def mark_as_caller(self, connection: CallerConnection) -> None:
-        """Records that callers use a connection: it has brought a set-up, or acknowledged a release."""
+        """Records that the peer is a caller: it has sent a set-up, or acknowledged a release."""
         if connection in self.connections:
             self.caller_connections[connection] = None
             self.caller_connections.move_to_end(connection)
 
     def _fallback_connection(self, exclude: CallerConnection | None = None) -> CallerConnection | None:
-        """Returns a connection for the release of a call whose own is lost, preferably one used by callers.
+        """Returns a connection for the release of a call whose own is lost: that of the latest caller, if any.
 
-        Prevents writing a release to a peer that only polls for readiness, or that stays after one request: these
-        send more often than callers, and do not handle releases.
+        Prevents writing a release to a peer that only polls for readiness, or that stays connected after one
+        request: such peers don't handle releases, but send more often than callers.
         """
         for connections in (self.caller_connections, self.connections):
             found = next(
@@ -309,13 +315,12 @@
                 self._send_release(id_, self._fallback_connection())
 
     def drain_connections(self) -> None:
-        """Moves clients elsewhere: closes every connection that is free, now and until the drain ends.
+        """Closes connections as they become free, until the drain ends, so that clients connect elsewhere.
 
-        Prevents clients from keeping a connection to a drained proxy. A connection is free once it has no open
-        set-up and no established call was set up on it (its release is due there); a set-up that crosses the close
-        is sent again by its caller. A connection that still brings set-ups long after SIGTERM is closed despite
-        established calls: its callers have a new process beside this one, to which the servers report the ends of
-        those calls once this one has exited.
+        A connection is free once it has no open set-up and no established call was set up on it, as the call's
+        release is to be sent there. A set-up that crosses the close is sent again by its caller. A connection that
+        still brings set-ups long after SIGTERM is closed despite established calls: its callers can reach a new
+        process beside this one, to which the servers report the ends of those calls once this process has exited.
         """
         if not self.draining:
             self.draining = True
@@ -328,11 +333,13 @@
         in_use = {request.context[0] for request in self.engine.established.values()}
         now_ms = self.engine.clock.now_ms()
         for connection in list(self.connections):
-            if connection.transport.disconnecting or (connection in in_use and not connection.still_used):
+            if connection.transport.disconnecting or (
+                connection in in_use and not connection.close_despite_calls
+            ):
                 continue
             connection.read_pending()
             if connection not in self.connections or connection.set_ups or connection.partial_since_ms:
-                continue  # a set-up has arrived, complete or in part: it is answered first
+                continue  # a set-up has arrived, complete or in part, and is answered first
             if not connection.last_received_ms and now_ms - connection.opened_ms < DRAIN_CHECK_INTERVAL_MS:
                 continue  # its first message may be in flight
             self.metrics.add("clients.sent_away")
@@ -342,8 +349,8 @@
     def close_connections(self) -> bool:
         """Closes every connection once its write buffer is sent; returns whether all have closed.
 
-        Called last, when all requests are answered: data still unread is processed first, and set-ups in it are
-        refused. A set-up that crosses the close is sent again by its caller, as no other is open there.
+        Called when all requests are answered and the engine has shut down: set-ups in data that is still unread are
+        refused. A set-up that crosses the close of a connection is sent again by its caller.
         """
         for connection in list(self.connections):
             connection.read_pending()
@@ -361,8 +368,8 @@
     # Called by the engine.
 
     def established(self, request: Request, payload: object) -> None:
-        size = b"Content-Length: %d\r\n\r\n" % len(payload)
-        self._answer(request, b"SIP/2.0 200 OK\r\n", size, payload)
+        length_header = b"Content-Length: %d\r\n\r\n" % len(payload)
+        self._answer(request, b"SIP/2.0 200 OK\r\n", length_header, payload)
 
     def refused(self, request: Request, retry_after_ms: float) -> None:
         back_off = b"P-Back-Off: %d\r\n" % int(retry_after_ms) if retry_after_ms >= 1 else b""
@@ -377,7 +384,7 @@
         self.release(request.id, cut, connection if connection in self.connections else None)
 
     def release(self, id_: str, cut: bool, connection: CallerConnection | None = None) -> None:
-        """Sends the release of an ended call to its caller, and again until it is acknowledged."""
+        """Sends the release of an ended call to its caller, and resends it until it is acknowledged."""
         message = (
             b"BYE sip:caller@net SIP/2.0\r\nVia: SIP/2.0/TCP proxy\r\nCall-ID: %s\r\nCSeq: 2 BYE\r\n"
             b"Reason: Q.850;cause=%d\r\nContent-Length: 0\r\n\r\n"
@@ -387,15 +394,15 @@
         self._expire_releases()
         self.pending_releases[id_] = PendingRelease(now_ms, message)
         self._send_release(id_, connection or self._fallback_connection())
-        if not self.resending:
-            self.resending = True
+        if not self.resend_scheduled:
+            self.resend_scheduled = True
             self.engine.deadlines.call_at(now_ms + RESEND_CHECK_INTERVAL_MS, self._resend_releases)
 
     def _resend_releases(self, _: object = None) -> None:
-        """Sends releases on another connection when the last one has not acknowledged them in time."""
+        """Sends each release that was not acknowledged in time on another connection, and schedules the next check."""
         self._expire_releases()
         if not self.pending_releases:
-            self.resending = False
+            self.resend_scheduled = False
             return
         now_ms = self.engine.clock.now_ms()
         for id_, pending in list(self.pending_releases.items()):
--- a/leadslip/recorder.py
+++ b/leadslip/recorder.py
@@ -31,26 +31,28 @@
         self.writer = Writer(
             lambda: Store(conf.path, conf.most_mb << 20), reactor.callFromThread, metrics, log
         )
-        self.run = int(
-            time.time() * 1000.0
-        )  # distinguishes the records of this process from those of earlier ones
+        # Start time in Unix ms; distinguishes the records of this process from those of earlier ones.
+        self.run_id = int(time.time() * 1000.0)
         self.traffics: list[Traffic] = []
 
     def observe_traffic(self, conf: TrunksConfig, observers: list[list]) -> None:
-        """Observe the traffic of each engine: calls for the first entry of `observers`, look-ups for the second."""
+        """Add a traffic observer to each engine's list: first that of calls, then that of ENUM look-ups.
+
+        Calls are grouped by destination, as configured; all look-ups are one group, `enum`.
+        """
         now_ms = self.deadlines.clock.now_ms()
         groups = {destination: group.name for group in conf.groups for destination in group.destinations}
-        for engine_observers, (group_of, unnamed) in zip(
+        for engine_observers, (group_of, default_group) in zip(
             observers, ((groups, None), ({}, "enum")), strict=True
         ):
             traffic = Traffic(
-                now_ms, self.record_intervals, self.report_gap, conf.interval_s, group_of, unnamed
+                now_ms, self.record_intervals, self.report_gap, conf.interval_s, group_of, default_group
             )
             self.traffics.append(traffic)
             engine_observers.append(traffic)
 
     def start(self) -> None:
-        """Start the writer, the traffic intervals and retention."""
+        """Start the writer, and schedule the ends of the traffic intervals and the retention rounds."""
         self.writer.start()
         for traffic in self.traffics:
             self.deadlines.call_at(traffic.due_ms(), self._end_interval, traffic)
@@ -58,21 +60,21 @@
 
     def record_intervals(self, intervals: list[Interval]) -> None:
         """Queue finished intervals for writing."""
-        points = [record.to_point(interval, self.run) for interval in intervals]
+        points = [record.to_point(interval, self.run_id) for interval in intervals]
         first_start_s = intervals[0].start_s
 
-        def done(written: bool) -> None:
+        def on_written(written: bool) -> None:
             if written:
                 self.log(
-                    "trunks.kept", level="debug", run=self.run, start_s=first_start_s, records=len(points)
+                    "trunks.kept", level="debug", run=self.run_id, start_s=first_start_s, records=len(points)
                 )
 
-        self.writer.put(Batch(points=points, done=done))
+        self.writer.put(Batch(points=points, done=on_written))
 
-    def report_gap(self, begun_ms: float, ended_ms: float) -> None:
-        """Report a period that was not measured and stays a gap in the records."""
+    def report_gap(self, start_ms: float, end_ms: float) -> None:
+        """Log a period in which traffic was not measured, and for which there are no records."""
         self.metrics.add("trunks.gaps")
-        self.log("trunks.gap", level="warning", seconds=(ended_ms - begun_ms) / 1000.0)
+        self.log("trunks.gap", level="warning", seconds=(end_ms - start_ms) / 1000.0)
 
     def _end_interval(self, traffic: Traffic) -> None:
         traffic.finish_intervals(self.deadlines.clock.now_ms())
@@ -90,7 +92,7 @@
         self.deadlines.call_at(now_ms + RETENTION_INTERVAL_MS, self._schedule_retention)
 
     def close(self) -> None:
-        """Write the current, incomplete interval and close the writer."""
+        """Queue the current, incomplete intervals and close the writer, which writes what is queued."""
         now_ms = self.deadlines.clock.now_ms()
         for traffic in self.traffics:
             traffic.close(now_ms)
