--- a/leadslip/net/connections.py
+++ b/leadslip/net/connections.py
@@ -1,7 +1,7 @@
 """TCP connections: zero-copy message framing, limits on inbound connections, and detection of stalled peers.
 
-Twisted's own receivers copy the rest of the buffer for every message; these keep their classes and callbacks,
-but pass on memoryview slices and copy only the unfinished tail of a read.
+Twisted's own receivers copy the rest of the buffer for every message. The receivers here derive from them and keep
+their callbacks, but pass on memoryview slices and copy only the unfinished tail of a read.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 WRITE_STALL_TIMEOUT_MS = 2000.0  # for a peer to resume reading what was written to it
 OVERFLOW_TIMEOUT_MS = 500.0  # for a connection over the limit to send the request that is then refused
 READ_BYTES = 64 * 1024  # of one read, as in Twisted; also the limit for one connection in one reactor turn
-MAX_EXTRA_READS = 4  # reads that may follow the first before its requests are offered
+MAX_EXTRA_READS = 4  # further reads of a connection before the requests of its first read are offered
 
 
 def listen_shared(
@@ -56,13 +56,13 @@
 def stop_shared(port: tcp.Port) -> None:
     """Stops listening without losing queued connections: accepts all of them, then shuts the socket down.
 
-    Prevents resets of connections in the queue of a socket that closes while another process shares its
-    address: the shutdown follows the last accept at once, so that no connection can arrive in between.
+    The kernel resets the connections that are queued at a socket when it is closed, even if another process
+    listens at the address. The shutdown directly follows the last accept, so that hardly any can arrive in between.
     """
     port.stopReading()
     port.numberAccepts = 1 << 16
     port.doRead()
-    with contextlib.suppress(OSError):  # not listening any more
+    with contextlib.suppress(OSError):  # the socket has stopped listening already
         port.socket.shutdown(socket.SHUT_RDWR)
     port.stopListening()
 
@@ -73,13 +73,13 @@
 
 @implementer(interfaces.IPushProducer)
 class Connection:
-    """Base of all connections: closes only itself on a malformed message, and detects a peer that stops reading."""
+    """Base class of all connections: is closed on a malformed message, and detects a peer that stops reading."""
 
     metrics: Metrics
     peer_kind = "peer"
     now_ms: Callable[[], float]
-    stalled_since_ms = 0.0  # since when the peer has not read what was written to it; 0: not stalled
-    partial_since_ms = 0.0  # since when a message has been unfinished, however much of it arrives; 0: none
+    stalled_since_ms = 0.0  # since when the peer has not read the data in the write buffer; 0: not stalled
+    partial_since_ms = 0.0  # when the current incomplete message began to arrive; 0: none
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -96,7 +96,10 @@
         """The transport is closing; connectionLost follows."""
 
     def retain_tail(self, tail: bytes, starts_message: bool) -> bytes:
-        """Records since when a message is unfinished; `starts_message`: its first bytes came in this read."""
+        """Returns the incomplete message at the end of a read, and records since when it has been incomplete.
+
+        `starts_message`: its first bytes arrived in this read, after a complete message.
+        """
         if not tail:
             self.partial_since_ms = 0.0
         elif starts_message or not self.partial_since_ms:
@@ -113,12 +116,12 @@
         return True
 
     def flush(self) -> None:
-        """Passes the write buffer to the kernel now instead of in the reactor's next turn."""
+        """Passes the write buffer to the kernel now, not only in the reactor's next turn."""
         if not self.transport.disconnecting:
-            self.transport.doWrite()  # an error occurs again in that turn, and is handled there
+            self.transport.doWrite()  # an error is ignored here: it recurs in the reactor's next turn, which handles it
 
     def blocked(self) -> bool:
-        """Returns whether the kernel took less than all at the last flush: new data would wait in the buffer."""
+        """Returns whether the kernel has not accepted all data written, so that more would wait behind the rest."""
         return bool(self.stalled_since_ms or self.transport.dataBuffer)
 
     def malformed(self, failure: MessageError) -> None:
@@ -126,7 +129,7 @@
         self.transport.abortConnection()
 
     def read_available(self, max_bytes: int = READ_BYTES) -> bytes | None:
-        """Reads what waits in the socket; empty at the end of the connection, None when nothing waits."""
+        """Reads data that has arrived in the socket; returns b"" at the end of the connection, None without data."""
         try:
             return self.transport.getHandle().recv(max_bytes)
         except BlockingIOError:
@@ -154,11 +157,11 @@
         self.inbound.connection_closed(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Processes a read and, if it contained requests, what has already followed it; then offers the requests.
+        """Processes a read and, if it contained requests, also data that has arrived since; then offers the requests.
 
-        Prevents servers from working on requests that are already withdrawn or whose caller has left: the message
-        that says so may follow directly. The total is limited to the size of one read, so that a flood does not
-        delay all other connections.
+        Prevents servers from working on requests that are already cancelled or whose caller has disconnected: the
+        cancellation or the end of the connection may directly follow the request. The total is limited to the size
+        of one read, so that a flood does not delay all other connections.
         """
         self.processing_read = True
         left = READ_BYTES - len(data)
@@ -180,14 +183,14 @@
             self.processing_read = False
 
     def has_new_requests(self) -> bool:
-        """Returns whether requests have been read that are not offered yet."""
+        """Returns whether requests have been read that are not yet offered to the engine."""
         return False
 
     def read_finished(self) -> None:
         """Called when all available data has been processed."""
 
     def read_pending(self) -> None:
-        """Processes data that waits in the socket: the peer may have sent a message, or closed."""
+        """Processes data that has arrived in the socket; closes the connection if its peer has closed it."""
         if self.processing_read or self not in self.inbound.open or self.transport.disconnecting:
             return
         data = self.read_available()
@@ -208,16 +211,16 @@
         raise NotImplementedError
 
     def on_closed(self) -> None:
-        """Called when the connection has closed or is being closed: its pending answers are dropped."""
+        """Called once when the connection has closed or starts to close, to drop its pending answers."""
         raise NotImplementedError
 
 
 class InboundConnections:
-    """The inbound connections of one listener: limits their number, their silence and partial messages.
+    """The inbound connections of one listener: limits their number, and the time without a complete message.
 
-    Prevents peers that send nothing, stay after one request or never finish a message from using up descriptors
-    and memory; at the limit these are closed first, so that active peers are let in. When an answer is pending
-    on every connection, up to `overflow` more are accepted over the limit, to be refused and closed.
+    Prevents peers that send nothing, stay connected after one request or never finish a message from using up
+    descriptors and memory; at the limit these are closed first, so that active peers can connect. When an answer is
+    pending on every connection, up to `overflow` more are accepted: their requests are refused, and they are closed.
     """
 
     def __init__(
@@ -230,26 +233,30 @@
             deadlines,
             overflow,
         )
-        self.open: OrderedDict[InboundConnection, None] = OrderedDict()  # least recently received from first
+        self.open: OrderedDict[InboundConnection, None] = OrderedDict()  # least recently active first
         self.no_message_yet: OrderedDict[InboundConnection, None] = OrderedDict()  # oldest first
-        self.closing: dict[InboundConnection, float] = {}  # with unsent data -> when closing began
+        self.closing: dict[InboundConnection, float] = {}  # with data left to send -> when closing began
         self.check_connections()
 
     def has_capacity(self) -> bool:
-        """Returns whether one more may be accepted; may close the least needed connection to make room."""
+        """Returns whether one more connection may be accepted; at the limit, first closes one that awaits no answer."""
         if len(self.open) < self.max_connections:
             return True
         candidate = self._eviction_candidate()
         self.metrics.add(f"{self.peer_kind}.over_limit")
         if candidate is not None and not candidate.last_received_ms:
-            # Frees its descriptor at once. Prevents running out of them when hundreds connect in one turn.
+            # Frees the descriptor now rather than in the reactor's next turn. Prevents running out of descriptors
+            # when hundreds of clients connect in one turn.
             candidate.transport.connectionLost(Failure(error.ConnectionAborted()))
         elif candidate is not None:
             self.close(candidate)
         return len(self.open) + len(self.closing) < self.max_connections + self.overflow
 
     def _eviction_candidate(self) -> InboundConnection | None:
-        """Returns one without any message, else the least recent idle one, else one with a partial message."""
+        """Returns the connection to close at the limit, or None if an answer is pending on each.
+
+        Prefers one that has sent no message, then the one idle for longest, then one with a partial message.
+        """
         unfinished = None
         for connections in (self.no_message_yet, self.open):
             for connection in list(connections):
@@ -262,9 +269,9 @@
         return unfinished
 
     def _is_still_idle(self, connection: InboundConnection) -> bool:
-        """Returns whether a connection is still idle after the data in its socket has been processed.
+        """Processes data in the socket of an idle connection; returns whether it is open and idle even then.
 
-        Prevents closing a connection with an unread message in its socket, whose sender is due an answer.
+        Prevents closing a connection with an unread message in its socket, whose sender awaits an answer.
         """
         last_received_ms = connection.last_received_ms
         connection.read_pending()
@@ -275,14 +282,14 @@
         )
 
     def close(self, connection: InboundConnection) -> None:
-        """Closes a connection once its write buffer is sent; it counts as closed from now on."""
+        """Closes a connection once its write buffer is sent; from now on it does not count as open."""
         connection.transport.loseConnection()
         if connection in self.open:
             self.closing[connection] = self.deadlines.clock.now_ms()
         self.remove(connection)
 
     def remove(self, connection: InboundConnection) -> None:
-        """Removes a closed connection, and notifies it once."""
+        """Removes a connection from the open ones; calls its `on_closed` once."""
         self.no_message_yet.pop(connection, None)
         if connection in self.open:
             del self.open[connection]
@@ -294,11 +301,11 @@
         self.remove(connection)
 
     def check_connections(self, _: object = None) -> None:
-        """Closes connections that are silent or idle for too long, or do not finish a message."""
+        """Closes connections that are silent or idle for too long, or that never finish a message."""
         now_ms = self.deadlines.clock.now_ms()
         for connection, since_ms in list(self.closing.items()):
             if now_ms - since_ms > WRITE_STALL_TIMEOUT_MS:
-                connection.transport.abortConnection()  # the peer does not read its answer
+                connection.transport.abortConnection()  # the peer does not read what was sent to it
         for connection in list(self.open):
             if not connection.last_received_ms and now_ms - connection.opened_ms > (
                 OVERFLOW_TIMEOUT_MS if connection.overflow else FIRST_MESSAGE_TIMEOUT_MS
@@ -323,7 +330,7 @@
 
 
 class TextMessageReceiver(Connection, LineReceiver):
-    """Text messages: a header block that ends with an empty line, and a body of the length it declares."""
+    """Receives text messages: a header block that ends with an empty line, and a body of the length it declares."""
 
     delimiter = b"\r\n\r\n"
     MAX_LENGTH = MAX_MESSAGE_BYTES
@@ -364,10 +371,10 @@
 
 
 class LengthPrefixedReceiver(Connection, Int16StringReceiver):
-    """Binary messages with a length prefix of two bytes."""
+    """Receives binary messages with a length prefix of two bytes, which doesn't count itself."""
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
-    _unprocessed = b""
+    _unprocessed = b""  # the start of an incomplete message
 
     def dataReceived(self, data: bytes) -> None:
         if self._unprocessed:
--- a/leadslip/net/ops.py
+++ b/leadslip/net/ops.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP endpoint: HTTP/1.1 by twisted.web's own server, one request per connection.
+"""The HTTP server at the operators' address: HTTP/1.1 by twisted.web's own server, one request per connection.
 
 | request | response |
 | --- | --- |
@@ -10,10 +10,10 @@
 Enabled parts add endpoints of their own.
 
 An unknown path is answered with 404, an unsupported method with 405 (and `Allow`), a request that does not parse with
-400 (by Twisted), a body longer than its endpoint accepts with 413 before it is read. All but Twisted's response carry
-a JSON problem (RFC 9457) that says what to do. This module reaches the signalling side only through the callbacks it
-is given. A client that does not finish its request within `REQUEST_TIMEOUT_MS` is disconnected; as nothing waits for
-a client, a stalled one delays no other.
+400 (by Twisted), a body longer than the largest that any endpoint accepts with 413 before all of it is read. All but
+Twisted's response carry a JSON problem (RFC 9457) that says what to do. This module reaches the signalling side only
+through the handlers of the endpoints. A client that does not finish its request within `REQUEST_TIMEOUT_MS` is
+disconnected; reads and writes never block, so a stalled client delays no other.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from leadslip.metrics import Metrics
 from leadslip.operators import Answer, Endpoint, Endpoints, OperatorRequest, problem
 
-MAX_BODY = 1024  # bytes, for a request to an unknown path
+MIN_BODY_LIMIT = 1024  # bytes; the limit for bodies where no endpoint accepts a longer one
 REQUEST_TIMEOUT_MS = 2000.0  # from the connection to the end of the request
 
 
@@ -53,7 +53,7 @@
 
 
 class EndpointResource(resource.Resource):
-    """One endpoint: for each of its methods a callback that gives the answer, at once or later."""
+    """One endpoint: dispatches a request to the handler of its method, which answers at once or later."""
 
     isLeaf = True  # noqa: N815 (Twisted's name)
 
@@ -84,7 +84,7 @@
         except OperatorError as error:
             answer = problem(error)
         if answer is None:
-            # The request is complete; whoever answers it later bounds the time that this takes.
+            # The request has been received, so its time-out ends; the handler limits the time for the answer.
             request.channel.request_complete()
             return server.NOT_DONE_YET
         return finish(request, answer)
@@ -99,7 +99,7 @@
 
 
 class NotFoundResource(resource.Resource):
-    """Any path without an endpoint."""
+    """Answers requests to paths without an endpoint."""
 
     isLeaf = True  # noqa: N815 (Twisted's name)
 
@@ -115,7 +115,7 @@
 
 
 class OpsRequest(server.Request):
-    """A request, the only one of its connection; its body is bounded and held in memory, never in a file."""
+    """A request, the only one of its connection; its body is limited in size and kept in memory, never in a file."""
 
     refused = lost = False
 
@@ -134,13 +134,13 @@
         self.received_bytes += len(data)
         if self.refused:
             return
-        if self.received_bytes > self.max_body:  # a chunked body, which announces no length
+        if self.received_bytes > self.max_body:  # in a chunked body, whose length is not known in advance
             self.refuse()
             return
         self.content.write(data)
 
     def refuse(self) -> None:
-        """Sends 413 and closes the connection before the body is read."""
+        """Sends 413 and closes the connection without reading the rest of the body."""
         self.refused = True
         self.channel.site.metrics.add("ops.too_large")
         answer = problem(TooLargeError(f"the body is longer than {self.max_body} bytes"))
@@ -176,7 +176,7 @@
         super().connectionLost(reason)
 
     def request_complete(self) -> None:
-        """Ends the time-out: the request is complete, and its answer may take longer."""
+        """Cancels the time-out for receiving the request, as the answer may take longer."""
         self.site.deadlines.cancel(self.request_timeout)
 
     def timed_out(self, _: object = None) -> None:
@@ -186,7 +186,7 @@
 
 
 class Site(server.Site):
-    """The operators' site: the given endpoints below /control; writes no access log."""
+    """The site at the operators' address: serves the given endpoints below /control."""
 
     protocol = OpsChannel
     requestFactory = OpsRequest  # noqa: N815 (Twisted's name)
@@ -197,7 +197,7 @@
             control.putChild(name, EndpointResource(endpoint))
         root = PathSegment()
         root.putChild(b"control", control)
-        self.max_body = max([MAX_BODY, *(endpoint.max_body for endpoint in endpoints.values())])
+        self.max_body = max([MIN_BODY_LIMIT, *(endpoint.max_body for endpoint in endpoints.values())])
         super().__init__(root, timeout=None)  # REQUEST_TIMEOUT_MS applies instead
         self.deadlines, self.metrics = deadlines, metrics
         self.noisy = False
