--- a/leadslip/net/servers.py
+++ b/leadslip/net/servers.py
@@ -18,7 +18,7 @@
 SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, STATE, TEST, TEST_RESULT = 1, 6, 9, 12, 16, 43, 52, 53
 # Parameter codes.
 CLASS, WAIT, NUMBER, NOTE, REPORT, CAUSE, DESCRIPTION = 33, 35, 41, 47, 51, 61, 63
-OUTCOME_OF_CAUSE = {  # for a release that arrives before the answer
+OUTCOME_OF_CAUSE = {  # Q.850 cause of a release that arrives before the answer -> outcome of the set-up
     34: interface.Outcome.FULL,
     17: interface.Outcome.ERROR,
     47: interface.Outcome.ERROR,
@@ -34,34 +34,35 @@
     b"far_overload": interface.Cause.BOUNCED,
 }
 HEADER = struct.Struct("!HB8s")  # length, type, call
-NO_CALL = bytes(8)
+NO_CALL = bytes(8)  # the call id in messages that are not about a call
 PARAMETER = struct.Struct("!BH")  # code, length
 CAUSE_NORMAL, TEMPORARY_FAILURE = 16, 41
-RECENTLY_ENDED_MS = 30_000.0  # a server may repeat the end of a call for this long
+RECENTLY_ENDED_MS = 30_000.0  # a server may repeat the release of an ended call for this long
 PARTIAL_MESSAGE_TIMEOUT_MS = 300.0  # a complete message takes a few ms to arrive
-MAX_CONNECTIONS = 4  # per server; a server reports its state on at most this many
+MAX_CONNECTIONS = 4  # per server, as a server sends its state reports on at most this many connections
 OVERTAKEN_MARGIN_MS = 50.0  # a set-up is overtaken once one sent this much later has been answered
 MISSED_STATE_MS = 300.0  # a connection that missed a state report for this long may be dead
-UNANSWERED_SET_UP_MS = 400.0  # a silent connection with a set-up this old is suspect
-SILENCE_TIMEOUT_MS = 1500.0  # a server with calls that sends nothing for this long is suspect
+UNANSWERED_SET_UP_MS = 400.0  # a server silent for this long with a set-up this old may have failed
+SILENCE_TIMEOUT_MS = 1500.0  # a server with calls that sends nothing for this long may have failed
 UNREACHABLE_AFTER_MS = 2000.0  # a server silent for this long that accepts no connection is unreachable
-CALLS_LOST_AFTER_MS = 6500.0  # then its calls count as lost: callers must learn of the end within 8 s
-FIRST_MESSAGE_WAIT_MS = 200.0  # a new connection without a first message is used after this time
-TEST_AFTER_SILENCE_MS = 550.0  # a connection silent for this long while calls exist is tested
+# A server that is unreachable and silent for this long has lost its calls: callers must learn of it within 8 s.
+CALLS_LOST_AFTER_MS = 6500.0
+FIRST_MESSAGE_WAIT_MS = 200.0  # a new connection is used after this time even without a first message
+TEST_AFTER_SILENCE_MS = 550.0  # a connection silent for this long is tested while its server has calls
 TEST_TIMEOUT_MS = 90.0  # a test is answered at once; without an answer in this time the connection has failed
-IN_FLIGHT_MS = 100.0  # a server may still write on a connection for this long after the proxy abandoned it
+IN_FLIGHT_MS = 100.0  # a server may write on a connection for this long after the proxy has lost it
 CLOSE_TIMEOUT_MS = 300.0  # time for a server to close its side of a half-closed connection
 MAX_CONSECUTIVE_RESETS = 3  # new connections reset in a row before queued set-ups go elsewhere
 CHECK_INTERVAL_MS = 100.0
 
 
-def parameters(view: memoryview, offset: int) -> dict[int, memoryview]:
-    """Returns the parameters of a message as slices by code; the first of a repeated code wins."""
+def parse_parameters(view: memoryview, offset: int) -> dict[int, memoryview]:
+    """Returns the parameters of a message as slices, by code; of parameters with the same code, the first counts."""
     found: dict[int, memoryview] = {}
     size = len(view)
     while offset < size:
         if size - offset < 3:
-            raise MessageError("parameter header is shorter than 3 bytes")
+            raise MessageError(f"parameter header truncated: got {size - offset} of 3 bytes")
         code, length = PARAMETER.unpack_from(view, offset)
         offset += 3 + length
         if offset > size:
@@ -85,9 +86,10 @@
         self.server, self.metrics, self.now_ms = server, server.upstream.metrics, server.upstream.now_ms
         self.opened_ms = self.last_received_ms = self.now_ms()
         self.set_ups: dict[bytes, Attempt] = {}  # in progress on this connection, oldest first
-        self.missed_end_ms = 0.0  # since when another connection has brought an end due here
-        self.test_sent_ms = 0.0  # when the unanswered test was sent; 0: none
-        self.closing_since_ms = 0.0  # since when it is half-closed, and only read from
+        # When a release due on this connection arrived on another, while this one stayed silent; 0: never.
+        self.missed_end_ms = 0.0
+        self.test_sent_ms = 0.0  # when a test was sent that is not answered yet; 0: none
+        self.closing_since_ms = 0.0  # since when it is half-closed, that is, only read; 0: it is not
 
     def connectionMade(self) -> None:
         super().connectionMade()
@@ -98,7 +100,7 @@
         self.server.lost(self, all_read=bool(self.closing_since_ms) and done)
 
     def close_write(self) -> None:
-        """Half-closes the connection; reads on, so that messages in flight are not lost."""
+        """Half-closes the connection, which is still read, so that messages in flight are not lost."""
         self.closing_since_ms = self.now_ms()
         self.transport.loseWriteConnection()
 
@@ -118,15 +120,15 @@
         return bool(self.test_sent_ms) and now_ms - self.test_sent_ms > TEST_TIMEOUT_MS
 
     def is_dead(self, now_ms: float) -> bool:
-        """Returns whether a test has timed out while the server has sent on another connection.
+        """Returns whether a test has timed out while the server has sent messages on another connection.
 
-        Prevents closing all connections of a server that hangs: when it resumes, it writes the ends that have
-        built up on connections that it does not yet know to be closed.
+        Prevents closing all connections of a server that hangs: when it resumes, it writes the releases that have
+        built up, and would write them on connections of which it has not yet read that they are closed.
         """
         return self.test_failed(now_ms) and self.server.last_received_ms > self.test_sent_ms
 
     def abort(self) -> None:
-        """Closes at once and reports the loss at once, so that nothing more is sent here."""
+        """Closes the connection and reports its loss without waiting for the reactor, so that nothing more is sent."""
         self.transport.abortConnection()
         self.server.lost(self)
 
@@ -134,7 +136,7 @@
         if len(view) < 9:
             raise MessageError(f"message too short: got {len(view)} of at least 9 bytes")
         message_type, call = view[0], bytes(view[1:9])
-        fields = parameters(view, 9)
+        fields = parse_parameters(view, 9)
         load = self.server.upstream.parse_load(fields.get(REPORT))
         # Only a complete, readable message counts as received: garbage must not look like a live connection.
         self.last_received_ms = self.now_ms()
@@ -144,12 +146,12 @@
         self.server.message_received(self)
         if message_type == ANSWER:
             if DESCRIPTION not in fields:
-                raise MessageError("answer has no description")
+                raise MessageError(f"answer has no parameter {DESCRIPTION} (description)")
             self.server.answered(call, fields[DESCRIPTION])
         elif message_type == RELEASE:
             cause = fields.get(CAUSE)
             if cause is None or len(cause) != 1 or cause[0] not in (CAUSE_NORMAL, *OUTCOME_OF_CAUSE):
-                raise MessageError("release cause is missing or unknown")
+                raise MessageError(f"release has no parameter {CAUSE} (cause), or an unknown cause")
             note = CAUSE_OF_NOTE.get(bytes(fields.get(NOTE, b"")), interface.Cause.NONE)
             self.server.released(self, call, cause[0], note, load)
         elif message_type == STATE and load is not None:
@@ -158,7 +160,7 @@
         elif message_type == TEST:
             self.send(encode_message(TEST_RESULT, call, (CAUSE, b"\x01")))
         elif message_type not in IGNORED_TYPES:
-            # An unknown type is a corrupt message: whatever follows on the connection is unreadable too.
+            # Taken for a corrupt message, so that message boundaries on this connection are no longer certain.
             raise MessageError(f"unknown message type {message_type}")
 
 
@@ -181,26 +183,39 @@
 
 
 class Server:
-    """One setup server, identified by its uid: successive servers at one address are distinct."""
+    """One setup server process, identified by its uid: successive processes at one address are distinct."""
 
     def __init__(
-        self, upstream: Servers, uid: str, address: Address, state: interface.ServerState, since: float
+        self,
+        upstream: Servers,
+        uid: str,
+        address: Address,
+        state: interface.ServerState,
+        online_since_ms: float,
     ) -> None:
-        self.upstream, self.uid, self.address, self.state, self.since = upstream, uid, address, state, since
+        self.upstream, self.uid, self.address, self.state, self.online_since_ms = (
+            upstream,
+            uid,
+            address,
+            state,
+            online_since_ms,
+        )
         self.active: list[ServerConnection] = []  # used for set-ups, oldest first
         self.pending: ServerConnection | None = None  # open, but no message received yet
         self.connecting = False
         self.connect_started_ms = 0.0
-        self.latest_answered_ms = 0.0  # when the latest set-up that was answered was sent
-        self.state_ms = 0.0  # when the last unsolicited state report was received
-        self.resets = 0  # consecutive new connections lost before their first message
+        self.latest_answered_sent_ms = 0.0  # when the latest of the answered set-ups was sent
+        self.last_state_report_ms = 0.0  # when the last report came that every connection should receive
+        self.consecutive_resets = 0  # successive new connections lost before their first message
         self.last_received_ms = upstream.now_ms()
         self.queued: dict[bytes, Attempt] = {}  # set-ups waiting for a connection
         self.calls: dict[bytes, Attempt] = {}  # set-ups in progress and established calls
         self.connection_of: dict[bytes, ServerConnection] = {}  # call -> its set-up's connection, open or not
         self.half_closed: list[ServerConnection] = []
-        self.replacement_due_ms = 0.0  # a connection opened from then on brings the ends missed; 0: none due
-        self.unsent_releases: list[bytes] = []  # wait for a connection
+        # The server repeats releases that were lost with a connection on the next one opened, if that is opened at
+        # this time or later; 0: none were lost.
+        self.replacement_due_ms = 0.0
+        self.unsent_releases: list[bytes] = []  # encoded releases that wait for a connection
         self.unreachable = False  # the last connect failed, and no connection has come up since
         self.connection_factory = ServerConnectionFactory(self)
 
@@ -220,7 +235,7 @@
             and not self.is_connecting()
             and self.upstream.has_capacity()
         ):
-            # One corrupt message ends all set-ups in progress on its connection, so they are spread over several.
+            # A corrupt message ends all set-ups in progress on its connection, so they are spread over several.
             self.connect()
         return self._set_up(connection, call, attempt)
 
@@ -234,7 +249,7 @@
     ) -> interface.Outcome | None:
         request, upstream = attempt.request, self.upstream
         if connection.blocked():
-            # An unreachable machine reads nothing: set-ups must not pile up in the write buffer.
+            # Prevents set-ups to an unreachable machine, which reads nothing, from piling up in the write buffer.
             return interface.Outcome.NO_CONNECTION
         if not upstream.engine.may_send(attempt):
             return interface.Outcome.NOT_SENT if attempt.active else None
@@ -257,14 +272,14 @@
         return None
 
     def end(self, attempt: Attempt) -> None:
-        """Cancels a set-up or releases an established call, with cause 16 (normal) in both cases."""
+        """Cancels a set-up or releases an established call: sends a release with cause 16 (normal) in both cases."""
         call = bytes.fromhex(attempt.request.id)
         if self.queued.pop(call, None) is None:
             connection = self.connection_of.get(call)
             in_progress = connection is not None and call in connection.set_ups
             if self._remove(call) is not None:
                 if in_progress and connection.blocked():
-                    # Prevents a cancelled set-up still in the write buffer from being sent, its release after it.
+                    # Prevents a cancelled set-up that is still in the write buffer from being sent.
                     connection.abort()
                 else:
                     self.send_release(call, connection if in_progress else self._least_used())
@@ -303,13 +318,13 @@
         )
 
     def connected(self, connection: ServerConnection) -> None:
-        """A connection has opened; it is used for set-ups after its first message, which servers send at once.
+        """Keeps a connection that has opened as pending until its first message, which servers send at once.
 
-        Prevents set-ups from being lost and delayed on a connection that is reset right after it opened.
+        Prevents set-ups from being lost or delayed on a connection that is reset right after it opened.
         """
         self.connecting = False
         if self.state is interface.ServerState.GONE:
-            # Another server may listen there by now, which has none of these calls.
+            # Another server, without the calls of this one, may listen at the address by now.
             connection.transport.abortConnection()
             self.drop_calls()
         else:
@@ -318,16 +333,16 @@
     def message_received(self, connection: ServerConnection) -> None:
         self.last_received_ms = connection.last_received_ms
         if connection is self.pending:
-            self.resets = 0
+            self.consecutive_resets = 0
             self._activate(connection)
 
     def state_received(self, connection: ServerConnection) -> None:
-        # The first report on a new connection is sent there alone, so it does not count.
+        # The first report on a new connection is sent on that connection alone: no other can have missed it.
         if connection.last_received_ms > connection.opened_ms + MISSED_STATE_MS:
-            self.state_ms = connection.last_received_ms
+            self.last_state_report_ms = connection.last_received_ms
 
     def _activate(self, connection: ServerConnection) -> None:
-        """Uses a connection for set-ups; older ones may still deliver the results of theirs."""
+        """Makes a pending connection active; older ones still deliver the results of their set-ups."""
         self.pending, self.unreachable = None, False
         now_ms = self.upstream.now_ms()
         for surplus in self._surplus(now_ms):
@@ -340,12 +355,12 @@
         releases, self.unsent_releases = self.unsent_releases, []
         for release in releases:
             connection.send(release)
-        # One at a time: the result of one set-up may end others in the queue, which must not be sent.
+        # Taken from the queue one at a time: sending one set-up may end others in the queue, which must not be sent.
         while self.queued and connection in self.active:
             call, attempt = next(iter(self.queued.items()))
             del self.queued[call]
             if not self.upstream.engine.accepts_set_ups(self.uid):
-                # the server began to drain while the connection opened
+                # The server began to drain while the connection was being opened.
                 outcome = interface.Outcome.NO_CONNECTION
             else:
                 outcome = self._set_up(connection, call, attempt)
@@ -356,8 +371,8 @@
     def _surplus(self, now_ms: float) -> list[ServerConnection]:
         """Returns the connections to close when another has opened: dead ones, and those over the maximum.
 
-        Prevents the loss of a call's end: a server writes it only on the connection of the set-up, so a working
-        connection is closed only once it carries no established call. The ends of calls whose connection was
+        Prevents the loss of a call's release: a server writes it only on the connection of the set-up, so a working
+        connection is closed only once it carries no established call. The releases of calls whose connection was
         lost may arrive on any connection: while there are such calls, twice the maximum may stay open.
         """
         dead = [
@@ -376,50 +391,56 @@
         self.unreachable = True
         self.upstream.metrics.add("servers.refused" if refused else "servers.unreachable")
         self._fail_queued()
-        quiet_ms = self.upstream.now_ms() - self.last_received_ms
-        if quiet_ms > CALLS_LOST_AFTER_MS or (
-            refused and (quiet_ms > UNREACHABLE_AFTER_MS or not self.active)
+        silent_ms = self.upstream.now_ms() - self.last_received_ms
+        if silent_ms > CALLS_LOST_AFTER_MS or (
+            refused and (silent_ms > UNREACHABLE_AFTER_MS or not self.active)
         ):
-            # The process has exited and dropped its calls, or its machine is gone: no connection will report it.
+            # The process has exited and lost its calls, or its machine has failed: it will not report their ends.
             self.drop_calls()
-        elif quiet_ms > UNREACHABLE_AFTER_MS:
-            # Only the connections: prevents releasing established calls when the machine is cut off for seconds.
+        elif silent_ms > UNREACHABLE_AFTER_MS:
+            # Closes only the connections: established calls survive some seconds without a network path.
             for connection in list(self.active):
                 connection.abort()
         self.upstream.remove_if_unused(self)
 
     def no_local_socket(self) -> None:
-        """No local socket was available: this says nothing about the server, but queued set-ups go elsewhere."""
+        """Handles a connect that failed for lack of a local socket: queued set-ups go to other servers.
+
+        The server is not marked as unreachable, as the failure says nothing about it.
+        """
         self.connecting = False
         self.upstream.metrics.add("servers.no_socket")
         self._fail_queued()
         self.upstream.remove_if_unused(self)
 
     def _fail_queued(self) -> None:
-        """Ends the queued set-ups without a connection, so that they are sent elsewhere."""
+        """Ends the queued set-ups with NO_CONNECTION, so that they may be sent to other servers."""
         queued, self.queued = self.queued, {}
         for attempt in queued.values():
             self.upstream.engine.on_attempt_ended(attempt, interface.Outcome.NO_CONNECTION)
 
     def lost(self, connection: ServerConnection, all_read: bool = False) -> None:
-        """A connection was lost: its set-ups in progress may have run; established calls may go on."""
+        """Handles the loss of a connection: set-ups in progress, which may have been processed, end; calls go on.
+
+        `all_read`: the server closed a half-closed connection in order, so that no message on it was lost.
+        """
         still_open = [other for other in self.open_connections() if other is not connection]
         orphaned = any(
-            carrier not in still_open
-            for call, carrier in self.connection_of.items()
+            set_up_connection not in still_open
+            for call, set_up_connection in self.connection_of.items()
             if call not in connection.set_ups
         )
         if orphaned and (connection in self.active or (connection in self.half_closed and not all_read)):
-            # Ends lost with it are repeated on the next connection opened. One already being opened does not do:
-            # the server may have accepted it first, and written an end on the lost connection after that.
+            # The server repeats releases lost with the connection on the next one opened. One that is being opened
+            # already is not enough: the server may have accepted it before it wrote a release on the lost one.
             self.replacement_due_ms = self.upstream.now_ms() + IN_FLIGHT_MS
         if connection in self.half_closed:
             self.half_closed.remove(connection)
         if connection is self.pending:
             self.pending = None
-            self.resets += 1
-            if self.resets >= MAX_CONSECUTIVE_RESETS:
-                self.resets = 0
+            self.consecutive_resets += 1
+            if self.consecutive_resets >= MAX_CONSECUTIVE_RESETS:
+                self.consecutive_resets = 0
                 self._fail_queued()
             else:
                 self.connect()
@@ -450,7 +471,7 @@
                 self.upstream.engine.on_attempt_ended(attempt, interface.Outcome.CUT)
 
     def _drop_orphaned_calls(self) -> None:
-        """Ends the calls whose connection is lost when no newer connection could report their end."""
+        """Ends as CUT the calls whose connection is lost: no replacement could be opened to receive their releases."""
         self.replacement_due_ms = 0.0
         still_open = self.open_connections()
         for call, connection in list(self.connection_of.items()):
@@ -465,13 +486,13 @@
         return self.connecting or self.pending is not None
 
     def _overtaken(self, attempt: Attempt) -> bool:
-        """Returns whether a set-up sent later has already been answered."""
-        return attempt.sent_ms + OVERTAKEN_MARGIN_MS < self.latest_answered_ms
+        """Returns whether another set-up, sent later, has already been answered."""
+        return attempt.sent_ms + OVERTAKEN_MARGIN_MS < self.latest_answered_sent_ms
 
     def test_passed(self, connection: ServerConnection) -> None:
-        """A suspect connection works, so its overtaken set-ups are late for another reason.
+        """Cancels the overtaken set-ups of a connection that passed its test, so that they may be retried.
 
-        They are cancelled, so that they may be retried; the connection stays, as it still delivers everything else.
+        Their answers are late for a reason other than the connection, which stays open.
         """
         for attempt in list(connection.set_ups.values()):
             if self._overtaken(attempt):
@@ -480,15 +501,17 @@
                 self.upstream.engine.on_attempt_ended(attempt, interface.Outcome.CUT)
 
     def _is_suspect(self, connection: ServerConnection, now_ms: float) -> bool:
-        """Returns whether a connection is silent while others to the same server are not."""
+        """Returns whether a connection has received nothing while others to the same server have received messages."""
         oldest = next(iter(connection.set_ups.values()), None)
         overtaken = (
             oldest is not None
             and self._overtaken(oldest)
-            and connection.last_received_ms + OVERTAKEN_MARGIN_MS < self.latest_answered_ms
+            and connection.last_received_ms + OVERTAKEN_MARGIN_MS < self.latest_answered_sent_ms
         )
         missed_state = (
-            connection.last_received_ms + MISSED_STATE_MS < self.state_ms < now_ms - MISSED_STATE_MS
+            connection.last_received_ms + MISSED_STATE_MS
+            < self.last_state_report_ms
+            < now_ms - MISSED_STATE_MS
         )
         missed_end = connection.last_received_ms < connection.missed_end_ms < now_ms - IN_FLIGHT_MS
         return (
@@ -500,10 +523,10 @@
     def check_connections(self, now_ms: float) -> None:
         """Closes dead connections, and opens a new one where the existing ones are suspect.
 
-        Prevents a connection that is open but dead, in silence or after a partial message, from letting its
-        set-ups time out and losing the ends of its calls. A late answer and an idle connection look the same,
-        and closing a working connection loses the ends in flight, so a suspect one is tested first. A server
-        that hangs looks the same too; there a new connection stays silent as well, and no call is dropped.
+        Prevents a connection that is open but dead (silent, or stuck in a partial message) from letting its
+        set-ups time out and losing the releases of its calls. A late answer and an idle connection look the same,
+        and closing a working connection loses the releases in flight, so a suspect one is tested first. A server
+        that hangs looks the same too: then a new connection stays silent as well, and no call is dropped.
         """
         for connection in self.open_connections():
             if (
@@ -526,7 +549,7 @@
             if now_ms - self.last_received_ms > UNREACHABLE_AFTER_MS:
                 self.drop_calls()
             elif self.replacement_due_ms and now_ms - self.replacement_due_ms > UNREACHABLE_AFTER_MS:
-                self._drop_orphaned_calls()  # no connection is opened to this server any more
+                self._drop_orphaned_calls()  # no replacement is opened to a server that has left the list
             self.upstream.remove_if_unused(self)
             return
         if self.replacement_due_ms and now_ms - self.replacement_due_ms > CALLS_LOST_AFTER_MS:
@@ -548,18 +571,20 @@
             if self.calls or self.unsent_releases:
                 self.connect()
             return
-        quiet_ms = now_ms - self.last_received_ms
-        sent = [
+        silent_ms = now_ms - self.last_received_ms
+        oldest_sent_ms = [
             next(iter(connection.set_ups.values())).sent_ms
             for connection in self.active
             if connection.set_ups
         ]
-        # A connection opened recently would already receive whatever another new one would.
+        # A recently opened connection already receives whatever a further one would.
         recently_opened = len(self.active) > 1 and now_ms - self.active[-1].opened_ms < SILENCE_TIMEOUT_MS
         unanswered = (
-            bool(sent) and not recently_opened and min(quiet_ms, now_ms - min(sent)) > UNANSWERED_SET_UP_MS
+            bool(oldest_sent_ms)
+            and not recently_opened
+            and min(silent_ms, now_ms - min(oldest_sent_ms)) > UNANSWERED_SET_UP_MS
         )
-        # Prevents the loss of ends on a dead connection while others to the server work: when a test fails, a new
+        # Prevents the loss of releases on a dead connection while others to the server work: when a test fails, a new
         # connection is opened, on which the server repeats them.
         newest_ms = self.active[-1].opened_ms
         silent = [
@@ -571,7 +596,7 @@
             connection.send_test()
         failed = sum(connection.test_failed(now_ms) for connection in silent)
         replace = failed and len(self.active) - failed < 2 * MAX_CONNECTIONS
-        if unanswered or (self.calls and quiet_ms > SILENCE_TIMEOUT_MS):
+        if unanswered or (self.calls and silent_ms > SILENCE_TIMEOUT_MS):
             self.upstream.metrics.add("servers.silent")
             self.connect()
         elif replace or self.replacement_due_ms:
@@ -584,7 +609,7 @@
         attempt = self.calls.get(call)
         if attempt is not None:
             if self.connection_of[call].set_ups.pop(call, None) is not None:
-                self.latest_answered_ms = max(self.latest_answered_ms, attempt.sent_ms)
+                self.latest_answered_sent_ms = max(self.latest_answered_sent_ms, attempt.sent_ms)
             self.upstream.engine.on_established(attempt, description)
 
     def released(
@@ -601,7 +626,8 @@
             and expected is not connection
             and expected.missed_end_ms <= expected.last_received_ms
         ):
-            expected.missed_end_ms = connection.last_received_ms  # the release was due on that connection
+            # A server sends a release on the connection of the set-up, unless that connection is lost.
+            expected.missed_end_ms = connection.last_received_ms
         attempt = self._remove(call)
         if attempt is None:
             if call not in self.upstream.recently_ended and cause in (CAUSE_NORMAL, TEMPORARY_FAILURE):
@@ -610,16 +636,16 @@
             outcome = interface.Outcome.SERVED if cause == CAUSE_NORMAL else interface.Outcome.CUT
             self.upstream.engine.on_attempt_ended(attempt, outcome, load=load)
         elif cause == CAUSE_NORMAL:
-            # it was established: its answer is late or lost
+            # Servers send this cause only for an established call, so the answer is late or lost.
             self.upstream.engine.on_ended_unanswered(attempt)
         else:
             self.upstream.engine.on_attempt_ended(attempt, OUTCOME_OF_CAUSE[cause], note, load)
 
 
 class Servers:
-    """The upstream side of the engine: all setup servers that the server list has named."""
+    """The upstream side of the engine: all setup servers of the server list, and those that left it with calls."""
 
-    engine: Engine  # assigned after both are created
+    engine: Engine  # assigned after construction, as the engine needs this object first
 
     def __init__(
         self,
@@ -632,45 +658,46 @@
         max_connections: float = math.inf,
     ) -> None:
         self.reactor, self.metrics, self.now_ms = reactor, metrics, now_ms
-        self.max_connections = max_connections  # connections to all servers, limited by file descriptors
+        self.max_connections = max_connections  # to all servers together, as file descriptors are limited
         self.connect_timeout_s = connect_timeout_ms / 1000.0
         self.on_unknown_end, self.deadlines = on_unknown_end, deadlines
         self.servers: dict[str, Server] = {}
         self.recently_ended: dict[bytes, float] = {}  # call id -> time of its end, oldest first
 
     def apply_list_update(self, update: interface.ServerListUpdate, addresses: dict[str, Address]) -> None:
-        """Applies a server list update; call it before the engine's, so that the engine can send there."""
+        """Applies a server list update; called before that of the engine, which may then send to new servers."""
         if update.kind is not interface.UpdateKind.CHANGES:
             for uid in self.servers.keys() - addresses.keys():
-                self._gone(self.servers[uid])
+                self._mark_gone(self.servers[uid])
         for entry in update.entries:
             server = self.servers.get(entry.server)
             if server is not None and (
-                entry.online_since_ms > server.since or server.address != addresses[entry.server]
+                entry.online_since_ms > server.online_since_ms or server.address != addresses[entry.server]
             ):
-                self._gone(server)
-                server.drop_calls()  # same uid, but another process: the calls at the old one are lost
+                self._mark_gone(server)
+                server.drop_calls()  # the uid now names another process: the calls of the old one are lost
                 server = None
             if entry.state is interface.ServerState.GONE:
                 if server is not None:
-                    self._gone(server)
+                    self._mark_gone(server)
                 continue
             if server is None:
-                # Prevents missing the end of calls whose process has exited when another has taken its address:
-                # the open connections may lead to the new process, which does not know those calls.
-                for other in [
-                    known for known in self.servers.values() if known.address == addresses[entry.server]
+                # Prevents keeping the calls of a process that has exited once another has taken its address: open
+                # connections may lead to the new process, which never ends calls that it does not have.
+                for previous_server in [
+                    other for other in self.servers.values() if other.address == addresses[entry.server]
                 ]:
-                    self._gone(other)
-                    other.drop_calls()
-                    self.remove_if_unused(other)
+                    self._mark_gone(previous_server)
+                    previous_server.drop_calls()
+                    self.remove_if_unused(previous_server)
                 server = self.servers[entry.server] = Server(
                     self, entry.server, addresses[entry.server], entry.state, entry.online_since_ms
                 )
                 server.connect()
             server.state = entry.state
 
-    def _gone(self, server: Server) -> None:
+    def _mark_gone(self, server: Server) -> None:
+        """Marks a server as gone: its queued set-ups end, and without a connection its calls end as well."""
         server.state = interface.ServerState.GONE
         queued, server.queued = server.queued, {}
         for attempt in queued.values():
@@ -687,9 +714,9 @@
         self.deadlines.call_at(now_ms + CHECK_INTERVAL_MS, self.check_connections)
 
     def has_capacity(self) -> bool:
-        """Returns whether a file descriptor is available for an additional connection to a server.
+        """Returns whether an additional connection, beyond the one that each server needs, may be opened.
 
-        Prevents running out of descriptors with many servers: one is reserved for each that has no connection.
+        Prevents running out of file descriptors: one is reserved for each server without a connection.
         """
         used = sum(
             max(1, len(server.active) + len(server.half_closed)) + server.is_connecting()
@@ -698,7 +725,7 @@
         return used < self.max_connections
 
     def listed_count(self) -> int:
-        """Returns the number of servers on the list, without those reported gone."""
+        """Returns the number of servers on the server list."""
         return sum(server.state is not interface.ServerState.GONE for server in self.servers.values())
 
     def unreachable_count(self) -> int:
@@ -717,14 +744,14 @@
                 del self.servers[server.uid]
 
     def remember_ended(self, call: bytes) -> None:
-        """Records the id of an ended call, and expires the oldest records."""
+        """Records the id of an ended call, and deletes expired records."""
         now_ms = self.now_ms()
         self.recently_ended[call] = now_ms
         while now_ms - next(iter(self.recently_ended.values())) > RECENTLY_ENDED_MS:
             del self.recently_ended[next(iter(self.recently_ended))]
 
     def parse_load(self, report: memoryview | None) -> interface.Load | None:
-        """Parses a load report such as x0:12;x1:40; fields of unknown names are skipped."""
+        """Parses a load report such as x0:12;x1:40; unknown fields are skipped, and None is returned for None."""
         if report is None:
             return None
         try:
