--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Test doubles on loopback for the peers of the program (setup servers, notice board, resolvers), and its launcher."""
+"""Launches the proxy as a process; test doubles of its peers on loopback: servers, notice board, resolvers, callers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,14 @@
 from twisted.names import dns
 
 ROOT = Path(__file__).parent.parent
-HOST = f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"  # an address of this test run alone
-TEST_TIMEOUT_S = 20.0  # ends a test that hangs; no test measures time with it
+HOST = (
+    f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"  # differs between test processes that run at once
+)
+TEST_TIMEOUT_S = 20.0  # fails a test that hangs; no test depends on it otherwise
 
 
 def wait_for(condition: Callable[[], bool]) -> None:
-    """Waits for a condition; fails after TEST_TIMEOUT_S."""
+    """Polls a condition until it is true; fails after TEST_TIMEOUT_S."""
     deadline = time.monotonic() + TEST_TIMEOUT_S
     while not condition():
         assert time.monotonic() < deadline
@@ -31,7 +33,7 @@
 
 
 def settings(**changes: object) -> dict:
-    """Returns the settings of a proxy, in the format of its configuration file."""
+    """Returns the settings of a proxy, in the format of its configuration file; `changes` replace top-level keys."""
     service = {"gain": 1.0, "late_worth": 0.2, "aim_ms": 1500.0, "deadline_ms": 3000.0}
     defaults = {
         "balancers": 2,
@@ -61,7 +63,7 @@
 
 
 class Listener:
-    """Accepts TCP connections, and serves each in its own thread."""
+    """Accepts TCP connections, and calls `serve` for each in a thread of its own."""
 
     def __init__(self, port: int = 0, with_datagrams: bool = False) -> None:
         self.socket = socket.create_server((HOST, port))
@@ -83,22 +85,23 @@
     def _accept(self) -> None:
         while True:
             try:
-                link, _ = self.socket.accept()
+                connection, _ = self.socket.accept()
             except OSError:
                 return
-            link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.connections.append(link)
-            threading.Thread(target=self._serve, args=(link,), daemon=True).start()
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self.connections.append(connection)
+            threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
-    def _serve(self, link: socket.socket) -> None:
+    def _serve(self, connection: socket.socket) -> None:
         try:
-            self.serve(link)
+            self.serve(connection)
         except OSError:
             pass
         finally:
-            link.close()
+            connection.close()
 
-    def serve(self, link: socket.socket) -> None:
+    def serve(self, connection: socket.socket) -> None:
+        """Handles one connection, which is closed when this returns."""
         raise NotImplementedError
 
     def die(self) -> None:
@@ -107,26 +110,30 @@
             return
         self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
-        for link in self.connections:
+        for connection in self.connections:
             try:
-                link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                link.shutdown(socket.SHUT_RD)
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                connection.shutdown(socket.SHUT_RD)
             except OSError:
                 continue
-            link.close()
+            connection.close()
 
 
 class SetupServer(Listener):
-    """Answers set-ups by its behaviour: answer (and release), full, silent, hold (answer without a release)."""
+    """A setup server that answers set-ups by its behaviour, which may be changed at any time.
+
+    `answer`: establishes a call and releases it at once; `hold`: establishes it without releasing it; `full`: refuses
+    it; `silent`: does not answer. `received` has the type, call id and parameters of each message.
+    """
 
     def __init__(self, behaviour: str = "answer") -> None:
         self.behaviour = behaviour
         self.received: list[tuple[int, bytes, dict[int, bytes]]] = []
         super().__init__()
 
-    def serve(self, link: socket.socket) -> None:
-        file = link.makefile("rb")
-        link.sendall(binary(43, bytes(8), (51, self.report())))
+    def serve(self, connection: socket.socket) -> None:
+        file = connection.makefile("rb")
+        connection.sendall(binary(43, bytes(8), (51, self.report())))
         while head := file.read(2):
             body = file.read(struct.unpack("!H", head)[0])
             fields, offset = {}, 9
@@ -136,29 +143,31 @@
                 offset += 3 + size
             self.received.append((body[0], body[1:9], fields))
             if body[0] == 1:
-                self.answer(link, body[1:9], fields)
+                self.answer(connection, body[1:9], fields)
             elif body[0] == 52 and self.behaviour != "silent":
-                link.sendall(binary(53, body[1:9], (61, b"\x01")))
+                connection.sendall(binary(53, body[1:9], (61, b"\x01")))
 
     def report(self) -> bytes:
+        """The load report that is sent when a connection opens."""
         return b"x0:50;x1:50;novelty:1"
 
-    def answer(self, link: socket.socket, call: bytes, fields: dict[int, bytes]) -> None:
+    def answer(self, connection: socket.socket, call: bytes, fields: dict[int, bytes]) -> None:
         if self.behaviour in ("answer", "hold"):
-            link.sendall(binary(6, call) + binary(9, call, (63, b"v=" + call.hex().encode())))
+            connection.sendall(binary(6, call) + binary(9, call, (63, b"v=" + call.hex().encode())))
         if self.behaviour == "answer":
-            link.sendall(binary(12, call, (61, b"\x10"), (51, b"x0:49;x1:50")))
+            connection.sendall(binary(12, call, (61, b"\x10"), (51, b"x0:49;x1:50")))
         if self.behaviour == "full":
-            link.sendall(binary(12, call, (61, b"\x22"), (47, b"overload")))
+            connection.sendall(binary(12, call, (61, b"\x22"), (47, b"overload")))
 
     def release_all(self) -> None:
+        """Releases all calls on the newest connection."""
         for message_type, call, _ in list(self.received):
             if message_type == 1:
                 self.connections[-1].sendall(binary(12, call, (61, b"\x10")))
 
 
 def binary(message_type: int, call: bytes, *fields: tuple[int, bytes]) -> bytes:
-    """Encodes one message of the binary protocol."""
+    """Encodes one message of the setup servers' protocol, from its type, call id and parameters (code, value)."""
     body = (
         bytes((message_type,))
         + call
@@ -168,32 +177,38 @@
 
 
 class Board(Listener):
-    """A notice board: sends each poll the events after its Last-Event-ID, and comments."""
+    """A notice board: sends each poll the events after its Last-Event-ID, and a comment every 50 ms.
+
+    `events` has (id, event) pairs, to which tests may append; `polls` has the Last-Event-ID of each poll.
+    """
 
     def __init__(self) -> None:
         self.events: list[tuple[int, dict]] = []
         self.polls: list[str] = []
         super().__init__()
 
-    def serve(self, link: socket.socket) -> None:
-        file = link.makefile("rb")
+    def serve(self, connection: socket.socket) -> None:
+        file = connection.makefile("rb")
         last = 0
         while (line := file.readline()) not in (b"\r\n", b""):
             if line.lower().startswith(b"last-event-id:"):
                 last = int(line.split(b":")[1])
         self.polls.append(str(last))
-        link.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
+        connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         while True:
             for id_, event in list(self.events):
                 if id_ > last:
                     last = id_
-                    link.sendall(f"id: {id_}\ndata: {json.dumps(event)}\n\n".encode())
-            link.sendall(b": still here\n\n")
+                    connection.sendall(f"id: {id_}\ndata: {json.dumps(event)}\n\n".encode())
+            connection.sendall(b": still here\n\n")
             time.sleep(0.05)
 
 
 class Resolver(Listener):
-    """A DNS server with prepared answers: each query gets one reply, several, or none."""
+    """A DNS server: each of `answers` builds the replies to one query, in order, and the last also to all further ones.
+
+    An answer may be one reply, several, or none.
+    """
 
     def __init__(self, *answers: Callable[[dns.Message], list[bytes]]) -> None:
         self.answers = list(answers)
@@ -210,11 +225,11 @@
             except OSError:
                 return
 
-    def serve(self, link: socket.socket) -> None:
-        file = link.makefile("rb")
+    def serve(self, connection: socket.socket) -> None:
+        file = connection.makefile("rb")
         while head := file.read(2):
             for reply in self.replies(file.read(struct.unpack("!H", head)[0]), over_tcp=True):
-                link.sendall(struct.pack("!H", len(reply)) + reply)
+                connection.sendall(struct.pack("!H", len(reply)) + reply)
 
     def replies(self, data: bytes, over_tcp: bool) -> list[bytes]:
         query = dns.Message()
@@ -244,12 +259,13 @@
 
 
 def ask(address: tuple[str, int], name: bytes, id_: int = 7, over_tcp: bool = False) -> dns.Message:
-    """Sends one query to the program's ENUM listener; returns the answer."""
+    """Sends one query to the proxy's ENUM listener; returns the answer."""
     (message,) = ask_many(address, [(name, id_)], over_tcp)
     return message
 
 
 def query(name: bytes, id_: int = 7, type_: int = dns.NAPTR) -> bytes:
+    """Encodes a DNS query."""
     message = dns.Message(id_, recDes=1)
     message.queries = [dns.Query(name, type_)]
     return message.toStr()
@@ -259,16 +275,16 @@
     """Sends several queries at once over one socket; returns all answers, and any more that arrive within quiet_s."""
     socket_type = socket.SOCK_STREAM if over_tcp else socket.SOCK_DGRAM
     answers = []
-    with socket.socket(socket.AF_INET, socket_type) as link:
-        link.settimeout(TEST_TIMEOUT_S)
-        link.connect(address)
+    with socket.socket(socket.AF_INET, socket_type) as connection:
+        connection.settimeout(TEST_TIMEOUT_S)
+        connection.connect(address)
         for name, id_ in queries:
             data = query(name, id_)
-            link.sendall(struct.pack("!H", len(data)) + data if over_tcp else data)
-        file = link.makefile("rb") if over_tcp else None
+            connection.sendall(struct.pack("!H", len(data)) + data if over_tcp else data)
+        file = connection.makefile("rb") if over_tcp else None
         while True:
             try:
-                data = file.read(struct.unpack("!H", file.read(2))[0]) if file else link.recv(4096)
+                data = file.read(struct.unpack("!H", file.read(2))[0]) if file else connection.recv(4096)
             except TimeoutError:
                 if len(answers) < len(queries):
                     raise
@@ -278,17 +294,22 @@
             if len(answers) >= len(queries):
                 if not quiet_s:
                     return answers
-                link.settimeout(quiet_s)
+                connection.settimeout(quiet_s)
 
 
 class Program:
-    """The proxy process, started as by deploy/balancer.toml except for the listening ports."""
+    """The proxy as a child process, started as in deploy/balancer.toml except for the listening ports.
+
+    `servers` is the server list of its configuration: uid -> address. `optimized`: Python runs with -O, as deployed.
+    `enum` is the text of the ENUM part's file, `parts` those of other parts by name; `more` replaces top-level keys of
+    the configuration. `log` has the lines written so far.
+    """
 
     def __init__(
         self,
         folder: Path,
         servers: dict[str, str],
-        release: bool = True,
+        optimized: bool = True,
         enum: str = "",
         parts: dict[str, str] | None = None,
         **more: object,
@@ -314,7 +335,7 @@
         for name, text in (parts or {}).items():
             (folder / f"{name}.toml").write_text(text)
             environ[f"LEADSLIP_{name.upper()}"] = str(folder / f"{name}.toml")
-        flags = ["-O"] if release else []
+        flags = ["-O"] if optimized else []
         self.process = subprocess.Popen(
             [sys.executable, "-u", *flags, "-m", "leadslip"],
             cwd=ROOT,
@@ -342,7 +363,7 @@
         self.log.extend(self.process.stdout)
 
     def configure(self, **changes: object) -> None:
-        """Writes the configuration with the changes; the process reads it on start and on SIGHUP."""
+        """Writes the configuration file with changes, which aren't kept; the process reads it on start and SIGHUP."""
         (self.folder / "new.json").write_text(json.dumps(self.configuration | changes))
         (self.folder / "new.json").replace(self.folder / "config.json")
 
@@ -355,7 +376,7 @@
         return next(line for line in self.log[before:] if " reload." in line)
 
     def counts(self) -> dict[str, int]:
-        """Returns the last counters logged; they are final once the program has exited."""
+        """Returns the counters last logged, which are final once the process has exited."""
         line = [line for line in self.log if " counts" in line][-1]
         return {
             name: int(count) for name, count in (part.split("=") for part in line.split(" counts")[1].split())
@@ -372,7 +393,7 @@
             connection.close()
 
     def stop(self) -> int:
-        """Sends SIGTERM; returns the exit code."""
+        """Sends SIGTERM and waits for the exit, if the process still runs; returns the exit code."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
@@ -385,7 +406,7 @@
 
 
 class Caller:
-    """One SIP connection to the program."""
+    """A caller with one SIP connection to the proxy."""
 
     def __init__(self, program: Program) -> None:
         self.socket = socket.create_connection(program.listen, timeout=TEST_TIMEOUT_S)
@@ -405,7 +426,7 @@
         self.send("INVITE", id_, b"c=offer", Priority_Class=kind, Expires_Ms=expires, P_Trunk_Info=info)
 
     def receive(self) -> tuple[str, dict[str, str], bytes]:
-        """Returns the next message: start line, headers, body."""
+        """Reads the next message; returns start line, headers and body, and an empty start line at the end."""
         start = self.file.readline().decode().strip()
         headers = {}
         while line := self.file.readline().decode().strip():
@@ -415,7 +436,7 @@
 
 
 class Stopped:
-    """Stops the process with SIGSTOP in the context; data sent to it meanwhile stays unread in its sockets."""
+    """Context manager that stops a process with SIGSTOP: data sent to it meanwhile stays unread in its sockets."""
 
     def __init__(self, program):
         self.pid = program.process.pid
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -1,4 +1,7 @@
-"""The end of an established call is reported to its caller within a second, whichever connections fail meanwhile."""
+"""The end of an established call is reported to its caller within 1 s, even if connections to its server fail.
+
+The engine and leadslip.net.servers run in virtual time against the simulated server of standin_links.
+"""
 
 import random
 
@@ -17,7 +20,10 @@
 
 
 class ConnectedWorld(World):
-    """A proxy's engine and its connections to one stand-in server, all on one virtual clock."""
+    """A proxy's engine and its connections to one simulated server, all on one virtual clock.
+
+    `behaviour` are further arguments of StandInServer; `ended_at_ms` has the times at which ends were reported.
+    """
 
     def __init__(self, seed, hold_ms=4000.0, states=True, **behaviour):
         self.time, self.metrics, self.recorded = Clock(), Metrics(), []
@@ -63,7 +69,7 @@
             self.time.advance(0.005)
 
     def late_ends(self):
-        """Delays in ms of ends of answered calls that took over a second to be reported, by call id."""
+        """Returns the calls whose end was reported over 1 s after the release was sent, or never: id -> delay in ms."""
         late = {}
         for call, ended_ms in self.server.ended_ms.items():
             delay_ms = self.ended_at_ms.get(call, float("inf")) - ended_ms
@@ -72,43 +78,44 @@
         return late
 
 
-def stall(world):
-    """One connection stays open but delivers nothing more; the calls set up on it go on."""
-    alive = [wire for wire in world.server.wires if not wire.failed_silently]
+def fail_silently(world):
+    """Lets one connection stay open but deliver nothing; the calls set up on it go on."""
+    alive = [connection for connection in world.server.connections if not connection.failed_silently]
     if len(alive) > 1:
         world.rng.choice(alive).failed_silently = True
 
 
 def reset(world):
-    if world.server.wires:
-        world.rng.choice(world.server.wires).end(error.ConnectionLost())
+    """Resets one connection."""
+    if world.server.connections:
+        world.rng.choice(world.server.connections).end(error.ConnectionLost())
 
 
 @pytest.mark.parametrize("states", [True, False], ids=["states", "no-states"])
 @pytest.mark.parametrize("seed", range(12))
-def test_ends_are_reported_in_time_while_connections_stall_and_are_reset(seed, states):
+def test_ends_are_reported_in_time_while_connections_fail_silently_and_are_reset(seed, states):
     world = ConnectedWorld(seed, states=states)
     for step in range(300):
         if step < 240 and world.rng.random() < 0.5:
             world.call()
         if step % 20 == 19:
-            world.rng.choice((stall, reset))(world)
+            world.rng.choice((fail_silently, reset))(world)
         world.wait(50)
     world.wait(8000)
     assert len(world.established_calls) > 80 and len(world.server.ended_ms) > 80
     assert world.late_ends() == {}
-    assert not world.engine.established and world.server.dials < 250
+    assert not world.engine.established and world.server.connect_count < 250
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_ends_are_reported_when_new_calls_have_ceased_and_the_connections_stall(seed):
+def test_ends_are_reported_when_connections_fail_silently_after_the_last_new_call(seed):
     world = ConnectedWorld(seed, states=False)
     for _ in range(24):
         world.call()
         world.wait(15)
     world.wait(300)
-    for wire in world.server.wires[:-1]:
-        wire.failed_silently = True
+    for connection in world.server.connections[:-1]:
+        connection.failed_silently = True
     world.wait(8000)
     assert len(world.established_calls) == 24 and world.late_ends() == {}
 
@@ -120,10 +127,10 @@
         world.wait(15)
     world.wait(200)
     server = world.upstream.servers["s0"]
-    first, *_ = world.server.wires
+    first, *_ = world.server.connections
     server.connect()
-    world.wait(12)  # the server has accepted the new connection, but the proxy does not know this yet
-    ended_call = next(call for call, wire in world.server.established.items() if wire is first)
+    world.wait(12)  # the server has accepted the new connection, but it is not yet open at the proxy
+    ended_call = next(call for call, connection in world.server.established.items() if connection is first)
     first.failed_silently = True
     world.server.release(ended_call)
     first.protocol.abort()
@@ -139,8 +146,10 @@
         world.wait(2)
     world.wait(200)
     assert len(server.active) == 4
-    least_recent = min(server.active, key=lambda link: link.last_received_ms)
-    calls = [call for call, wire in world.server.established.items() if wire.protocol is least_recent]
+    least_recent = min(server.active, key=lambda connection: connection.last_received_ms)
+    calls = [
+        call for call, connection in world.server.established.items() if connection.protocol is least_recent
+    ]
     server.connect()
     world.wait(25)  # the new connection is up, and delivers its first data in another 5 ms
     world.server.release(calls[0])
@@ -159,18 +168,18 @@
 
 
 @pytest.mark.parametrize("refused", [True, False])
-def test_calls_of_a_lost_connection_end_without_a_replacement_while_other_calls_go_on(refused):
+def test_calls_of_a_lost_connection_that_can_not_be_replaced_end_and_other_calls_go_on(refused):
     world = ConnectedWorld(1, hold_ms=1e6)
     for _ in range(12):
         world.call()
         world.wait(10)
     world.wait(200)
     if refused:
-        world.server.refuses = True
+        world.server.refuses_connects = True
     else:
         world.update_servers(interface.UpdateKind.CHANGES, "gone")
-    first, *_ = world.server.wires
-    calls = [call for call, wire in world.server.established.items() if wire is first]
+    first, *_ = world.server.connections
+    calls = [call for call, connection in world.server.established.items() if connection is first]
     first.failed_silently = True
     for call in calls:
         world.server.release(call)
@@ -181,7 +190,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_late_answer_closes_no_connection_needed_for_the_ends_of_other_calls(seed):
-    """Prevents a connection from being considered dead and closed because of a single late answer."""
+    """Guards against closing a connection as dead because of a single late answer, which loses releases in flight."""
     world = ConnectedWorld(seed, hold_ms=1000.0, repeats_ends=False, late=0.04)
     for _ in range(600):
         if world.rng.random() < 0.7:
@@ -189,13 +198,13 @@
         world.wait(20)
     world.wait(4000)
     assert len(world.server.ended_ms) > 300 and world.late_ends() == {}
-    assert not world.engine.established and world.server.dials < 12
+    assert not world.engine.established and world.server.connect_count < 12
     assert world.metrics.counts["servers.late_set_ups"] > 5, "late attempts were cancelled and retried"
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_reset_connection_does_not_cause_working_ones_to_be_closed(seed):
-    """Prevents a reconnect loop: closing an excess connection counted as a loss, which opened another one."""
+    """Guards against a reconnect loop: the close of an excess connection counted as a loss, and opened another one."""
     world = ConnectedWorld(seed, hold_ms=1000.0, repeats_ends=False)
     for step in range(1200):
         world.call()
@@ -204,26 +213,26 @@
         world.wait(10)
     world.wait(4000)
     assert len(world.server.ended_ms) > 1000 and not world.engine.established
-    assert world.late_ends() == {} and world.server.dials <= 12
+    assert world.late_ends() == {} and world.server.connect_count <= 12
 
 
-def test_an_idle_connection_is_probed_and_kept_if_it_answers():
+def test_an_idle_connection_is_tested_and_kept_if_it_answers():
     world = ConnectedWorld(1, hold_ms=1e6, states=False, repeats_ends=False)
     for _ in range(8):
         world.call()
         world.wait(15)
     world.wait(5000)
-    wires = list(world.server.wires)
-    dials = world.server.dials
+    connections = list(world.server.connections)
+    connect_count = world.server.connect_count
     world.wait(5000)
-    assert world.server.wires == wires and world.server.dials == dials
+    assert world.server.connections == connections and world.server.connect_count == connect_count
     assert world.metrics.counts["servers.tests"] > 5 and len(world.engine.established) == 8
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("for_ms", [3000, 6000])
-def test_after_a_server_stall_connections_are_still_open_and_ended_calls_are_reported(seed, for_ms):
-    """Prevents idle connections from being closed as soon as another one was established."""
+def test_after_a_server_hang_connections_are_still_open_and_ended_calls_are_reported(seed, for_ms):
+    """Guards against closing idle connections as soon as another one is open, on which releases may be in flight."""
     world = ConnectedWorld(seed, hold_ms=6000.0, repeats_ends=False)
     for _ in range(60):
         world.call()
@@ -231,12 +240,12 @@
     world.server.hang(for_ms)
     world.wait(for_ms + 10_000)
     assert len(world.server.ended_ms) > 40 and world.late_ends() == {}
-    assert not world.engine.established and world.server.dials < 40
+    assert not world.engine.established and world.server.connect_count < 40
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_ends_of_calls_after_connection_losses_are_not_lost_on_connections_the_proxy_closes(seed):
-    """Prevents a reconnect loop: closing an excess connection opened another one, on which ends then arrived."""
+    """Guards against a reconnect loop: closing an excess connection opened another one, on which releases arrived."""
     world = ConnectedWorld(seed, hold_ms=8000.0, repeats_ends=False)
     for _ in range(80):
         world.call()
@@ -246,20 +255,20 @@
         world.wait(1500)
     world.wait(15_000)
     assert len(world.server.ended_ms) > 60 and world.late_ends() == {}
-    assert not world.engine.established and world.server.dials <= 14
+    assert not world.engine.established and world.server.connect_count <= 14
 
 
 def test_calls_of_a_server_process_end_when_another_process_takes_over_its_address():
-    """Prevents a connection to the new process from being taken for one to the process that died."""
+    """Guards against taking a connection to the new process for one to the process that has exited."""
     world = ConnectedWorld(1, hold_ms=1e6, repeats_ends=False)
     for _ in range(12):
         world.call()
         world.wait(15)
     world.wait(200)
-    # it dies, and another process listens there before the server list reports it
+    # The process exits, and another listens at its address before the server list reports it.
     world.server.established.clear()
-    for wire in list(world.server.wires):
-        wire.end(error.ConnectionLost())
+    for connection in list(world.server.connections):
+        connection.end(error.ConnectionLost())
     world.wait(2000)
     assert len(world.engine.established) == 12 and world.upstream.servers["s0"].active
     update = interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry("s1", 0),))
