--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -1,4 +1,4 @@
-"""The board client when its stream falls silent: it polls again from the last event, and ignores the old stream."""
+"""The notice board's client with streams that fall silent, end or move: no event is lost or passed on twice."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 
 class FakeAgent:
-    """Replaces the HTTP agent: records each poll, which the test answers."""
+    """Replaces Twisted's HTTP agent: records the response and Last-Event-ID of each poll; the test answers it."""
 
     def __init__(self):
         self.polls = []
@@ -36,6 +36,7 @@
 
 
 def send_event(stream, number, *servers):
+    """Delivers one event on the stream of a poll; `servers`: (uid, address, state) of each."""
     event = json.dumps(notice(number, *servers))
     stream.dataReceived(b"id: %d\ndata: %s\n\n" % (number, event.encode()))
 
@@ -70,7 +71,7 @@
 
 
 def open_poll():
-    """Returns a client with one open poll, the revisions it passes on, its agent and the stream."""
+    """Returns a World, a client that polls from event 3, the revisions it passes on, its agent and the open stream."""
     world, revisions, agent = World(), [], FakeAgent()
     client = board.BoardClient(
         world.time,
@@ -92,7 +93,7 @@
     first.dataReceived(b"id: 4\ndata: " + event[:20])
     world.time.advance(2.6)
     assert [last for _, last in agent.polls] == ["3", "3"], (
-        "an event held back by a stalled connection counts as delivered after 4 s"
+        "polled again before the board counts the incomplete event as delivered, after 4 s"
     )
     first.dataReceived(event[20:] + b"\n\n")
     assert revisions == [], "the late rest of the event is ignored"
@@ -113,7 +114,7 @@
     assert revisions == [4]
 
 
-def test_after_a_move_the_old_board_is_ignored_and_the_end_of_its_stream_starts_no_poll():
+def test_after_a_change_of_address_the_old_board_is_ignored_and_the_end_of_its_stream_starts_no_poll():
     world, client, revisions, agent, first = open_poll()
     client.change_address(("127.0.0.1", 10))
     send_event(first, 4, ("s0", "127.0.0.1:1", "active"))
@@ -124,7 +125,7 @@
     assert revisions == [4] and len(agent.polls) == 2 and second.transport.disconnecting is False
 
 
-def test_a_poll_without_a_response_is_repeated():
+def test_a_poll_without_a_response_is_repeated_after_the_silence_time_out():
     world, revisions, agent = World(), [], FakeAgent()
     client = board.BoardClient(
         world.time,
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,4 +1,4 @@
-"""Operation: the readiness state alone, and the operators' address, drains and upgrades of a running proxy."""
+"""Operation: the Readiness class by itself; the operators' endpoints, drains and upgrades of a running proxy."""
 
 import socket
 
@@ -11,7 +11,7 @@
 OPS = {"ops": f"{HOST}:0"}
 
 
-def test_ready_only_while_listening_in_service_and_not_shutting_down():
+def test_the_proxy_is_ready_only_while_listening_in_service_and_not_shutting_down():
     readiness = Readiness()
     assert not readiness.ready() and not readiness.draining()
     readiness.listening = True
@@ -26,7 +26,7 @@
     assert not readiness.ready()  # operators can't return a process to service that is shutting down
 
 
-def test_going_out_of_service_and_ending_at_time_zero_are_recorded():
+def test_out_of_service_and_shutdown_at_time_zero_count_although_0_means_in_service():
     readiness = Readiness(listening=True)
     assert readiness.out_of_service(0.0) and not readiness.ready()
     assert readiness.begin_shutdown(0.0) and not readiness.begin_shutdown(0.0)
@@ -34,6 +34,7 @@
 
 @pytest.fixture
 def program(tmp_path):
+    """A function that starts a proxy with a setup server for each behaviour; checks its exit after the test."""
     started = []
 
     def start_program(*behaviours, **options):
@@ -110,7 +111,7 @@
     assert proxy.call("GET", "/control/ready")[0] == 200
 
 
-def test_a_stalled_operator_connection_delays_nobody_and_is_closed(program):
+def test_a_stalled_operators_connection_delays_no_other_request_and_is_closed(program):
     proxy, _ = program("answer")
     stalled = [socket.create_connection(proxy.ops, timeout=TEST_TIMEOUT_S) for _ in range(5)]
     stalled[0].sendall(b"GET /control/rea")
@@ -132,7 +133,7 @@
     proxy.call("PUT", "/control/out-of-service")
     assert idle.socket.recv(1) == b""
     server.release_all()
-    assert holding.receive()[0].startswith("BYE ")  # the release was still pending on this connection
+    assert holding.receive()[0].startswith("BYE ")  # kept open for the release of its call
     assert holding.socket.recv(1) == b""
     proxy.call("PUT", "/control/in-service")
     reconnected = Caller(proxy)
@@ -140,7 +141,7 @@
     assert final_status(reconnected) == "SIP/2.0 200 OK"
 
 
-def test_an_upgrade_shares_the_clients_address_and_loses_no_call(program):
+def test_an_upgrade_to_a_second_process_at_the_same_address_loses_no_call(program):
     old, (server,) = program("answer")
     port = old.listen[1]
     new, _ = program("answer", listen=f"{HOST}:{port}")
@@ -149,8 +150,8 @@
     answered = []
 
     def place_call(i: int) -> None:
-        for _ in range(2):  # as callers do by the protocol: a set-up that crosses a close is resent once
-            caller = Caller(old)  # a new connection each time, which the kernel assigns to either process
+        for _ in range(2):  # by the protocol, a caller resends a set-up once if it crosses a close
+            caller = Caller(old)  # a new connection, which the kernel assigns to either process
             caller.invite(f"{i:016x}")
             try:
                 status = final_status(caller)
@@ -172,7 +173,8 @@
     assert answered == ["SIP/2.0 200 OK"] * 140
 
 
-def counters_of(proxy: Program) -> dict[str, int]:
+def read_counters(proxy: Program) -> dict[str, int]:
+    """Read the counters at the operators' address."""
     status, body = proxy.call("GET", "/control/counters")
     assert status == 200
     return {name: int(value) for name, value in (line.split("=") for line in body.decode().splitlines())}
@@ -185,7 +187,7 @@
     assert caller.receive()[0] == "SIP/2.0 200 OK"
     caller.invite(SECOND, kind="no such class")
     assert caller.receive()[0] == "SIP/2.0 503 Service Unavailable"
-    counters = counters_of(proxy)
+    counters = read_counters(proxy)
     assert (counters["proxy.responses.plain.ok"], counters["proxy.responses.plain.tries"]) == (1, 1)
     assert (counters["proxy.active"], counters["proxy.pool_size"], counters["proxy.pool_ejected"]) == (
         1,
@@ -196,7 +198,7 @@
     assert "reload.refused" in proxy.reload(board="nowhere")
     server.release_all()
     caller.receive()
-    wait_for(lambda: counters_of(proxy)["proxy.active"] == 0)
-    counters = counters_of(proxy)
+    wait_for(lambda: read_counters(proxy)["proxy.active"] == 0)
+    counters = read_counters(proxy)
     assert (counters["proxy.config_applied"], counters["proxy.config_rejected"]) == (1, 1)
     assert not [name for name in counters if "no such class" in name]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The proxy as a process, tested through its sockets."""
+"""The proxy as a process, tested through its sockets: calls, shutdown, reloads, invalid input and configuration."""
 
 import contextlib
 import json
@@ -12,18 +12,19 @@
 
 from tests.standins import HOST, ROOT, Board, Caller, Program, SetupServer, binary, notice, settings, wait_for
 
-LONG = {"name": "plain", "gain": 1.0, "late_worth": 0.2, "aim_ms": 1500.0, "deadline_ms": 30000.0}
+LONG_CLASS = {"name": "plain", "gain": 1.0, "late_worth": 0.2, "aim_ms": 1500.0, "deadline_ms": 30000.0}
 FIRST, SECOND = "9b1f03aa5c7e2d41", "0b1f03aa5c7e2d42"
 
 
 @pytest.fixture
 def start(tmp_path):
+    """A function that starts the proxy with a setup server for each behaviour; checks its exit after the test."""
     started = []
 
-    def start_program(*behaviours, release=True, **options):
+    def start_program(*behaviours, optimized=True, **options):
         servers = [SetupServer(behaviour) for behaviour in behaviours]
         program = Program(
-            tmp_path, {f"s{i}": server.address for i, server in enumerate(servers)}, release, **options
+            tmp_path, {f"s{i}": server.address for i, server in enumerate(servers)}, optimized, **options
         )
         started.append(program)
         return program, servers
@@ -35,9 +36,9 @@
         assert not [name for name in program.counts() if name.startswith("broken")]
 
 
-@pytest.mark.parametrize("release", [True, False], ids=["release", "debug"])
-def test_a_call_is_established_with_the_servers_description_and_is_released(start, release):
-    program, (server,) = start("answer", release=release)
+@pytest.mark.parametrize("optimized", [True, False], ids=["optimized", "debug"])
+def test_a_call_is_established_with_the_servers_description_and_is_released(start, optimized):
+    program, (server,) = start("answer", optimized=optimized)
     caller = Caller(program)
     caller.send("OPTIONS", FIRST)
     assert caller.receive()[0] == "SIP/2.0 200 OK"
@@ -103,7 +104,7 @@
     assert start_line.startswith("BYE ") and headers["Reason"] == "Q.850;cause=41"
 
 
-def test_the_notice_board_reports_a_new_server_and_one_that_left(start):
+def test_a_new_server_on_the_notice_board_gets_calls_in_place_of_one_that_left(start):
     program, (first,) = start("answer")
     second = SetupServer("answer")
     active = ("s1", second.address, "active")
@@ -112,8 +113,8 @@
     for count in range(2000):
         if second.received:
             break
-        # Destination 1 makes the server the first choice: the Controller sends few other calls to a server whose rate
-        # is still unknown.
+        # Calls for destination 1 have the new server as first choice: the Controller sends few others to a server whose
+        # rate is still unknown.
         caller.invite(f"{count:016x}", dest=1)
         status, _, _ = caller.receive()
         if status.startswith("SIP/2.0 200"):
@@ -122,7 +123,7 @@
     assert second.received and program.board.polls[0] == "1"
 
 
-def test_after_sigterm_options_are_refused_but_calls_are_served_to_their_end(start):
+def test_after_sigterm_options_get_503_but_calls_are_still_set_up_and_released(start):
     program, (server,) = start("hold")
     caller = Caller(program)
     caller.invite(FIRST)
@@ -168,11 +169,11 @@
     caller = Caller(program)
     caller.invite(FIRST)
     assert caller.receive()[0] == "SIP/2.0 200 OK"
-    assert not board.polls, "no part of it may be applied"
+    assert not board.polls, "no part of an invalid configuration may be applied"
 
 
 def test_open_requests_are_answered_shortly_before_sigkill(start):
-    program, (server,) = start("silent", settings=settings(services=[LONG]))
+    program, (server,) = start("silent", settings=settings(services=[LONG_CLASS]))
     caller = Caller(program)
     caller.invite(FIRST, expires=9000)
     wait_for(lambda: server.received)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,8 @@
-"""Configuration reload at SIGHUP: permitted changes, invalid files, and open requests that keep their rules."""
+"""Configuration reload: permitted changes, invalid files, and open requests, to which the earlier limits apply.
+
+These are tests of config.reload and Engine.apply_settings, which the proxy calls at SIGHUP; test_program reloads a
+running proxy.
+"""
 
 import copy
 import json
@@ -25,23 +29,27 @@
 
 
 def reload(tmp_path, text: str, running: config.Config) -> config.Config:
+    """Return the configuration reloaded from a file with this text, with `running` as the current one."""
     (tmp_path / "config.json").write_text(text)
     return config.reload(running, {"NODE_CONFIG": str(tmp_path / "config.json")})
 
 
 @pytest.fixture
 def running(tmp_path):
+    """The configuration of the running proxy."""
     (tmp_path / "config.json").write_text(json.dumps(CONFIGURATION))
     return config.load({"NODE_CONFIG": str(tmp_path / "config.json")})
 
 
 def changed(**settings_changes: object) -> dict:
+    """Return the configuration with changed settings."""
     configuration = copy.deepcopy(CONFIGURATION)
     configuration["settings"] |= settings_changes
     return configuration
 
 
 def without(path: str) -> dict:
+    """Return the configuration without the key at a path such as settings.services.1.late_worth."""
     configuration = copy.deepcopy(CONFIGURATION)
     *parents, last = path.split(".")
     node = configuration
@@ -51,7 +59,9 @@
     return configuration
 
 
-def test_a_reload_may_add_and_remove_classes_change_repetition_and_lower_attempts(tmp_path, running):
+def test_a_reload_may_add_and_remove_classes_change_their_repetition_and_lower_the_attempt_limit(
+    tmp_path, running
+):
     added = {"name": "fresh", "gain": 2.0, "late_worth": 0.1, "aim_ms": 500.0, "deadline_ms": 2000.0}
     services = [CONFIGURATION["settings"]["services"][1] | {"idempotency": "fragile"}, added]
     configuration = changed(services=services, limits=CONFIGURATION["settings"]["limits"] | {"most_tries": 2})
@@ -67,7 +77,7 @@
     ("text", "key"),
     [
         ("", "NODE_CONFIG can't be read"),
-        (json.dumps(CONFIGURATION)[:-40], "NODE_CONFIG can't be read"),
+        (json.dumps(CONFIGURATION)[:-40], "NODE_CONFIG can't be read"),  # truncated
         (json.dumps([1, 2]), "the configuration is no object"),
         (json.dumps(without("settings")), "settings is missing"),
         (json.dumps(without("board")), "board is missing"),
@@ -85,7 +95,9 @@
         value.split(" is")[0].split(" can't")[0] if isinstance(value, str) and len(value) < 80 else ""
     ),
 )
-def test_an_empty_truncated_or_incomplete_file_is_rejected_naming_its_key(tmp_path, running, text, key):
+def test_an_empty_truncated_or_incomplete_file_is_rejected_with_the_key_in_the_error(
+    tmp_path, running, text, key
+):
     with pytest.raises(config.MalformedError, match=key):
         reload(tmp_path, text, running)
 
@@ -99,7 +111,7 @@
 
 
 @pytest.mark.parametrize("attempts", [0, -1, 2.5, "many", None])
-def test_attempts_that_are_not_a_positive_number_are_rejected(tmp_path, running, attempts):
+def test_an_attempt_limit_that_is_not_a_positive_integer_is_rejected(tmp_path, running, attempts):
     limits = CONFIGURATION["settings"]["limits"] | {"most_tries": attempts}
     with pytest.raises(config.MalformedError, match="settings.limits.most_tries"):
         reload(tmp_path, json.dumps(changed(limits=limits)), running)
@@ -112,17 +124,19 @@
         reload(tmp_path, json.dumps(changed(services=services)), running)
 
 
-def test_an_open_request_keeps_its_attempts_when_a_reload_lowers_them_for_new_ones():
+def test_an_open_request_keeps_its_attempt_limit_when_a_reload_lowers_it_for_new_ones():
     world = World(servers=4)
     old = Request("a" * 16, PLAIN, world.now_ms() + 5000.0, world)
     old.destination = 0
     world.engine.offer(old)
-    fewer = interface.Settings(**{**_fields(world.engine.settings), "max_attempts": 1})
+    fewer = interface.Settings(**{**settings_fields(world.engine.settings), "max_attempts": 1})
     world.engine.apply_settings(fewer, world.engine.max_open_requests)
     for _ in range(3):
         world.engine.on_attempt_ended(old.attempt, interface.Outcome.ERROR)
         world.wait(1)
-    assert [attempt.request.id for attempt in world.sent] == ["a" * 16] * 4  # the limit when it was received
+    assert [attempt.request.id for attempt in world.sent] == [
+        "a" * 16
+    ] * 4  # the limit when the request was received
     new = Request("b" * 16, PLAIN, world.now_ms() + 5000.0, world)
     world.engine.offer(new)
     world.engine.on_attempt_ended(new.attempt, interface.Outcome.ERROR)
@@ -139,7 +153,7 @@
         call_class for call_class in world.engine.settings.classes if call_class.name == URGENT
     )
     world.engine.apply_settings(
-        interface.Settings(**{**_fields(world.engine.settings), "classes": only_urgent}), 20_000
+        interface.Settings(**{**settings_fields(world.engine.settings), "classes": only_urgent}), 20_000
     )
     world.engine.on_established(old.attempt, b"sdp")
     world.engine.offer(Request("b" * 16, PLAIN, world.now_ms() + 5000.0, world))
@@ -149,26 +163,31 @@
 def test_settings_that_the_controller_rejects_change_nothing():
     world = World()
     before = world.engine.settings
-    invalid = interface.Settings(**{**_fields(before), "cold_fraction": 0.0})
+    invalid = interface.Settings(**{**settings_fields(before), "cold_fraction": 0.0})
     with pytest.raises(ValueError, match="cold_fraction"):
         world.engine.apply_settings(invalid, 5)
     assert world.engine.settings is before and world.engine.controller.settings is before
     assert world.engine.max_open_requests != 5
 
 
-def _fields(settings_: interface.Settings) -> dict:
+def settings_fields(settings_: interface.Settings) -> dict:
     return {name: getattr(settings_, name) for name in settings_.__dataclass_fields__}
 
 
 def test_worths_of_removed_classes_do_not_affect_the_mean_worth():
-    """After 200 calls of a class of high worth that is then removed, the remaining class has the mean worth again."""
+    """Guards against counting the calls of a removed class, here of high worth, in the mean worth.
+
+    The remaining class would then seem to be worth less than the mean, and its calls would get a smaller window.
+    """
     rich = interface.CallClass("rich", 100.0, 0.2, 1500.0, 9000.0)
     world = World(classes=(rich, interface.CallClass(PLAIN, 1.0, 0.2, 1500.0, 9000.0)))
     for i in range(200):
         world.engine.offer(Request(f"{i:016x}", "rich", world.now_ms() + 5000.0, world))
     controller = world.engine.controller
     plain = interface.CallOffered("x", PLAIN, 0.0, 0)
-    only = interface.Settings(**{**_fields(world.engine.settings), "classes": (controller.classes[PLAIN],)})
+    only = interface.Settings(
+        **{**settings_fields(world.engine.settings), "classes": (controller.classes[PLAIN],)}
+    )
     assert controller._window_scale(_Call(plain, controller.classes[PLAIN], 4)) == 0.5
     world.engine.apply_settings(only, 20_000)
     assert controller._window_scale(_Call(plain, controller.classes[PLAIN], 4)) == 1.0
