--- a/leadslip/__main__.py
+++ b/leadslip/__main__.py
@@ -105,7 +105,7 @@
         conf = loaded.conf
         self.conf, self.metrics, self.clock = conf, Metrics(), SystemClock()
         self.readiness = Readiness()
-        self.port = None
+        self.listening_port = None
         self.deadlines = Deadlines(self.clock, reactor)
         self.parts: dict[str, Part] = {}
         observers_by_engine: dict[str, list[Observer]] = {"sip": [], "dns": []}
@@ -170,8 +170,8 @@
         for notice in self.conf.notices:
             self.apply_notice(notice)
         host, _ = self.conf.listen
-        self.port = listen_shared(reactor, self.conf.listen, self.clients, backlog=512)
-        port = self.port.getHost().port
+        self.listening_port = listen_shared(reactor, self.conf.listen, self.clients, backlog=512)
+        port = self.listening_port.getHost().port
         if self.conf.ops is not None:
             from leadslip.net.ops import Site
 
@@ -245,7 +245,7 @@
             part.ended_elsewhere(call.hex())
 
     def log_counters(self, _: object = None) -> None:
-        """Log the counters periodically."""
+        """Log the counts of the metrics, and schedule the next log line."""
         counts = sorted(self.metrics.counts.items())
         self.log("counts", **{name.replace(" ", "_"): count for name, count in counts})
         self.deadlines.call_at(self.clock.now_ms() + COUNTS_LOG_INTERVAL_MS, self.log_counters)
@@ -294,9 +294,9 @@
         """SIGTERM: stop accepting connections, answer the open requests and drain client connections."""
         if not self.readiness.begin_shutdown(self.clock.now_ms(), self.longest_deadline_ms()):
             return
-        if self.port is not None:
+        if self.listening_port is not None:
             self.deadlines.call_at(
-                self.clock.now_ms() + LISTEN_AFTER_SIGTERM_MS, lambda _: stop_shared(self.port)
+                self.clock.now_ms() + LISTEN_AFTER_SIGTERM_MS, lambda _: stop_shared(self.listening_port)
             )
         self.log("draining")
         self.notify_service_state()
--- a/leadslip/net/clients.py
+++ b/leadslip/net/clients.py
@@ -22,9 +22,7 @@
 DIGITS = re.compile(rb"[0-9]{1,9}[ \t]*")
 ECHOED_HEADERS = (b"via", b"from", b"to", b"call-id", b"cseq")
 RELEASE_TTL_MS = 8000.0  # after this time since the call's end, an unacknowledged release is dropped
-RESEND_AFTER_MS = (
-    300.0  # time before an unacknowledged release is sent on another connection; doubles each time
-)
+RESEND_AFTER_MS = 300.0  # until an unacknowledged release is sent on another connection; doubles each time
 RESEND_CHECK_INTERVAL_MS = 100.0  # while any release is unacknowledged
 CAUSE_NORMAL, CAUSE_TEMPORARY_FAILURE = 16, 41
 
@@ -44,7 +42,7 @@
 
     def __init__(self, ended_ms: float, message: bytes) -> None:
         self.ended_ms, self.message = ended_ms, message
-        self.connection: CallerConnection | None = None  # it was last sent on; None: not sent
+        self.connection: CallerConnection | None = None  # where it was last sent; None: nowhere
         self.sent_ms, self.send_count = 0.0, 0
 
 
@@ -127,6 +125,7 @@
             self.downstream.mark_as_caller(self)
 
     def invite(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
+        """Handles a set-up: parses it into a new request, which is offered to the engine at the end of the read."""
         downstream, now_ms = self.downstream, self.now_ms()
         expires_ms = parse_unsigned(
             headers.get(b"expires-ms"), "Expires-Ms must be an integer of 1 to 12 digits"
@@ -143,7 +142,7 @@
             headers.get(b"priority-class", b"").decode("utf-8", "replace"),
             now_ms + expires_ms,
             downstream,
-            bytes(body),  # a copy: retries need it after the buffer has been reused
+            bytes(body),  # a copy, as a view would keep the whole read in memory until the last retry
         )
         request.number = number.decode("ascii", "replace")
         for field in headers.get(b"p-trunk-info", b"").split(b";"):
@@ -172,6 +171,7 @@
             self.close_despite_calls = True
 
     def cancel(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
+        """Handles the cancellation of a set-up: answers 200, or 481 if it is not open on this connection."""
         # Only set-ups of this connection may be cancelled, so that no caller cancels those of another.
         request = self.set_ups.get(parse_call_id(headers))
         self.reply(b"200 OK" if request else UNKNOWN_CALL, headers)
@@ -181,6 +181,7 @@
             self.downstream.withdraw(request)
 
     def bye(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
+        """Handles the release of a call by its caller: answers 200, or 481 if no proxy knows the call."""
         request = self.downstream.engine.established.get(parse_call_id(headers))
         # The caller's release may cross the proxy's own, which is retained until it is acknowledged.
         known = request is not None or parse_call_id(headers) in self.downstream.pending_releases
@@ -200,6 +201,7 @@
             self.downstream.engine.hang_up(request)
 
     def options(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
+        """Answers a readiness check: 200 while the proxy is ready, else 503."""
         self.reply(b"200 OK" if self.downstream.readiness.ready() else b"503 Service Unavailable", headers)
 
     def ack(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
@@ -277,6 +279,7 @@
         return CallerConnection(self) if self.inbound.has_capacity() else None
 
     def connection_opened(self, connection: CallerConnection) -> None:
+        """Sends the releases that wait for a connection."""
         self._expire_releases()
         for id_ in list(self.unsent_releases):
             self._send_release(id_, connection)
@@ -362,6 +365,7 @@
         request.context[0].read_pending()
 
     def withdraw(self, request: Request) -> None:
+        """Cancels a set-up whose caller has left or cancelled it; it gets no answer."""
         request.context[0].set_ups.pop(request.id, None)
         self.engine.cancel(request)
 
@@ -416,10 +420,12 @@
         self.engine.deadlines.call_at(now_ms + RESEND_CHECK_INTERVAL_MS, self._resend_releases)
 
     def release_acknowledged(self, id_: str) -> None:
+        """Stops resending the release of a call."""
         self.pending_releases.pop(id_, None)
         self.unsent_releases.pop(id_, None)
 
     def _send_release(self, id_: str, connection: CallerConnection | None) -> None:
+        """Sends a pending release, or lets it wait for the next connection if there is none or it is stalled."""
         pending = self.pending_releases[id_]
         sent = connection is not None and connection.send(pending.message)
         pending.connection = connection if sent else None
@@ -437,6 +443,7 @@
             self.unsent_releases.pop(self.pending_releases.popitem(last=False)[0], None)
 
     def _answer(self, request: Request, status_line: bytes, *rest: bytes | memoryview) -> None:
+        """Sends a final answer if the connection of the set-up is open; `rest` follows the echoed headers."""
         connection, echoed = request.context
         if connection.set_ups.get(request.id) is request:
             del connection.set_ups[request.id]
--- a/leadslip/net/connections.py
+++ b/leadslip/net/connections.py
@@ -125,6 +125,7 @@
         return bool(self.stalled_since_ms or self.transport.dataBuffer)
 
     def malformed(self, failure: MessageError) -> None:
+        """Counts a malformed message, and closes the connection."""
         self.metrics.add(f"{self.peer_kind}.malformed")
         self.transport.abortConnection()
 
@@ -364,9 +365,11 @@
         self._buffer = self.retain_tail(data[offset:], starts_message=offset > 0)
 
     def body_length(self, head: memoryview) -> int:
+        """Returns the length of the body that follows a header block; raises MessageError if it can't be known."""
         raise NotImplementedError
 
     def messageReceived(self, head: memoryview, body: memoryview) -> None:
+        """Handles one complete message; raises MessageError if it is malformed."""
         raise NotImplementedError
 
 
--- a/leadslip/net/servers.py
+++ b/leadslip/net/servers.py
@@ -14,9 +14,9 @@
 from leadslip.metrics import Metrics
 from leadslip.net.connections import LengthPrefixedReceiver, MessageError
 
-# Message types.
+# Message types. STATE carries a load report; PROGRESS precedes the answer to a set-up.
 SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK, STATE, TEST, TEST_RESULT = 1, 6, 9, 12, 16, 43, 52, 53
-# Parameter codes.
+# Parameter codes. WAIT: time left for the answer, in ms; NOTE: why a set-up was refused; REPORT: a load report.
 CLASS, WAIT, NUMBER, NOTE, REPORT, CAUSE, DESCRIPTION = 33, 35, 41, 47, 51, 61, 63
 OUTCOME_OF_CAUSE = {  # Q.850 cause of a release that arrives before the answer -> outcome of the set-up
     34: interface.Outcome.FULL,
@@ -26,7 +26,7 @@
     41: interface.Outcome.CUT,
 }
 IGNORED_TYPES = (PROGRESS, RELEASE_ACK, TEST_RESULT)  # valid, but need no action
-CAUSE_OF_NOTE = {
+CAUSE_OF_NOTE = {  # the server's reason for refusing a set-up, as on the wire -> as given to the Controller
     b"no_circuit": interface.Cause.NO_LINE,
     b"turned_back": interface.Cause.BOUNCED,
     b"overload": interface.Cause.PROCESSOR_FULL,
@@ -36,7 +36,7 @@
 HEADER = struct.Struct("!HB8s")  # length, type, call
 NO_CALL = bytes(8)  # the call id in messages that are not about a call
 PARAMETER = struct.Struct("!BH")  # code, length
-CAUSE_NORMAL, TEMPORARY_FAILURE = 16, 41
+CAUSE_NORMAL, CAUSE_TEMPORARY_FAILURE = 16, 41
 RECENTLY_ENDED_MS = 30_000.0  # a server may repeat the release of an ended call for this long
 PARTIAL_MESSAGE_TIMEOUT_MS = 300.0  # a complete message takes a few ms to arrive
 MAX_CONNECTIONS = 4  # per server, as a server sends its state reports on at most this many connections
@@ -45,7 +45,8 @@
 UNANSWERED_SET_UP_MS = 400.0  # a server silent for this long with a set-up this old may have failed
 SILENCE_TIMEOUT_MS = 1500.0  # a server with calls that sends nothing for this long may have failed
 UNREACHABLE_AFTER_MS = 2000.0  # a server silent for this long that accepts no connection is unreachable
-# A server that is unreachable and silent for this long has lost its calls: callers must learn of it within 8 s.
+# The calls of a server that is silent and unreachable for this long count as lost: callers must learn of the end of a
+# call within 8 s.
 CALLS_LOST_AFTER_MS = 6500.0
 FIRST_MESSAGE_WAIT_MS = 200.0  # a new connection is used after this time even without a first message
 TEST_AFTER_SILENCE_MS = 550.0  # a connection silent for this long is tested while its server has calls
@@ -222,6 +223,7 @@
     # Called for the engine.
 
     def send(self, attempt: Attempt) -> interface.Outcome | None:
+        """Sends a set-up, or queues it until a connection is active; returns the outcome if it can't be sent."""
         call = bytes.fromhex(attempt.request.id)
         connection = self._least_used()
         if connection is None:
@@ -240,6 +242,7 @@
         return self._set_up(connection, call, attempt)
 
     def _least_used(self) -> ServerConnection | None:
+        """Returns the active connection with the fewest set-ups in progress, preferably without unsent data."""
         return min(
             self.active, key=lambda connection: (connection.blocked(), len(connection.set_ups)), default=None
         )
@@ -247,6 +250,7 @@
     def _set_up(
         self, connection: ServerConnection, call: bytes, attempt: Attempt
     ) -> interface.Outcome | None:
+        """Writes a set-up on a connection; returns the outcome if it must not be written."""
         request, upstream = attempt.request, self.upstream
         if connection.blocked():
             # Prevents set-ups to an unreachable machine, which reads nothing, from piling up in the write buffer.
@@ -271,7 +275,7 @@
             upstream.engine.on_set_up_written(attempt)
         return None
 
-    def end(self, attempt: Attempt) -> None:
+    def cancel_or_release(self, attempt: Attempt) -> None:
         """Cancels a set-up or releases an established call: sends a release with cause 16 (normal) in both cases."""
         call = bytes.fromhex(attempt.request.id)
         if self.queued.pop(call, None) is None:
@@ -309,6 +313,7 @@
     # Connections.
 
     def connect(self) -> None:
+        """Opens a connection, unless one is being opened or the server is gone."""
         if self.is_connecting() or self.state is interface.ServerState.GONE:
             return
         self.connecting, self.connect_started_ms = True, self.upstream.now_ms()
@@ -331,12 +336,14 @@
             self.pending = connection
 
     def message_received(self, connection: ServerConnection) -> None:
+        """Records that a valid message has arrived; the first one makes a pending connection active."""
         self.last_received_ms = connection.last_received_ms
         if connection is self.pending:
             self.consecutive_resets = 0
             self._activate(connection)
 
     def state_received(self, connection: ServerConnection) -> None:
+        """Records when a state report arrived, so that connections that have missed it can be detected."""
         # The first report on a new connection is sent on that connection alone: no other can have missed it.
         if connection.last_received_ms > connection.opened_ms + MISSED_STATE_MS:
             self.last_state_report_ms = connection.last_received_ms
@@ -387,6 +394,7 @@
         return dead + sorted(idle, key=lambda connection: connection.last_received_ms)[:excess]
 
     def connect_failed(self, refused: bool) -> None:
+        """Handles a failed connect: queued set-ups go to other servers, and calls of a lost server end."""
         self.connecting = False
         self.unreachable = True
         self.upstream.metrics.add("servers.refused" if refused else "servers.unreachable")
@@ -479,6 +487,7 @@
                 self.upstream.engine.on_attempt_ended(self._remove(call), interface.Outcome.CUT)
 
     def open_connections(self) -> list[ServerConnection]:
+        """Returns the connections that are open in both directions: active ones, and the pending one."""
         return self.active + ([self.pending] if self.pending is not None else [])
 
     def is_connecting(self) -> bool:
@@ -497,7 +506,7 @@
         for attempt in list(connection.set_ups.values()):
             if self._overtaken(attempt):
                 self.upstream.metrics.add("servers.late_set_ups")
-                self.end(attempt)
+                self.cancel_or_release(attempt)
                 self.upstream.engine.on_attempt_ended(attempt, interface.Outcome.CUT)
 
     def _is_suspect(self, connection: ServerConnection, now_ms: float) -> bool:
@@ -606,6 +615,7 @@
     # Messages from the server.
 
     def answered(self, call: bytes, description: memoryview) -> None:
+        """Handles the answer to a set-up: the call is established. An answer for an unknown call is ignored."""
         attempt = self.calls.get(call)
         if attempt is not None:
             if self.connection_of[call].set_ups.pop(call, None) is not None:
@@ -620,6 +630,7 @@
         note: interface.Cause,
         load: interface.Load | None,
     ) -> None:
+        """Handles a release: the end of an established call, or the failure of a set-up in progress."""
         expected = self.connection_of.get(call)
         if (
             expected is not None
@@ -630,7 +641,7 @@
             expected.missed_end_ms = connection.last_received_ms
         attempt = self._remove(call)
         if attempt is None:
-            if call not in self.upstream.recently_ended and cause in (CAUSE_NORMAL, TEMPORARY_FAILURE):
+            if call not in self.upstream.recently_ended and cause in (CAUSE_NORMAL, CAUSE_TEMPORARY_FAILURE):
                 self.upstream.on_unknown_end(call, cause != CAUSE_NORMAL)
         elif attempt.established:
             outcome = interface.Outcome.SERVED if cause == CAUSE_NORMAL else interface.Outcome.CUT
@@ -759,7 +770,7 @@
         except (UnicodeDecodeError, MalformedError) as exc:
             raise MessageError(f"malformed load report: {exc}") from exc
 
-    # Implements core.Upstream.
+    # The methods of core.Upstream.
 
     def send(self, attempt: Attempt) -> interface.Outcome | None:
         server = self.servers.get(attempt.server)
@@ -768,6 +779,6 @@
     def cancel(self, attempt: Attempt) -> None:
         server = self.servers.get(attempt.server)
         if server is not None:
-            server.end(attempt)
+            server.cancel_or_release(attempt)
 
     release = cancel
