--- a/leadslip/__main__.py
+++ b/leadslip/__main__.py
@@ -27,7 +27,7 @@
 from leadslip.parts.part import Part
 from leadslip.readiness import Readiness
 
-MIN_DRAIN_MS = 900.0  # minimum time between SIGTERM and exit: new requests may still arrive
+MIN_DRAIN_MS = 900.0  # minimum time between SIGTERM and exit, as new requests may still arrive
 # How long the proxy listens after SIGTERM: clients that no other process serves may still connect for up to 400 ms.
 LISTEN_AFTER_SIGTERM_MS = 500.0
 # In this time before the exit, connections without a pending answer are closed despite established calls.
@@ -105,7 +105,7 @@
         conf = loaded.conf
         self.conf, self.metrics, self.clock = conf, Metrics(), SystemClock()
         self.readiness = Readiness()
-        self.listening_port = None
+        self.listening_port = None  # where clients connect; None until the start
         self.deadlines = Deadlines(self.clock, reactor)
         self.parts: dict[str, Part] = {}
         observers_by_engine: dict[str, list[Observer]] = {"sip": [], "dns": []}
--- a/leadslip/net/board.py
+++ b/leadslip/net/board.py
@@ -14,9 +14,7 @@
 from leadslip.deadlines import Deadline, Deadlines
 from leadslip.metrics import Metrics
 
-SILENCE_TIMEOUT_MS = (
-    2500.0  # the board sends a comment every second: if two are missing, the connection is dead
-)
+SILENCE_TIMEOUT_MS = 2500.0  # the board sends a comment every second; without two, the connection is dead
 POLL_DELAY_MS = 200.0  # limits the rate of polls of a board that ends each poll at once
 MAX_LINE_BYTES = 256 * 1024  # a complete server list is one line
 
@@ -98,8 +96,8 @@
 
     def change_address(self, address: Address) -> None:
         """Polls at another address from now on; event numbers continue."""
-        # Polls at once, without waiting for the old board's stream to end: prevents missing the new board's events
-        # between the last event of the old stream and its end.
+        # Polls at once: waiting for the old board's stream to end would leave a gap without events between the last one
+        # of that stream and its end.
         self.url = poll_url(address)
         self.poll()
 
--- a/leadslip/net/clients.py
+++ b/leadslip/net/clients.py
@@ -267,9 +267,8 @@
         self.unsent_releases: dict[str, None] = {}  # ids of calls whose release waits for a connection
         self.draining = False  # whether the check that closes connections without calls is scheduled
         self.pending_releases: OrderedDict[str, PendingRelease] = OrderedDict()  # by call id, oldest first
-        self.caller_connections: OrderedDict[CallerConnection, None] = (
-            OrderedDict()
-        )  # most recently used last
+        # Connections that have sent a set-up or acknowledged a release; the one that did so last is at the end.
+        self.caller_connections: OrderedDict[CallerConnection, None] = OrderedDict()
         self.resend_scheduled = False
         # Releases a call that this engine does not have, and calls back with whether its server was found.
         # None: calls are not replicated to other proxies.
