--- a/tests/test_fleet_split.py
+++ b/tests/test_fleet_split.py
@@ -20,6 +20,8 @@
     fixed = {}
     while len(fixed) < len(claims):
         solver = highspy.Highs()
+        # As in shares/solve.py: HiGHS has one scheduler per process, and solvers with another number of threads fail.
+        solver.setOptionValue("threads", 1)
         solver.setOptionValue("output_flag", False)
         level = solver.addVariable(lb=0.0, ub=1e9)
         shares = [
