--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -51,7 +51,7 @@
     if parts in ("no health", "none"):
         suspicion.Health.scaled = lambda self, span_ms: span_ms
     if parts in ("no confirmation", "none"):
-        suspicion.Suspicion.expires_ms = lambda self: self.since_ms + self.late_ms + self.least_ms
+        suspicion.Suspicion.expires_ms = lambda self: self.since_ms + self.paused_ms + self.min_timeout_ms
     if parts in ("no telling", "none"):
         View._priority_updates = lambda self, now_ms, to: []
 
@@ -94,10 +94,12 @@
     for i in range(rounds):
         name = fleet.rng.choice(sorted(fleet.hosts)[3:])
         run = fleet.kill(name).view.run
-        crash_ms.append(fleet.until(lambda run=run: fleet.gone_everywhere(run), 30_000.0))
+        crash_ms.append(fleet.run_until(lambda run=run: fleet.gone_everywhere(run), 30_000.0))
         fleet.run(500.0)
         joined = fleet.add(f"new{i}")
-        join_ms.append(fleet.until(lambda joined=joined: fleet.alive_everywhere(joined.view.run), 30_000.0))
+        join_ms.append(
+            fleet.run_until(lambda joined=joined: fleet.alive_everywhere(joined.view.run), 30_000.0)
+        )
         fleet.run(500.0)
         name = fleet.rng.choice(sorted(fleet.hosts)[3:])
         host = fleet.hosts[name]
@@ -105,10 +107,10 @@
         host.view.leave(began_ms)
         host.flush()
         fleet.hosts.pop(name)
-        leave_ms.append(fleet.until(lambda host=host: fleet.gone_everywhere(host.view.run), 30_000.0))
+        leave_ms.append(fleet.run_until(lambda host=host: fleet.gone_everywhere(host.view.run), 30_000.0))
         host.up = False
         fleet.add(f"back{i}")
-        fleet.until(fleet.converged, 30_000.0)
+        fleet.run_until(fleet.converged, 30_000.0)
     print_json(
         members=members,
         seed=seed,
@@ -133,7 +135,7 @@
         fleet.run(partition_s * 1000.0)
         before = fleet.traffic()
         fleet.heal()
-        healed_ms = fleet.until(fleet.converged, 60_000.0)
+        healed_ms = fleet.run_until(fleet.converged, 60_000.0)
         used = [after - earlier for after, earlier in zip(fleet.traffic(), before, strict=True)]
         print_json(
             members=members,
@@ -222,7 +224,7 @@
     network.conditions.loss_rate = lost
     names = [f"h{i}" for i in range(members)]
     last_received_ms = {name: dict.fromkeys(names, 0.0) for name in names}
-    heartbeat = wire.encode(wire.Gossip(10**6, 5 << 60, 0)) + bytes(wire.SEAL_BYTES)
+    heartbeat = wire.encode(wire.Gossip(10**6, 5 << 60, 0)) + bytes(wire.AUTH_HEADER_BYTES)
     crashed: set[str] = set()
     false_suspicions = 0
 
@@ -380,7 +382,7 @@
         began_ms = fleet.clock.now_ms
         scenario(fleet)
         took_ms = fleet.clock.now_ms - began_ms
-        settled_ms = fleet.until(fleet.converged, 60_000.0)
+        settled_ms = fleet.run_until(fleet.converged, 60_000.0)
         fleet.run(WINDOW_S * 1000.0)
         rates = [(after - before) / members for before, after in itertools.pairwise(totals)]
         affected_s = min(len(rates), max(WINDOW_S, round((took_ms + settled_ms) / 1000.0)))
@@ -415,7 +417,7 @@
     fleet.run(20_000.0)
     view = fleet.hosts["p0000"].view
     others = [host.view for host in list(fleet.hosts.values())[1:]]
-    seal = wire.Seal([b"k" * 32])
+    authenticator = wire.Authenticator([b"k" * 32])
     pings = []
     for i in range(20_000):
         other = others[i % len(others)]
@@ -423,24 +425,24 @@
         ping = wire.Ping(
             next(other.message_counter), other.run, view.run, i, other.me.address, members, digest
         )
-        pings.append(seal.sign(wire.encode(ping)))
+        pings.append(authenticator.sign(wire.encode(ping)))
     began = time.perf_counter()
     for data in pings:
-        view.received(fleet.clock.now_ms, wire.decode(seal.verify(data)))
+        view.on_message(fleet.clock.now_ms, wire.decode(authenticator.verify(data)))
         for outgoing in view.outbox:
-            seal.sign(wire.encode(outgoing.message))
+            authenticator.sign(wire.encode(outgoing.message))
         view.outbox.clear()
     us_per_datagram = (time.perf_counter() - began) / len(pings) * 1e6
     tracemalloc.start()
     records = [member.record(0.0) for member in view.table]
-    fresh = View(view.me, (), random.Random(1), Metrics(), view.pace, 4096)
+    fresh = View(view.me, (), random.Random(1), Metrics(), view.timing, 4096)
     before, _ = tracemalloc.get_traced_memory()
     fresh.start(0.0)
     fresh._merge(0.0, records)
     after, _ = tracemalloc.get_traced_memory()
     began = time.perf_counter()
     for step in range(5 * 200):
-        fresh.due(step * 10.0)
+        fresh.on_timer(step * 10.0)
         fresh.outbox.clear()
     timers_share = (time.perf_counter() - began) / 10.0
     print_json(
--- a/leadslip/__main__.py
+++ b/leadslip/__main__.py
@@ -242,7 +242,7 @@
         self.metrics.add("servers.unknown_ends")
         self.clients.release(call.hex(), cut)
         for part in self.parts.values():
-            part.ended_elsewhere(call.hex())
+            part.on_unknown_call_ended(call.hex())
 
     def log_counters(self, _: object = None) -> None:
         """Log the counts of the metrics, and schedule the next log line."""
--- a/leadslip/cli/drill.py
+++ b/leadslip/cli/drill.py
@@ -30,11 +30,11 @@
     seed: int,
     folder: Path,
     actions: list[ScheduledAction] | None = None,
-    broken: str = "",
+    faulty_variant: str = "",
 ) -> dict:
     """Run one scenario with its files in `folder` and return the checked result.
 
-    `actions` replaces the schedule drawn from the seed; `broken` names a faulty variant of the program to run.
+    `actions` replaces the schedule drawn from the seed; `faulty_variant` names a faulty variant of the program to run.
     """
     from leadslip.drill.run import Drill
 
@@ -43,7 +43,7 @@
     async def run_until_done() -> dict:
         # SIGTERM cancels the run, as an interrupt does, so that its processes are stopped.
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
-        return await Drill(scenario, seed, folder, actions, broken).run()
+        return await Drill(scenario, seed, folder, actions, faulty_variant).run()
 
     report = asyncio.run(run_until_done())
     breaches, figures = checker.check(folder, scenario.settle_s, scenario.in_force_ms)
@@ -124,9 +124,9 @@
             else Path(tempfile.mkdtemp(prefix="drill-"))
         )
         try:
-            result = run_scenario(parsed_scenario, run_seed, folder, broken=broken)
+            result = run_scenario(parsed_scenario, run_seed, folder, faulty_variant=broken)
             if plot:
-                plot_run(f"{parsed_scenario.title}, seed {run_seed}", *checker.records(folder), plot)
+                plot_run(f"{parsed_scenario.title}, seed {run_seed}", *checker.read_records(folder), plot)
         except asyncio.CancelledError:
             sys.exit(128 + signal.SIGTERM)
         finally:
@@ -172,7 +172,7 @@
                 "held"
             ]
 
-    minimal = scenarios.minimized(actions, breaks_invariant)
+    minimal = scenarios.minimize(actions, breaks_invariant)
     (Path(folder) / "least.json").write_bytes(
         msgspec.json.encode({"seed": schedule["seed"], "acts": minimal})
     )
--- a/leadslip/drill/check.py
+++ b/leadslip/drill/check.py
@@ -53,7 +53,7 @@
     end_ms: float
 
 
-def lines(path: Path) -> list[dict]:
+def read_history(path: Path) -> list[dict]:
     """The records of a history file; a line that a killed process left truncated is ignored."""
     parsed = []
     for line in path.read_text().splitlines():
@@ -64,15 +64,15 @@
     return parsed
 
 
-def records(folder: Path) -> tuple[dict[str, list[dict]], list[dict]]:
+def read_records(folder: Path) -> tuple[dict[str, list[dict]], list[dict]]:
     """The histories in the folder of a drill, by start name, and its fault record."""
-    histories = {path.stem: lines(path) for path in sorted(folder.glob("*.jsonl"))}
+    histories = {path.stem: read_history(path) for path in sorted(folder.glob("*.jsonl"))}
     return histories, json.loads((folder / "faults.json").read_text())
 
 
 def check(folder: Path, settle_s: float, in_force_ms: float = 0.0) -> tuple[list[Breach], dict[str, float]]:
     """Check the files of a drill: all breaches, and figures such as the convergence time and the calls judged."""
-    histories, faults = records(folder)
+    histories, faults = read_records(folder)
     breaches, figures = check_views_and_answers(
         histories, faults, json.loads((folder / "calls.json").read_text()), settle_s
     )
--- a/leadslip/drill/faulty.py
+++ b/leadslip/drill/faulty.py
@@ -89,9 +89,9 @@
     max_version = 1
 
     def __init__(self, me: OwnMember, *args: object) -> None:
-        super().__init__(replace(me, facts={}), *args)
+        super().__init__(replace(me, metadata={}), *args)
 
-    def change_facts(self, now_ms: float, facts: dict[str, str | int]) -> None:
+    def set_metadata(self, now_ms: float, metadata: dict[str, str | int]) -> None:
         return
 
     def _apply_gossip(self, now_ms: float, message: wire.Ping | wire.Ack | wire.Gossip) -> None:
@@ -128,11 +128,11 @@
     def _is_majority(self, supporters: Sequence[str]) -> bool:
         return bool(supporters)
 
-    def _advance(self, now_ms: float) -> None:
+    def _advance_commit_index(self, now_ms: float) -> None:
         if self.durable_index > self.committed:
             self._commit(self.durable_index)
 
-    def _confirm(self, now_ms: float) -> None:
+    def _update_confirmed_round(self, now_ms: float) -> None:
         self.confirmed_ms, self.confirmed_index = now_ms, self.committed
 
 
--- a/leadslip/drill/run.py
+++ b/leadslip/drill/run.py
@@ -30,8 +30,8 @@
     ScheduledAction,
     draw_drifts,
     draw_schedule,
-    names,
     previous_version_names,
+    process_names,
 )
 from leadslip.errors import OperatorError
 from leadslip.site import configuration
@@ -328,7 +328,7 @@
         change_submitter = None
         try:
             self.toy_ports = await ports
-            for i, name in enumerate(names(scenario.processes)):
+            for i, name in enumerate(process_names(scenario.processes)):
                 self.processes[name] = Process(self, name, i)
             if scenario.voters:
                 change_submitter = ChangeSubmitter(
--- a/leadslip/drill/scenario.py
+++ b/leadslip/drill/scenario.py
@@ -157,7 +157,7 @@
 PROCESS_FAULT_ACTIONS = {"stall": ("stop", "go on"), "service": ("out of service", "in service")}
 
 
-def names(processes: int) -> tuple[str, ...]:
+def process_names(processes: int) -> tuple[str, ...]:
     """The names of this many processes: n00, n01 and so on."""
     return tuple(f"n{i:02d}" for i in range(processes))
 
@@ -174,14 +174,14 @@
 
 def previous_version_names(scenario: Scenario) -> tuple[str, ...]:
     """The names of the processes that speak the previous wire version: the last `former` ones."""
-    all_names = names(scenario.processes)
+    all_names = process_names(scenario.processes)
     return all_names[len(all_names) - scenario.former :]
 
 
 def draw_drifts(scenario: Scenario, seed: int) -> dict[str, float]:
     """Draw the drift of each process's monotonic clock, in parts per million."""
     rng, max_ppm = Random(f"drift {seed}"), scenario.drift_ppm
-    return {name: rng.uniform(-max_ppm, max_ppm) for name in names(scenario.processes)}
+    return {name: rng.uniform(-max_ppm, max_ppm) for name in process_names(scenario.processes)}
 
 
 def partition_paths(rng: Random, all_names: tuple[str, ...], parts: str) -> tuple[tuple[str, str], ...]:
@@ -213,7 +213,7 @@
 
 def draw_schedule(scenario: Scenario, seed: int) -> list[ScheduledAction]:
     """Draw the actions of a scenario from a seed, in order of time."""
-    rng, all_names = Random(seed), names(scenario.processes)
+    rng, all_names = Random(seed), process_names(scenario.processes)
     actions: list[ScheduledAction] = []
     for fault in scenario.fault:
         for i in range(fault.times):
@@ -258,7 +258,7 @@
     return actions
 
 
-def minimized(
+def minimize(
     actions: list[ScheduledAction], breaks: Callable[[list[ScheduledAction]], bool]
 ) -> list[ScheduledAction]:
     """Minimize a failing schedule: remove halves, quarters and so on of its faults, while it still fails.
--- a/leadslip/fleet/agreement/documents.py
+++ b/leadslip/fleet/agreement/documents.py
@@ -75,7 +75,7 @@
     most_tries: int
 
 
-class Isolated(Document):
+class FallbackRules(Document):
     """Document `isolated`: the fallback rules, at least as strict as every revision."""
 
     bars: BarredCalls = BarredCalls()
@@ -89,7 +89,7 @@
     "held": DrainedServers,
     "reserve": ReservedLines,
     "classes": Classes,
-    "isolated": Isolated,
+    "isolated": FallbackRules,
 }
 
 
@@ -177,14 +177,14 @@
                     )
             if document.most_tries < 1:
                 raise RefusedError(f"{name}.most_tries is below 1: {document.most_tries}")
-        case Isolated():
+        case FallbackRules():
             _validate(f"{name}.bars", document.bars)
             _validate(f"{name}.reserve", document.reserve)
             if document.most_tries < 1:
                 raise RefusedError(f"{name}.most_tries is below 1: {document.most_tries}")
 
 
-def stricter_rule(isolated: Isolated, documents: Mapping[str, Document]) -> str:
+def stricter_rule(isolated: FallbackRules, documents: Mapping[str, Document]) -> str:
     """Describes the first rule of the documents that is stricter than the fallback rules; empty if there is none."""
     bars, held = documents.get("bars", BarredCalls()), documents.get("held", DrainedServers())
     for prefix in bars.prefixes:
@@ -217,7 +217,7 @@
         self.changed_in: dict[str, int] = {}  # name -> the revision that changed it last
         self.history: list[Revision] = []  # the oldest first
         self.bodies_by_hash: dict[str, bytes] = {}  # of all revisions in the history
-        self.ids: dict[str, ChangeResult] = {}  # change id -> result, the oldest first
+        self.results: dict[str, ChangeResult] = {}  # change id -> result, the oldest first
 
     def check(self, proposal: Proposal) -> None:
         """Checks that a change may be proposed. Raises RefusedError that names the rule which the change breaks."""
@@ -228,7 +228,7 @@
         documents = {
             name: parse_document(name, body) for name, body in (self.bodies | proposal.bodies).items() if body
         }
-        isolated = documents.pop("isolated", Isolated())
+        isolated = documents.pop("isolated", FallbackRules())
         problem = stricter_rule(isolated, documents)
         if not problem and "isolated" in self.bodies:
             # Some proxies may still apply the current fallback rules, so the change must not be stricter than those
@@ -258,7 +258,7 @@
 
         The result is the same at every proxy, whatever its version.
         """
-        earlier_result = self.ids.get(proposal.id)
+        earlier_result = self.results.get(proposal.id)
         if earlier_result is not None:
             return earlier_result
         conflict = self.conflict(proposal)
@@ -291,9 +291,9 @@
         return self._record_result(proposal.id, ChangeResult(self.revision))
 
     def _record_result(self, id_: str, result: ChangeResult) -> ChangeResult:
-        self.ids[id_] = result
-        while len(self.ids) > MAX_RESULTS:
-            del self.ids[next(iter(self.ids))]
+        self.results[id_] = result
+        while len(self.results) > MAX_RESULTS:
+            del self.results[next(iter(self.results))]
         return result
 
     def bodies_at(self, number: int) -> dict[str, bytes] | None:
@@ -316,7 +316,7 @@
 
     def dump(self) -> bytes:
         """Serializes the complete state for a snapshot."""
-        state = (self.revision, self.bodies, self.changed_in, self.history, self.bodies_by_hash, self.ids)
+        state = (self.revision, self.bodies, self.changed_in, self.history, self.bodies_by_hash, self.results)
         return msgspec.msgpack.encode(state)
 
     @classmethod
@@ -339,6 +339,6 @@
                 documents.changed_in,
                 documents.history,
                 documents.bodies_by_hash,
-                documents.ids,
+                documents.results,
             ) = state
         return documents
--- a/leadslip/fleet/agreement/filter.py
+++ b/leadslip/fleet/agreement/filter.py
@@ -74,7 +74,7 @@
     def _report_rules(self, rules: Rules, fleet_now_ms: float) -> None:
         """Records in the event history which rules are applied now, and when the last call before this was decided."""
         self.reported_ms = fleet_now_ms
-        fields = {"revision": rules.revision, "agreed": rules.agreed, "mark": f"{rules.mark:08x}"}
+        fields = {"revision": rules.revision, "agreed": rules.agreed, "mark": f"{rules.checksum:08x}"}
         self.report(do="acts", until_ms=self.last_decision_ms, **fields)
 
     def _apply_rules(self, rules: Rules, fleet_now_ms: float) -> None:
--- a/leadslip/fleet/agreement/member.py
+++ b/leadslip/fleet/agreement/member.py
@@ -1,12 +1,13 @@
 """One proxy's member of the agreement, a Raft voter or a learner: receives revisions and selects the rules to apply.
 
-Performs no I/O. Driven by `received`, `on_freshness_report`, `on_view_change`, `saved`, `due` and operators' requests;
-it leaves messages in `outbox`, saves in `saves` and the time of the next call of `due` in `wake_ms`. Voters replicate
-the log (raft.py) and apply it to the documents (documents.py). All other members are learners: they get revisions from
-other members. Members report the newest revision that they know of in their answers to pings (freshness.py). A learner
-that receives a report of a newer revision than its own asks the reporting member for the hashes of its documents, and
-then for the bodies that it lacks, one chunk at a time, from any member that has them. Chunks already received are
-retained if that member leaves or dies. A body is accepted if its hash matches, whichever member sent it.
+Performs no I/O. Driven by `on_message`, `on_freshness_report`, `on_view_change`, `saved`, `on_timer` and operators'
+requests; it leaves messages in `outbox`, saves in `saves` and the time of the next call of `on_timer` in `wake_ms`.
+Voters replicate the log (raft.py) and apply it to the documents (documents.py). All other members are learners: they
+get revisions from other members. Members report the newest revision that they know of in their answers to pings
+(freshness.py). A learner that receives a report of a newer revision than its own asks the reporting member for the
+hashes of its documents, and then for the bodies that it lacks, one chunk at a time, from any member that has them.
+Chunks already received are retained if that member leaves or dies. A body is accepted if its hash matches, whichever
+member sent it.
 
 A report also contains a checksum of the revision's contents, by which replicas that diverge are detected. A learner
 whose own checksum differs asks a voter for its hashes. If its replica differs from the voter's too, the replica is
@@ -30,7 +31,7 @@
     Classes,
     Document,
     Documents,
-    Isolated,
+    FallbackRules,
     Proposal,
     RefusedError,
     hash_of,
@@ -171,7 +172,7 @@
 
     revision: int
     agreed: bool  # False: the fallback rules
-    mark: int  # checksum of the revision's contents
+    checksum: int  # of the revision's contents
     documents: Mapping[str, Document]
 
     @classmethod
@@ -181,17 +182,17 @@
             return cls(
                 contents.revision,
                 True,
-                contents.mark,
+                contents.checksum,
                 {name: parse_document(name, body) for name, body in contents.bodies.items()},
             )
         except RefusedError:
             return None
 
     @classmethod
-    def fallback(cls, isolated: Isolated, revision: int = 0, mark: int = 0) -> Rules:
+    def fallback(cls, isolated: FallbackRules, revision: int = 0, checksum: int = 0) -> Rules:
         """Returns the fallback rules that a revision's document `isolated` defines."""
         documents = {"bars": isolated.bars, "held": isolated.held, "reserve": isolated.reserve}
-        return cls(revision, False, mark, documents | {"isolated": isolated})
+        return cls(revision, False, checksum, documents | {"isolated": isolated})
 
     @property
     def max_attempts(self) -> int | None:
@@ -208,7 +209,7 @@
 
     revision: int
     bodies: Mapping[str, bytes]
-    mark: int  # checksum
+    checksum: int
 
     @classmethod
     def from_bodies(cls, revision: int, bodies: Mapping[str, bytes]) -> RevisionContents:
@@ -260,7 +261,7 @@
         view: View,
         voters: tuple[str, ...],
         in_force_ms: float,
-        isolated: Isolated,
+        isolated: FallbackRules,
         rng: Random,
         metrics: Metrics,
         log_event: Callable[..., None],
@@ -306,17 +307,17 @@
         self.id, self.starts, self.persistent_state = id_, starts, persistent_state
         self.blank = not persistent_state.snapshot.voters
 
-    def facts(self) -> dict[str, str | int]:
+    def metadata(self) -> dict[str, str | int]:
         """Returns the metadata by which other members recognize this voter; empty at a learner."""
         if not self.id:
             return {}
         return {"voter": self.id, "starts": self.starts, "blank": int(self.blank)}
 
-    def due(self, now_ms: float) -> None:
+    def on_timer(self, now_ms: float) -> None:
         """Runs the expired timers; to be called at wake_ms, but calls at other times are harmless."""
         self._start_voting(now_ms)
         if self.raft is not None:
-            self.raft.due(now_ms)
+            self.raft.on_timer(now_ms)
             self._after_raft_step(now_ms)
         self._step(now_ms)
 
@@ -354,7 +355,9 @@
     def _live_voters(self) -> dict[str, Member]:
         """Returns the live members that announce a voter id in their metadata, by that id."""
         return {
-            str(member.facts["voter"]): member for member in self.view.members() if "voter" in member.facts
+            str(member.metadata["voter"]): member
+            for member in self.view.members()
+            if "voter" in member.metadata
         }
 
     def _is_disk_outdated(self) -> bool:
@@ -364,9 +367,9 @@
         """
         own_process = process_of(self.view.run)
         return any(
-            member.facts.get("voter") == self.id
+            member.metadata.get("voter") == self.id
             and process_of(member.run) != own_process
-            and int(member.facts.get("starts", 0)) >= self.starts
+            and int(member.metadata.get("starts", 0)) >= self.starts
             for member in self.view.table
         )
 
@@ -379,11 +382,11 @@
         if self.view.me.name != self.voter_names[0]:
             return
         blank_voters = {
-            member.name: member for member in self._live_voters().values() if member.facts.get("blank")
+            member.name: member for member in self._live_voters().values() if member.metadata.get("blank")
         }
         if not all(name in blank_voters for name in self.voter_names):
             return
-        self._accept_voters(sorted(str(blank_voters[name].facts["voter"]) for name in self.voter_names))
+        self._accept_voters(sorted(str(blank_voters[name].metadata["voter"]) for name in self.voter_names))
 
     def _accept_voters(self, voters: list[str]) -> None:
         """Initializes the persistent state of an empty disk with the first list of voters, and saves it.
@@ -403,7 +406,9 @@
             return
         live_voters = self._live_voters()
         blank = [
-            id_ for id_ in raft.snapshot.voters if id_ in live_voters and live_voters[id_].facts.get("blank")
+            id_
+            for id_ in raft.snapshot.voters
+            if id_ in live_voters and live_voters[id_].metadata.get("blank")
         ]
         if blank and now_ms - self.bootstrap_sent_ms > BOOTSTRAP_INTERVAL_MS:
             self.bootstrap_sent_ms = now_ms
@@ -433,7 +438,9 @@
     def on_view_change(self, change: Change) -> None:
         """Handles a change of the view: voters may have appeared, or another process that uses this voter's disk."""
         may_be_our_disk = (
-            self.raft is not None and change.after is not None and change.after.facts.get("voter") == self.id
+            self.raft is not None
+            and change.after is not None
+            and change.after.metadata.get("voter") == self.id
         )
         if may_be_our_disk and self._is_disk_outdated():
             self._stop("another process that started later uses the same disk, or a copy of it")
@@ -441,7 +448,7 @@
 
     # Messages.
 
-    def received(self, now_ms: float, run: int, body: bytes) -> None:
+    def on_message(self, now_ms: float, run: int, body: bytes) -> None:
         """Handles a message of another member; `run` identifies the sender."""
         try:
             message = _decoder.decode(body)
@@ -501,7 +508,7 @@
     def _is_voter(self, run: int, id_: str) -> bool:
         """Whether the metadata of the member with this run announces this voter id."""
         member = self.view.table.get(run)
-        return member is not None and member.facts.get("voter") == id_
+        return member is not None and member.metadata.get("voter") == id_
 
     def _send(self, run: int, message: object) -> None:
         self.outbox.append((run, _encoder.encode(message)))
@@ -577,7 +584,7 @@
         if report is None or report[1] > self.freshness.max_age_ms:
             return []
         revision, age_ms = report
-        return [revision, int(age_ms) + 1, self.newest.mark if self.newest.revision == revision else 0]
+        return [revision, int(age_ms) + 1, self.newest.checksum if self.newest.revision == revision else 0]
 
     def on_freshness_report(self, run: int, sent_ms: float, report: list[int]) -> None:
         """Handles the report in a member's answer to our ping, which was sent at `sent_ms`."""
@@ -585,7 +592,7 @@
             return
         revision, age_ms, checksum = report[:3]
         self.freshness.record_report(sent_ms, revision, float(age_ms))
-        if revision == self.newest.revision and checksum and checksum != self.newest.mark:
+        if revision == self.newest.revision and checksum and checksum != self.newest.checksum:
             self._on_divergence(run, revision)
         elif revision > self.newest.revision and self.raft is None and self.fetch is None and checksum:
             self.fetch = Fetch(run, -float("inf"), revision)
@@ -596,7 +603,7 @@
         self.metrics.add("agreement.differs")
         reporter = self.view.table.get(run)
         if self.raft is not None:
-            if reporter is not None and reporter.facts.get("voter") == self.raft.leader:
+            if reporter is not None and reporter.metadata.get("voter") == self.raft.leader:
                 self._stop(f"its revision {revision} differs from the leader's")
             return
         if self.fetch is None:
@@ -614,7 +621,7 @@
             return
         if reply.revision == self.newest.revision:
             self.fetch = None
-            if contents_checksum(reply.revision, reply.hashes) == self.newest.mark:
+            if contents_checksum(reply.revision, reply.hashes) == self.newest.checksum:
                 return  # our replica matches, so that of the member that reported the divergence is wrong
             self._quarantine(reply)
         fetch.revision_hashes = reply
@@ -716,8 +723,8 @@
             self.freshness.apply_revision(self.current.revision)
             self.rules = Rules.parse(self.current)
             isolated = self.rules.documents.get("isolated") if self.rules is not None else None
-            fallback = isolated if isinstance(isolated, Isolated) else self.isolated
-            self.fallback_rules = Rules.fallback(fallback, self.current.revision, self.current.mark)
+            fallback = isolated if isinstance(isolated, FallbackRules) else self.isolated
+            self.fallback_rules = Rules.fallback(fallback, self.current.revision, self.current.checksum)
             if self.rules is None:
                 self.metrics.add("agreement.unread")
 
@@ -746,8 +753,8 @@
     def _on_propose(self, now_ms: float, run: int, request: Propose) -> None:
         """Handles a change that a member, possibly this one, proposes; replies with the leader if that is another."""
         raft = self.raft
-        if request.change is not None and request.id in self.documents.ids and raft is not None:
-            result = self.documents.ids[request.id]
+        if request.change is not None and request.id in self.documents.results and raft is not None:
+            result = self.documents.results[request.id]
             self._reply(run, ProposeReply(request.id, result.revision, result.conflict))
             return
         if raft is None or raft.role is not Role.LEADER or len(self.proposers) >= MAX_UNCOMMITTED_PROPOSALS:
@@ -856,7 +863,7 @@
         return {
             "revision": self.current.revision,
             "in_force": "agreed" if rules.agreed else "isolated",
-            "mark": f"{self.current.mark:08x}",
+            "mark": f"{self.current.checksum:08x}",
             "newest": None if newest is None else {"revision": newest[0], "age_ms": round(newest[1])},
             "fetching": self.fetch is not None,
             "voter": None
--- a/leadslip/fleet/agreement/raft.py
+++ b/leadslip/fleet/agreement/raft.py
@@ -1,6 +1,6 @@
 """Raft consensus on one log (Ongaro, 2014) with pre-vote, check-quorum, leadership transfer and snapshots.
 
-One `Raft` object per voter, driven by `received`, `due`, `saved` and the calls of operators. It leaves messages in
+One `Raft` object per voter, driven by `received`, `on_timer`, `saved` and the calls of operators. It leaves messages in
 `outbox` and data to be made durable in `saves`, and passes committed entries to `on_committed`. Times are milliseconds
 of the voter's monotonic clock. Pure: no I/O, time and randomness are passed in.
 
@@ -274,7 +274,7 @@
         """Starts as a follower that waits for a leader."""
         self._reset_election_timer(now_ms)
 
-    def due(self, now_ms: float) -> None:
+    def on_timer(self, now_ms: float) -> None:
         """Runs the expired timers; to be called at wake_ms, but calls at other times are harmless."""
         if self.role is Role.LEADER:
             if now_ms >= self.heartbeat_due_ms:
@@ -313,7 +313,7 @@
             elif message.term == self.term:
                 self.outbox.append(message)
         if self.role is Role.LEADER:
-            self._advance(now_ms)
+            self._advance_commit_index(now_ms)
 
     def _send(self, message: AnyMessage, durable: bool = False) -> None:
         """Queues a message for sending; with `durable` only once all saves issued so far are on disk."""
@@ -437,7 +437,7 @@
         )
         self.term_start_index = self.last_index
         self._send_heartbeats(now_ms)
-        self._advance(now_ms)
+        self._advance_commit_index(now_ms)
 
     # Replication.
 
@@ -449,7 +449,7 @@
         self._require_leader()
         index = self._append(EntryKind.CHANGE, data)
         self._send_heartbeats(now_ms)
-        self._advance(now_ms)
+        self._advance_commit_index(now_ms)
         return index
 
     def _require_leader(self) -> None:
@@ -490,7 +490,7 @@
             del self.rounds[old_round]
         for voter in self.followers:
             self._replicate(now_ms, voter)
-        self._confirm(now_ms)
+        self._update_confirmed_round(now_ms)
         self._update_wake_time()
 
     def _replicate(self, now_ms: float, voter: str) -> None:
@@ -553,7 +553,7 @@
         if message.success:
             follower.match_index = max(follower.match_index, message.index)
             follower.next_index = max(follower.next_index, follower.match_index + 1)
-            self._advance(now_ms)
+            self._advance_commit_index(now_ms)
             if follower.next_index <= self.last_index and follower.match_index == follower.next_index - 1:
                 self._replicate(now_ms, message.source)
             if self.transfer_target == message.source and follower.match_index == self.last_index:
@@ -561,7 +561,7 @@
         else:
             follower.next_index = max(follower.match_index, min(message.index, follower.next_index - 1)) + 1
             self._replicate(now_ms, message.source)
-        self._confirm(now_ms)
+        self._update_confirmed_round(now_ms)
 
     def _on_install_snapshot(self, now_ms: float, message: InstallSnapshot) -> None:
         self.last_leader_contact_ms = now_ms
@@ -578,7 +578,7 @@
         index = max(snapshot.index, self.committed)
         self._send(AppendReply(self.id, message.source, self.term, True, index, message.round), durable=True)
 
-    def _advance(self, now_ms: float) -> None:
+    def _advance_commit_index(self, now_ms: float) -> None:
         """Commits all entries up to the index that a majority has on disk, if the entry there is of the leader's term.
 
         Entries of earlier terms are committed only along with one of the leader's term (section 5.4.2 of Ongaro and
@@ -635,7 +635,7 @@
             return None
         return self.confirmed_index, now_ms - self.confirmed_ms
 
-    def _confirm(self, now_ms: float) -> None:
+    def _update_confirmed_round(self, now_ms: float) -> None:
         """Finds the latest round that a majority has answered and records its start and its committed index."""
         voters = self.voters
         answered_rounds = sorted(
@@ -676,7 +676,7 @@
         for voter in set(self.followers) - set(voters):
             del self.followers[voter]
         self._send_heartbeats(now_ms)
-        self._advance(now_ms)
+        self._advance_commit_index(now_ms)
         return index
 
     def voters_settled(self) -> bool:
--- a/leadslip/fleet/replicas/member.py
+++ b/leadslip/fleet/replicas/member.py
@@ -166,7 +166,7 @@
     owner: int  # run
     owner_name: str
     table: Table = field(default_factory=Table)
-    gone_ms: float = float("inf")  # when its owner was found to be gone; inf while it is live
+    owner_gone_ms: float = float("inf")  # when its owner was found to be gone; inf while it is live
     received_ms: float = 0.0  # when the owner last sent a message
     offered_ms: float = -float("inf")  # when it was last offered to a new process of the owner's name
 
@@ -215,7 +215,7 @@
             on_recovered,
         )
         self.outbox: list[tuple[int, bytes]] = []  # (run of the receiver, encoded message)
-        self.own = Table(fresh=True)  # this proxy's own table
+        self.own_table = Table(fresh=True)  # this proxy's own table
         self.log: deque[Record] = deque(maxlen=MAX_LOG_RECORDS)  # the latest changes of the own table
         self.holders: dict[int, Holder] = {}  # by the holder's run
         self.held_replicas: dict[int, Replica] = {}  # run of the owner -> its replica
@@ -231,7 +231,7 @@
         # When this process joined and knew other members; None until then, -inf after the orphan retention has passed.
         self.fleet_known_ms: float | None = None
         self.placement_current = False  # whether the holders are chosen from the current view
-        self.wake_ms = 0.0  # when `due` is to be called next
+        self.wake_ms = 0.0  # when `on_timer` is to be called next
         view.listeners.append(self.on_member_change)
         view.generation_listeners.append(self.on_new_generation)
 
@@ -243,14 +243,14 @@
         if len(self.recent_changes) > MAX_RECENT_CHANGES:
             self.recent_changes.popitem(last=False)
         may_recover = self.fleet_known_ms is None or self.fleet_known_ms > -float("inf")
-        if kind == ESTABLISHED and state is None and may_recover and self.own.get(kind, key) is None:
+        if kind == ESTABLISHED and state is None and may_recover and self.own_table.get(kind, key) is None:
             # The call may be in a table that this process or a successor has still to recover: records that it ended.
             self._put(ENDED, key, b"")
         self._put(kind, key, state)
 
     def _put(self, kind: str, key: str, state: bytes | None) -> None:
         """Change the own table and log the change, if it is one."""
-        table = self.own
+        table = self.own_table
         if state == table.get(kind, key):
             return
         sequence = table.applied + 1
@@ -287,7 +287,7 @@
         live = {process_of(member.run): member.run for member in members}
         for replica in self.held_replicas.values():
             run = live.get(process_of(replica.owner))
-            replica.gone_ms = float("inf") if run is not None else min(replica.gone_ms, now_ms)
+            replica.owner_gone_ms = float("inf") if run is not None else min(replica.owner_gone_ms, now_ms)
             if run is not None and run != replica.owner:
                 # The owner has become a later generation, possibly with other holders: not relied on until it is heard.
                 replica.received_ms = min(replica.received_ms, now_ms - OWNER_SILENT_MS)
@@ -312,7 +312,7 @@
 
     def _flush(self, now_ms: float) -> None:
         """Send holders the changes and buckets that they lack, as far as the rate limit allows."""
-        table = self.own
+        table = self.own_table
         first_logged = self.log[0].sequence if self.log else table.applied + 1
         for run, holder in self.holders.items():
             retransmit = now_ms >= holder.sent_ms + RETRANSMIT_MS
@@ -476,7 +476,10 @@
             return
         if self.view.table.status(message.owner) < State.DEAD:
             return  # the owner is alive, as during an upgrade, and keeps its table
-        if self.own.get(PREDECESSOR, predecessor_key(process)) is not None and process not in self.recoveries:
+        if (
+            self.own_table.get(PREDECESSOR, predecessor_key(process)) is not None
+            and process not in self.recoveries
+        ):
             # The own table was recovered from a process that had adopted the offered one, so the offered one is older.
             self._post(run, ReleaseReplica(message.owner))
             return
@@ -513,7 +516,7 @@
         if recovery.is_incomplete() or recovery.adopted_sequence >= 0:
             return
         changed_here = set(self.recent_changes)
-        for key in recovery.table.all(ENDED):
+        for key in recovery.table.states_of(ENDED):
             if (ESTABLISHED, key) not in changed_here:
                 # The call may have been adopted from the table of an earlier process.
                 self._put(ESTABLISHED, key, None)
@@ -521,12 +524,12 @@
         for kind in (PREDECESSOR, ENDED, LEARNED, ESTABLISHED):
             recovered = {
                 key: state
-                for key, state in recovery.table.all(kind).items()
+                for key, state in recovery.table.states_of(kind).items()
                 if (kind, key) not in self.recent_changes
             }
             deleted_keys = recovery.adopted.get(kind, set()) - recovered.keys()
             if kind == ESTABLISHED:
-                for key in recovery.table.all(PREDECESSOR):
+                for key in recovery.table.states_of(PREDECESSOR):
                     earlier = self.recoveries.pop(int(key, 16), None)
                     deleted_keys |= (
                         earlier.adopted.get(ESTABLISHED, set()) - recovered.keys()
@@ -541,11 +544,11 @@
             recovery.adopted[kind] = set(recovered)
             self.on_recovered(kind, recovered)
         self._put(PREDECESSOR, predecessor_key(process_of(recovery.owner)), b"")
-        recovery.adopted_sequence = self.own.applied
+        recovery.adopted_sequence = self.own_table.applied
         self.metrics.add("replicas.returned")
         self.log_event("replicas.returned", calls=len(recovery.adopted[ESTABLISHED]))
 
-    def behind(self, now_ms: float) -> bool:
+    def recovery_pending(self, now_ms: float) -> bool:
         """Whether the table of an earlier process may still have to be recovered."""
         awaiting_offers = self.fleet_known_ms is None or now_ms < self.fleet_known_ms + OFFER_WAIT_MS
         return awaiting_offers or any(recovery.adopted_sequence < 0 for recovery in self.recoveries.values())
@@ -554,14 +557,14 @@
 
     def server_of(self, now_ms: float, call: str) -> str:
         """The server at which a call is established, according to the own table or a replica; empty if unknown."""
-        state = self.own.get(ESTABLISHED, call)
+        state = self.own_table.get(ESTABLISHED, call)
         if state is None and (ESTABLISHED, call) not in self.recent_changes:  # else it ended here
             # A replica is used if its owner is gone or has sent a message recently: a live owner that has been silent
             # for longer may have chosen other holders.
             states = (
                 replica.table.get(ESTABLISHED, call)
                 for replica in self.held_replicas.values()
-                if replica.gone_ms < float("inf") or now_ms < replica.received_ms + OWNER_SILENT_MS
+                if replica.owner_gone_ms < float("inf") or now_ms < replica.received_ms + OWNER_SILENT_MS
             )
             state = next((found for found in states if found is not None), None)
         return "" if state is None else state.decode("utf-8", "replace")
@@ -602,7 +605,7 @@
 
     # Timer and messages
 
-    def due(self, now_ms: float) -> None:
+    def on_timer(self, now_ms: float) -> None:
         """Do the periodic work: flush, fetch, offer, and expire replicas; to be called at `wake_ms`."""
         if not self.placement_current:
             self._place(now_ms)
@@ -610,7 +613,7 @@
             self.fleet_known_ms is not None
             and -float("inf") < self.fleet_known_ms < now_ms - ORPHAN_RETENTION_MS
         ):
-            for key in self.own.all(ENDED):
+            for key in self.own_table.states_of(ENDED):
                 self._put(ENDED, key, None)  # no member retains a replica that contains those calls any more
             self.fleet_known_ms = -float("inf")
         self._flush(now_ms)
@@ -620,15 +623,15 @@
             if now_ms >= until_ms:
                 self._finish_locating(call, "")
         for run, replica in list(self.held_replicas.items()):
-            if replica.gone_ms < float("inf"):
+            if replica.owner_gone_ms < float("inf"):
                 self._offer(now_ms, replica)
             elif now_ms > replica.received_ms + STALE_MS:
                 del self.held_replicas[run]  # its owner is alive and replicates to other holders
-            if now_ms > replica.gone_ms + ORPHAN_RETENTION_MS:
+            if now_ms > replica.owner_gone_ms + ORPHAN_RETENTION_MS:
                 del self.held_replicas[run]
         self.wake_ms = now_ms + FLUSH_INTERVAL_MS
 
-    def received(self, now_ms: float, run: int, body: bytes) -> None:
+    def on_message(self, now_ms: float, run: int, body: bytes) -> None:
         """Handle an encoded message from the run of a live member."""
         try:
             message = _decoder.decode(body)
@@ -683,16 +686,16 @@
         names = {member.run: member.name for member in self.view.members()}
         return {
             "own": {
-                "number": self.own.applied,
-                "records": len(self.own),
-                "digest": f"{self.own.digest():016x}",
+                "number": self.own_table.applied,
+                "records": len(self.own_table),
+                "digest": f"{self.own_table.digest():016x}",
             },
             "run": f"{self.view.run:016x}",
-            "behind": self.behind(now_ms),
+            "behind": self.recovery_pending(now_ms),
             "holders": {
                 names.get(run, f"{run:016x}"): {
                     "number": holder.acknowledged,
-                    "lag": self.own.applied - holder.acknowledged,
+                    "lag": self.own_table.applied - holder.acknowledged,
                 }
                 for run, holder in self.holders.items()
             },
@@ -703,7 +706,7 @@
                     "number": replica.table.applied,
                 }
                 | {"records": len(replica.table), "digest": f"{replica.table.digest():016x}"}
-                | {"gone": replica.gone_ms < float("inf")}
+                | {"gone": replica.owner_gone_ms < float("inf")}
                 for replica in self.held_replicas.values()
             ],
             "bytes": self.sent_bytes,
--- a/leadslip/fleet/replicas/table.py
+++ b/leadslip/fleet/replicas/table.py
@@ -126,7 +126,7 @@
         """The state of a key, or None if it has none."""
         return self.buckets[bucket_of(kind, key)].records.get((kind, key))
 
-    def all(self, kind: str) -> dict[str, bytes]:
+    def states_of(self, kind: str) -> dict[str, bytes]:
         """The state of every key of a kind."""
         return {
             key: state
--- a/leadslip/fleet/view/gossip_queue.py
+++ b/leadslip/fleet/view/gossip_queue.py
@@ -120,6 +120,6 @@
 def _text_bytes(member: Member) -> int:
     """Encoded size of a member's texts and metadata."""
     metadata_bytes = sum(
-        2 + len(key) + (len(value) if isinstance(value, str) else 9) for key, value in member.facts.items()
+        2 + len(key) + (len(value) if isinstance(value, str) else 9) for key, value in member.metadata.items()
     )
     return len(member.name) + len(member.address) + len(member.zone) + metadata_bytes
--- a/leadslip/fleet/view/members.py
+++ b/leadslip/fleet/view/members.py
@@ -66,7 +66,7 @@
     since_ms: float = 0.0
     min_version: int = MIN_VERSION  # range of wire versions that it supports
     max_version: int = VERSION
-    facts: dict[str, str | int] = field(default_factory=dict)  # the metadata that it publishes about itself
+    metadata: dict[str, str | int] = field(default_factory=dict)  # what it publishes about itself
     edition: int = 0  # number of changes of the metadata
 
     @property
@@ -100,7 +100,7 @@
             self.zone,
             self.min_version,
             self.max_version,
-            self.facts,
+            self.metadata,
             self.edition,
         )
 
@@ -110,7 +110,9 @@
 
     def fingerprint(self) -> int:
         """64-bit hash by which tables are compared: run, address, metadata, and whether it is live, dead or left."""
-        text = f"{self.run}.{0 if self.live else int(self.state)}.{self.address}.{sorted(self.facts.items())}"
+        text = (
+            f"{self.run}.{0 if self.live else int(self.state)}.{self.address}.{sorted(self.metadata.items())}"
+        )
         return int.from_bytes(blake2b(text.encode(), digest_size=8).digest())
 
 
@@ -141,10 +143,10 @@
         and len(record.zone) <= MAX_NAME_CHARS
         and 0 <= record.min_version <= record.max_version < 256
         and 0 <= record.edition < 1 << 32
-        and len(record.facts) <= MAX_FACTS
+        and len(record.metadata) <= MAX_FACTS
         and all(
             len(key) <= MAX_FACT_CHARS and (not isinstance(value, str) or len(value) <= MAX_FACT_CHARS)
-            for key, value in record.facts.items()
+            for key, value in record.metadata.items()
         )
     )
 
@@ -204,7 +206,7 @@
             and precedence(record.run, record.state, record.incarnation) <= current.precedence()
         ):
             if newer_edition:
-                member = replace(current, facts=dict(record.facts), edition=record.edition)
+                member = replace(current, metadata=dict(record.metadata), edition=record.edition)
                 self._put(current, member)
                 return member
             if current.run == record.run and not current.live and current.state == record.state:
@@ -233,7 +235,7 @@
             since_ms,
             record.min_version,
             record.max_version,
-            dict(record.facts) if metadata_current else current.facts,
+            dict(record.metadata) if metadata_current else current.metadata,
             record.edition if metadata_current else current.edition,
         )
         self._put(current, member)
--- a/leadslip/fleet/view/suspicion.py
+++ b/leadslip/fleet/view/suspicion.py
@@ -35,8 +35,8 @@
         "since_ms",
         "suspected_by",
         "max_confirmations",
-        "least_ms",
-        "late_ms",
+        "min_timeout_ms",
+        "paused_ms",
         "final_probes_sent",
         "pinged_ms",
     )
@@ -46,8 +46,8 @@
         self.suspected_by = {suspected_by}
         # The suspected member and the one that suspected it first can't confirm.
         self.max_confirmations = max(0, min(MAX_CONFIRMATIONS, members - 2))
-        self.least_ms = min_timeout_ms(members)  # the shortest time-out
-        self.late_ms = 0.0  # how long this process was paused meanwhile; extends the time-out
+        self.min_timeout_ms = min_timeout_ms(members)  # the shortest time-out
+        self.paused_ms = 0.0  # how long this process was paused meanwhile; extends the time-out
         self.final_probes_sent = 0
         self.pinged_ms = now_ms  # when this process last pinged the member to let it refute
 
@@ -77,8 +77,13 @@
             if self.max_confirmations
             else 1.0
         )
-        longest_ms = self.least_ms * MAX_TIMEOUT_FACTOR
-        return self.since_ms + self.late_ms + longest_ms - (longest_ms - self.least_ms) * min(fraction, 1.0)
+        longest_ms = self.min_timeout_ms * MAX_TIMEOUT_FACTOR
+        return (
+            self.since_ms
+            + self.paused_ms
+            + longest_ms
+            - (longest_ms - self.min_timeout_ms) * min(fraction, 1.0)
+        )
 
 
 class Health:
--- a/leadslip/fleet/view/view.py
+++ b/leadslip/fleet/view/view.py
@@ -1,8 +1,8 @@
 """Membership protocol of the fleet: SWIM failure detection with Lifeguard's local health, and anti-entropy syncs.
 
-Each process has one `View`, driven by `received`, `due` and the methods of a sync; it leaves messages in `outbox` and
-the time of its next timer in `wake_ms`. Times are milliseconds of the process's monotonic clock. Pure: time and
-randomness are passed in; net/peers.py, the fault-injection runs and the simulation all run this code.
+Each process has one `View`, driven by `on_message`, `on_timer` and the methods of a sync; it leaves messages in
+`outbox` and the time of its next timer in `wake_ms`. Times are milliseconds of the process's monotonic clock. Pure:
+time and randomness are passed in; net/peers.py, the fault-injection runs and the simulation all run this code.
 
 Each `probe_interval_ms` the next member of a shuffled list is pinged. A member that does not answer in
 `ack_timeout_ms` is pinged through up to three relays; if no answer arrives in twice that time more, it is suspected,
@@ -37,7 +37,8 @@
 from leadslip.fleet.view.token_bucket import TokenBucket
 from leadslip.metrics import Metrics
 
-GOSSIP_ROOM_BYTES = wire.MAX_DATAGRAM_BYTES - wire.SEAL_BYTES - 155  # of a ping or answer, left for updates
+# Bytes of a ping or answer that are left for updates.
+GOSSIP_ROOM_BYTES = wire.MAX_DATAGRAM_BYTES - wire.AUTH_HEADER_BYTES - 155
 SUSPECT_PING_INTERVAL_MS = 250.0  # between two pings of a suspected member
 # Pings to all suspected members together; the lower rate applies while a partition is assumed.
 SUSPECT_PINGS_PER_MS, SUSPECT_PINGS_PER_MS_PARTITIONED = 0.012, 0.002
@@ -83,7 +84,7 @@
     name: str
     address: str  # "host:port" at which other members reach it
     zone: str = ""
-    facts: dict[str, str | int] = field(default_factory=dict)  # metadata
+    metadata: dict[str, str | int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,11 +138,11 @@
         seeds: tuple[str, ...],
         rng: Random,
         metrics: Metrics,
-        pace: ProtocolTiming,
-        most_members: int,
+        timing: ProtocolTiming,
+        max_members: int,
     ) -> None:
         self.seeds = tuple(seed for seed in seeds if seed != me.address)
-        self.rng, self.metrics, self.pace = rng, metrics, pace
+        self.rng, self.metrics, self.timing = rng, metrics, timing
         self.outbox: list[Datagram | StartSync] = []  # to be carried out by the transport
         self.listeners: list[Callable[[Change], None]] = []  # called after each change of the table
         # Called with our new run after the previous one was declared dead.
@@ -150,7 +151,7 @@
         # returns ours; the second gets another member's run, when we sent the ping that it answers, and its report.
         self.freshness_report: Callable[[float], list[int]] = lambda now_ms: []
         self.on_freshness_report: Callable[[int, float, list[int]], None] = lambda run, sent_ms, report: None
-        self.table = Table(most_members, metrics)
+        self.table = Table(max_members, metrics)
         self.table.on_change = self._on_table_change
         self.gossip_queue, self.health, self.replay_filter = GossipQueue(), Health(), wire.ReplayFilter()
         self.message_counter = wire.message_counter()
@@ -174,7 +175,7 @@
         # Heap of (due time, number, callback, argument); the number orders timers that are due at the same time.
         self.timers: list[tuple[float, int, Callable, int]] = []
         self.timer_number = 0
-        self.wake_ms = float("inf")  # when `due` is to be called next
+        self.wake_ms = float("inf")  # when `on_timer` is to be called next
         self.diverged_since_ms = 0.0  # since when digests received from other members have differed from ours
         self.last_diverged_ms = -float("inf")  # when a digest last differed
         self.last_sync_ms = -float("inf")  # when we last initiated a sync
@@ -217,19 +218,19 @@
     def start(self, now_ms: float) -> None:
         """Enters this process into its table and starts the timers; joining begins with pings to the seeds."""
         self._publish_self(now_ms)
-        pace = self.pace
-        self._schedule(now_ms + self.rng.random() * pace.probe_interval_ms, self._probe_next)
-        self._schedule(now_ms + self.rng.random() * pace.gossip_interval_ms, self._gossip_round)
+        timing = self.timing
+        self._schedule(now_ms + self.rng.random() * timing.probe_interval_ms, self._probe_next)
+        self._schedule(now_ms + self.rng.random() * timing.gossip_interval_ms, self._gossip_round)
         self._schedule(now_ms, self._contact_absent)
-        self._schedule(now_ms + (0.5 + self.rng.random()) * pace.sync_interval_ms, self._sync_with_random)
-        self._schedule(now_ms + pace.eviction_interval_ms, self._evict_ended)
+        self._schedule(now_ms + (0.5 + self.rng.random()) * timing.sync_interval_ms, self._sync_with_random)
+        self._schedule(now_ms + timing.eviction_interval_ms, self._evict_ended)
         self._update_wake_ms()
 
-    def change_facts(self, now_ms: float, facts: dict[str, str | int]) -> None:
+    def set_metadata(self, now_ms: float, metadata: dict[str, str | int]) -> None:
         """Replaces our metadata and disseminates it; does nothing if it is unchanged or we are leaving."""
-        if facts == self.me.facts or self.leaving:
+        if metadata == self.me.metadata or self.leaving:
             return
-        self.me = OwnMember(self.me.name, self.me.address, self.me.zone, facts)
+        self.me = OwnMember(self.me.name, self.me.address, self.me.zone, metadata)
         self.edition += 1
         self.incarnation += 1  # wire version 1 has no edition; its members compare incarnations
         self._publish_self(now_ms)
@@ -246,7 +247,7 @@
             self._send_gossip(now_ms)
         self._update_wake_ms()
 
-    def due(self, now_ms: float) -> None:
+    def on_timer(self, now_ms: float) -> None:
         """Runs the timers that are due; to be called at `wake_ms`. A call long after that counts as a pause."""
         late_ms = now_ms - self.wake_ms
         if late_ms > PAUSE_THRESHOLD_MS:
@@ -263,7 +264,7 @@
         self.probes.clear()
         self.relayed_pings.clear()
         for suspicion in self.suspicions.values():
-            suspicion.late_ms += late_ms
+            suspicion.paused_ms += late_ms
 
     def _schedule(self, due_ms: float, callback: Callable[[float, int], None], argument: int = 0) -> None:
         self.timer_number += 1
@@ -274,19 +275,21 @@
 
     # Received messages.
 
-    def received(self, now_ms: float, message: wire.AnyMessage) -> None:
+    def on_message(self, now_ms: float, message: wire.AnyMessage) -> None:
         """Handles a message that arrived as a datagram, after it was verified and decoded."""
-        if process_of(message.run) == process_of(self.run):
+        if process_of(message.sender_run) == process_of(self.run):
             return  # our own message, returned to us
-        if not self.replay_filter.accept(message.run, message.count):
+        if not self.replay_filter.accept(message.sender_run, message.sequence_number):
             self.metrics.add("fleet.replayed")
             return
-        if process_of(message.run) in self.suspicions:
-            self._clear_suspicion(now_ms, message.run)
-        if message.to and process_of(message.to) != process_of(self.run):
+        if process_of(message.sender_run) in self.suspicions:
+            self._clear_suspicion(now_ms, message.sender_run)
+        if message.receiver_run and process_of(message.receiver_run) != process_of(self.run):
             if isinstance(message, wire.Ping):
                 # For an earlier process at our address: our answer shows the sender that it has ended.
-                self._send(message.address, self._ack(now_ms, message.run, message.seq, same_view=True))
+                self._send(
+                    message.address, self._ack(now_ms, message.sender_run, message.seq, same_view=True)
+                )
             else:
                 self.metrics.add("fleet.for_another")
             return
@@ -307,13 +310,13 @@
 
     def _on_ping(self, now_ms: float, ping: wire.Ping) -> None:
         # A ping addressed to no run may have been recorded before our start: it is answered, but not merged.
-        if ping.to:
+        if ping.receiver_run:
             self._apply_gossip(now_ms, ping)
             self._check_divergence(now_ms, ping)
         same_view = ping.digest == self.table.live_digest
-        if same_view and ping.to:
+        if same_view and ping.receiver_run:
             self.gossip_queue.count_as_sent(len(self.table))
-        self._send(ping.address, self._ack(now_ms, ping.run, ping.seq, same_view))
+        self._send(ping.address, self._ack(now_ms, ping.sender_run, ping.seq, same_view))
 
     def _ack(self, now_ms: float, to: int, seq: int, same_view: bool) -> wire.Ack:
         """Builds an answer; with `same_view`, the receiver needs no queued updates, and gets none."""
@@ -337,7 +340,7 @@
         self._apply_gossip(now_ms, ack)  # even if the answer is late: it may refute our suspicion
         relayed_ping = self.relayed_pings.pop(ack.seq, None)
         if relayed_ping is not None:
-            if not ack.relayed_from and process_of(ack.run) == process_of(relayed_ping.target):
+            if not ack.relayed_from and process_of(ack.sender_run) == process_of(relayed_ping.target):
                 # The status in the answer is about us, not about the requester.
                 relayed_ack = wire.Ack(
                     next(self.message_counter),
@@ -349,14 +352,14 @@
                     0,
                     [],
                     [],
-                    ack.run,
+                    ack.sender_run,
                 )
                 self._send(relayed_ping.address, relayed_ack)
             return
         probe = self.probes.pop(ack.seq, None)
         if probe is None:
             return  # the answer is late, or another one came first
-        answering_run = ack.relayed_from or ack.run
+        answering_run = ack.relayed_from or ack.sender_run
         if not probe.run:
             self._on_contact(now_ms, ack, probe.address)
             return
@@ -366,7 +369,7 @@
         self.health.better()
         process = process_of(probe.run)
         if ack.relayed_from:
-            self.last_relays[process] = process_of(ack.run)
+            self.last_relays[process] = process_of(ack.sender_run)
             self.relayed_counts[process] = self.relayed_counts.get(process, 0) + 1
             if self.relayed_counts[process] == RELAYED_PROBES:
                 self.metrics.add("fleet.ways_cut")
@@ -379,11 +382,11 @@
         self._on_own_status(now_ms, ack, probe.sent_ms)
         self._check_divergence(now_ms, ack)
         if ack.freshness:
-            self.on_freshness_report(ack.run, probe.sent_ms, ack.freshness)
+            self.on_freshness_report(ack.sender_run, probe.sent_ms, ack.freshness)
 
     def _on_own_status(self, now_ms: float, ack: wire.Ack, sent_ms: float) -> None:
         """Handles our state in the table of a member that answers our ping of `sent_ms`; ignored for an earlier run."""
-        if ack.to != self.run:
+        if ack.receiver_run != self.run:
             return
         if ack.status in (State.ALIVE, State.SUSPECT):
             self.confirmed_alive_ms = max(self.confirmed_alive_ms, sent_ms)
@@ -393,7 +396,7 @@
     def _on_contact(self, now_ms: float, ack: wire.Ack, address: str) -> None:
         """Handles an answer from a dead member's or a seed's address: syncs unless each has the other as alive."""
         self._on_own_status(now_ms, ack, -float("inf"))
-        if ack.status != State.ALIVE or self.table.status(ack.run) != State.ALIVE or not self.joined:
+        if ack.status != State.ALIVE or self.table.status(ack.sender_run) != State.ALIVE or not self.joined:
             self._start_sync(now_ms, address)
 
     def _check_divergence(self, now_ms: float, message: wire.Ping | wire.Ack) -> None:
@@ -404,12 +407,12 @@
         """
         if message.digest == self.table.live_digest:
             return
-        if now_ms - self.last_diverged_ms > 3 * self.pace.divergence_grace_ms:
+        if now_ms - self.last_diverged_ms > 3 * self.timing.divergence_grace_ms:
             self.diverged_since_ms = now_ms
         self.last_diverged_ms = now_ms
         large_difference = abs(message.live_count - len(self.table)) >= DIVERGED_MEMBERS
-        if large_difference or now_ms - self.diverged_since_ms > self.pace.divergence_grace_ms:
-            member = self.table.get(message.run)
+        if large_difference or now_ms - self.diverged_since_ms > self.timing.divergence_grace_ms:
+            member = self.table.get(message.sender_run)
             if member is not None and member.live:
                 self._start_sync(now_ms, member.address)
 
@@ -419,10 +422,12 @@
             self.metrics.add("fleet.errands_refused")
             return
         seq = self._next_seq()
-        self.relayed_pings[seq] = RelayedPing(request.run, request.address, request.seq, request.target)
+        self.relayed_pings[seq] = RelayedPing(
+            request.sender_run, request.address, request.seq, request.target
+        )
         self._send_ping(now_ms, seq, request.target, request.target_address)
-        self._schedule(now_ms + self.pace.ack_timeout_ms, self._send_nack, seq)
-        self._schedule(now_ms + 4 * self.pace.ack_timeout_ms, self._expire_relayed_ping, seq)
+        self._schedule(now_ms + self.timing.ack_timeout_ms, self._send_nack, seq)
+        self._schedule(now_ms + 4 * self.timing.ack_timeout_ms, self._expire_relayed_ping, seq)
 
     def _send_nack(self, now_ms: float, seq: int) -> None:
         """Tells the requester of a relayed ping that the target has not answered yet."""
@@ -477,7 +482,7 @@
     def _apply_gossip(self, now_ms: float, message: wire.Ping | wire.Ack | wire.Gossip) -> None:
         # Prevents a member that receives nothing, and therefore declares all others dead, from having them declared
         # dead here: suspicions and deaths are merged only from a sender that is alive in our table.
-        trusted = self.table.status(message.run) == State.ALIVE
+        trusted = self.table.status(message.sender_run) == State.ALIVE
         for record in message.records:
             if not self._handle_own_update(now_ms, record.run, record.state, record.incarnation):
                 member = self.table.merge(record, now_ms)
@@ -531,7 +536,7 @@
             not record.edition
             and not self.leaving
             and (record.run, record.incarnation) == (self.run, self.incarnation)
-            and record.facts != self.me.facts
+            and record.metadata != self.me.metadata
         ):
             self.incarnation += 1
             self._publish_self(now_ms)
@@ -549,13 +554,13 @@
             me.zone,
             wire.MIN_VERSION,
             self.max_version,
-            me.facts,
+            me.metadata,
             self.edition,
         )
         before = self.table.get(self.run)
         member = self.table.merge(record, now_ms)
         if member is not None:
-            same_metadata = before is not None and before.facts == member.facts
+            same_metadata = before is not None and before.metadata == member.metadata
             self.gossip_queue.add(member, complete=not same_metadata)
 
     def _start_generation(self, now_ms: float, run: int) -> None:
@@ -665,7 +670,7 @@
         seq = self._next_seq()
         self.probes[seq] = Probe(suspicion.run, address, now_ms)
         self._send_ping(now_ms, seq, suspicion.run, address)
-        self._schedule(now_ms + 4 * self.pace.ack_timeout_ms, self._expire_probe, seq)
+        self._schedule(now_ms + 4 * self.timing.ack_timeout_ms, self._expire_probe, seq)
 
     def _clear_suspicion(self, now_ms: float, run: int) -> None:
         """Ends the suspicion of a member that was heard from, and pings others that may be reachable again too.
@@ -730,7 +735,7 @@
         late_ms = now_ms - suspicion.expires_ms()
         if suspicion.final_probes_sent < FINAL_PROBES:
             if self.relay_tokens.available(now_ms) < RELAYS and late_ms < FINAL_PROBE_MAX_DELAY_MS:
-                self._schedule(now_ms + 2 * self.pace.ack_timeout_ms, self._on_suspicion_timeout, process)
+                self._schedule(now_ms + 2 * self.timing.ack_timeout_ms, self._on_suspicion_timeout, process)
                 return
             if self.run not in suspicion.suspected_by and late_ms < DEFERRAL_MS:
                 self._schedule(
@@ -742,14 +747,14 @@
             max_relays = RELAYS if len(self.suspicions) <= PARTITION_SUSPICIONS else 1
             self._start_probe(now_ms, self.table.by_process[process], max_relays, final=True)
             self._schedule(
-                now_ms + self.health.scaled(FINAL_PROBE_FACTOR * self.pace.ack_timeout_ms),
+                now_ms + self.health.scaled(FINAL_PROBE_FACTOR * self.timing.ack_timeout_ms),
                 self._on_suspicion_timeout,
                 process,
             )
             return
         if self.confirmed_age_ms(now_ms) > CONFIRMED_ALIVE_MS and late_ms < UNCONFIRMED_LIMIT_MS:
             self.metrics.add("fleet.unsure")
-            self._schedule(now_ms + 2 * self.pace.ack_timeout_ms, self._on_suspicion_timeout, process)
+            self._schedule(now_ms + 2 * self.timing.ack_timeout_ms, self._on_suspicion_timeout, process)
             return
         del self.suspicions[process]
         self._declare_dead(now_ms, suspicion.run, "fleet.declared_dead")
@@ -784,7 +789,8 @@
         # Time-outs grow with the health score, but the interval between probes at most threefold: a process that a
         # partition has cut off from most relays judges itself slow, but still has to detect who is unreachable.
         self._schedule(
-            now_ms + min(self.health.scaled(self.pace.probe_interval_ms), 3 * self.pace.probe_interval_ms),
+            now_ms
+            + min(self.health.scaled(self.timing.probe_interval_ms), 3 * self.timing.probe_interval_ms),
             self._probe_next,
         )
         target = self._next_target()
@@ -797,7 +803,7 @@
         seq = self._next_seq()
         self.probes[seq] = Probe(target.run, target.address, now_ms, max_relays, final)
         self._send_ping(now_ms, seq, target.run, target.address)
-        self._schedule(now_ms + self.health.scaled(self.pace.ack_timeout_ms), self._request_relays, seq)
+        self._schedule(now_ms + self.health.scaled(self.timing.ack_timeout_ms), self._request_relays, seq)
 
     def _next_target(self) -> Member | None:
         """Returns the next live member to probe: each once in a round, in an order shuffled anew for each round."""
@@ -855,7 +861,9 @@
         )
         for relay in relays:
             self._send_ping_request(relay, seq, probe)
-        self._schedule(now_ms + self.health.scaled(2 * self.pace.ack_timeout_ms), self._on_probe_failed, seq)
+        self._schedule(
+            now_ms + self.health.scaled(2 * self.timing.ack_timeout_ms), self._on_probe_failed, seq
+        )
 
     def _on_probe_failed(self, now_ms: float, seq: int) -> None:
         """Timer: suspects the target if no answer to the ping has arrived, directly or through a relay."""
@@ -872,7 +880,9 @@
 
     def _gossip_round(self, now_ms: float, _: int) -> None:
         many_updates = len(self.gossip_queue) > PARTITION_SUSPICIONS  # then collected into fewer datagrams
-        self._schedule(now_ms + self.pace.gossip_interval_ms * (3 if many_updates else 1), self._gossip_round)
+        self._schedule(
+            now_ms + self.timing.gossip_interval_ms * (3 if many_updates else 1), self._gossip_round
+        )
         if self.gossip_queue.has_fresh():
             self._send_gossip(now_ms)
 
@@ -891,7 +901,7 @@
     def _contact_absent(self, now_ms: float, _: int) -> None:
         """Timer: pings a dead member, or a seed at whose address no live member is; until joined, all such seeds."""
         self._schedule(
-            now_ms + self.pace.reconnect_interval_ms * (1.0 if self.joined else 0.3), self._contact_absent
+            now_ms + self.timing.reconnect_interval_ms * (1.0 if self.joined else 0.3), self._contact_absent
         )
         if self.leaving:
             return
@@ -911,7 +921,7 @@
                 seq = self._next_seq()
                 self.probes[seq] = Probe(0, address, now_ms)
                 self._send_ping(now_ms, seq, 0, address)
-                self._schedule(now_ms + 4 * self.pace.reconnect_interval_ms, self._expire_probe, seq)
+                self._schedule(now_ms + 4 * self.timing.reconnect_interval_ms, self._expire_probe, seq)
 
     def _priority_updates(self, now_ms: float, to: int) -> list[wire.MemberUpdate]:
         """Returns the updates that every ping or answer to a member carries first.
@@ -939,21 +949,21 @@
         self.probes.pop(seq, None)
 
     def _evict_ended(self, now_ms: float, _: int) -> None:
-        self._schedule(now_ms + self.pace.eviction_interval_ms, self._evict_ended)
+        self._schedule(now_ms + self.timing.eviction_interval_ms, self._evict_ended)
         self.table.evict_ended(now_ms)
 
     # Syncs of tables; net/peers.py carries the messages over TCP.
 
     def _sync_with_random(self, now_ms: float, _: int) -> None:
         self._schedule(
-            now_ms + (0.5 + self.rng.random()) * self.pace.sync_interval_ms, self._sync_with_random
+            now_ms + (0.5 + self.rng.random()) * self.timing.sync_interval_ms, self._sync_with_random
         )
         others = self._live_others()
         if others:
             self._start_sync(now_ms, self.rng.choice(others).address)
 
     def _start_sync(self, now_ms: float, address: str) -> None:
-        if now_ms - self.last_sync_ms < self.pace.min_sync_gap_ms or self.leaving:
+        if now_ms - self.last_sync_ms < self.timing.min_sync_gap_ms or self.leaving:
             return
         if self.sync_tokens.available(now_ms) > 0.0 or not self.joined:
             self.last_sync_ms = now_ms
@@ -972,10 +982,10 @@
         """Initiator: returns the request, with our bucket digests and our own record; `token` must be in the answer."""
         record = self.table.get(self.run).record(now_ms)
         buckets = self.table.buckets
-        if self.version_for(hello.run) >= 2:
+        if self.version_for(hello.sender_run) >= 2:
             buckets = [digest & wire.DIGEST_MASK for digest in buckets]
         return wire.SyncRequest(
-            next(self.message_counter), self.run, hello.run, hello.token, token, list(buckets), record
+            next(self.message_counter), self.run, hello.sender_run, hello.token, token, list(buckets), record
         )
 
     def answer_sync(self, now_ms: float, request: wire.SyncRequest) -> wire.SyncTable:
@@ -992,7 +1002,7 @@
         return wire.SyncTable(
             next(self.message_counter),
             self.run,
-            request.run,
+            request.sender_run,
             request.reply_token,
             0,
             members,
@@ -1011,7 +1021,7 @@
             if member.is_newer_than(theirs.get(process_of(member.run)))
         ]
         self._update_wake_ms()
-        return wire.SyncTable(next(self.message_counter), self.run, answer.run, token, 0, newer)
+        return wire.SyncTable(next(self.message_counter), self.run, answer.sender_run, token, 0, newer)
 
     def accept_sync(self, now_ms: float, message: wire.SyncTable) -> None:
         """Accepting side: merges the newer records of the initiator."""
--- a/leadslip/fleet/wire.py
+++ b/leadslip/fleet/wire.py
@@ -1,6 +1,6 @@
 """Wire format of the fleet's messages: structs, codec, authentication and replay protection. Pure, no I/O.
 
-A sealed message is authenticated, not encrypted. It consists of
+A signed message is authenticated, not encrypted. It consists of
 
     version (1 byte) | key id (1 byte) | MAC (16 bytes) | body
 
@@ -38,7 +38,7 @@
 VERSION = 3  # newest supported version; the oldest is MIN_VERSION
 MIN_VERSION = 1
 MAC_SIZE = 16
-SEAL_BYTES = 2 + MAC_SIZE  # of a sealed message before its body: version, key id and MAC
+AUTH_HEADER_BYTES = 2 + MAC_SIZE  # of a signed message before its body: version, key id and MAC
 MAX_DATAGRAM_BYTES = 1200
 DIGEST_MASK = (1 << 32) - 1  # from version 2 on, bucket digests are sent as their low 32 bits
 MAX_FRAME_BYTES = 1 << 22
@@ -76,7 +76,7 @@
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
     """Complete record of a member; `age_ms` is how long ago it died or left (0 while it is live).
 
-    `facts` is the metadata that the member publishes about itself, and `edition` counts its changes; a member of wire
+    `metadata` is what the member publishes about itself, and `edition` counts its changes; a member of wire
     version 1 sends no edition.
     """
 
@@ -89,16 +89,16 @@
     zone: str = ""
     min_version: int = MIN_VERSION
     max_version: int = VERSION
-    facts: dict[str, str | int] = {}
+    metadata: dict[str, str | int] = {}
     edition: int = 0
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """Common header: sequence number (`count`), sender's run, and receiver's run (0: any process at the address)."""
+    """Common header: sequence number, sender's run, and receiver's run (0: any process at the address)."""
 
-    count: int
-    run: int
-    to: int
+    sequence_number: int
+    sender_run: int
+    receiver_run: int
 
 
 class Ping(Message, tag=1, frozen=True):
@@ -214,7 +214,7 @@
         raise WireError("unknown") from error
 
 
-class Seal:
+class Authenticator:
     """Signs messages with the first key and verifies them with any, for versions up to `max_version`.
 
     Raises KeysError if there is no key, if one is shorter than 16 bytes, or if two have the same key id. Of longer keys
@@ -235,7 +235,7 @@
         self.headers = [bytes((version, self.key_id)) for version in range(VERSION + 1)]  # by version
 
     def sign(self, body: bytes, version: int = MIN_VERSION) -> bytes:
-        """Returns the sealed message with this body, for a receiver of this version."""
+        """Returns the signed message with this body, for a receiver of this version."""
         header = self.headers[version]
         return (
             header
@@ -244,21 +244,21 @@
         )
 
     def verify(self, data: bytes) -> bytes:
-        """Verifies a sealed message and returns its body.
+        """Verifies a signed message and returns its body.
 
         Raises WireError with the reason short, version, key or mac. The body is returned unparsed, and only if the MAC
         is correct.
         """
-        if len(data) <= SEAL_BYTES:
+        if len(data) <= AUTH_HEADER_BYTES:
             raise WireError("short")
         if not MIN_VERSION <= data[0] <= self.max_version:
             raise WireError("version")
         key = self.keys_by_id.get(data[1])
         if key is None:
             raise WireError("key")
-        body = data[SEAL_BYTES:]
+        body = data[AUTH_HEADER_BYTES:]
         expected_mac = blake2b(data[:2] + body, digest_size=MAC_SIZE, key=key).digest()
-        if not hmac.compare_digest(expected_mac, data[2:SEAL_BYTES]):
+        if not hmac.compare_digest(expected_mac, data[2:AUTH_HEADER_BYTES]):
             raise WireError("mac")
         return body
 
--- a/leadslip/lab/agreed.py
+++ b/leadslip/lab/agreed.py
@@ -1,8 +1,8 @@
 """Simulates agreement on settings: a virtual fleet with some voters, whose disks outlive their processes.
 
-`Agreed` starts and kills members, submits operators' changes at any of them, and checks every `CHECK_INTERVAL_MS`
-which rules each member applies. `violations` lists the violations of A1 and A2 seen, `lost_changes` those of A3 (the
-invariants are defined in leadslip/drill/check.py).
+`SimulatedAgreement` starts and kills members, submits operators' changes at any of them, and checks every
+`CHECK_INTERVAL_MS` which rules each member applies. `violations` lists the violations of A1 and A2 seen, `lost_changes`
+those of A3 (the invariants are defined in leadslip/drill/check.py).
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from random import Random
 
 from leadslip.errors import OperatorError
-from leadslip.fleet.agreement.documents import ChangeResult, Isolated, Proposal
+from leadslip.fleet.agreement.documents import ChangeResult, FallbackRules, Proposal
 from leadslip.fleet.agreement.member import Agreement, Propose
 from leadslip.fleet.agreement.raft import Save
 from leadslip.lab.fleet import Fleet, Host
@@ -21,8 +21,8 @@
 DISK_DELAY_RANGE_MS = (0.5, 8.0)
 
 
-class Agreed:
-    """A simulated fleet whose first `voters` members are voters; they use the Agreement class `kind`."""
+class SimulatedAgreement:
+    """A simulated fleet whose first `voters` members are voters; they use the Agreement class `agreement_class`."""
 
     def __init__(
         self,
@@ -30,9 +30,9 @@
         members: int,
         voters: int = 3,
         in_force_ms: float = 2000.0,
-        kind: type[Agreement] = Agreement,
+        agreement_class: type[Agreement] = Agreement,
     ) -> None:
-        self.fleet, self.in_force_ms, self.kind = Fleet(seed), in_force_ms, kind
+        self.fleet, self.in_force_ms, self.agreement_class = Fleet(seed), in_force_ms, agreement_class
         self.rng = Random(seed + 1)
         self.names = [f"p{i:02d}" for i in range(members)]
         self.voters = tuple(f"p{i:02d}" for i in range(voters))
@@ -47,7 +47,7 @@
         self.longest_overlap_ms = 0.0  # longest time an older revision was applied after a newer one
         self.violations: list[str] = []
         self.acknowledged: dict[str, int] = {}  # id of a change -> revision it was acknowledged as
-        self.refused: list[OperatorError] = []  # answers to the changes that were not acknowledged
+        self.rejections: list[OperatorError] = []  # answers to the changes that were not acknowledged
         self.fallback_checks = self.checks = 0  # checks that found the fallback rules in effect; all checks
         self.fleet.part_hooks["agreement"] = self.schedule_saves
         for name in self.names:
@@ -58,12 +58,12 @@
     def start(self, name: str, blank: bool = False) -> Host:
         """Start a member; a voter gets its previous disk, or a blank one at its first start and with `blank`."""
         host = self.fleet.add(name)
-        agreement_class = Agreement if name not in self.voters else self.kind
+        agreement_class = Agreement if name not in self.voters else self.agreement_class
         agreement = host.agreement = agreement_class(
             host.view,
             self.voters,
             self.in_force_ms,
-            Isolated(),
+            FallbackRules(),
             Random(self.rng.getrandbits(64)),
             self.fleet.metrics,
             lambda event, **fields: self.logged.append((self.fleet.clock.now_ms, event, fields)),
@@ -77,8 +77,8 @@
             self.disks[name] = id_, starts + 1, disk
             agreement.make_voter(id_, starts + 1, disk.stored)
         host.parts_by_name["agreement"] = agreement
-        agreement.due(host.now_ms)
-        host.view.change_facts(host.now_ms, agreement.facts())
+        agreement.on_timer(host.now_ms)
+        host.view.set_metadata(host.now_ms, agreement.metadata())
         host.flush()
         return host
 
@@ -91,7 +91,7 @@
             host.disk_ms = max(host.disk_ms, now_ms) + self.rng.uniform(*DISK_DELAY_RANGE_MS)
             self.fleet.clock.call_at(host.disk_ms, self.complete_save, host, self.disks[host.name][2], save)
         if saves:
-            host.view.change_facts(host.now_ms, agreement.facts())
+            host.view.set_metadata(host.now_ms, agreement.metadata())
 
     def complete_save(self, host: Host, disk: Disk, save: Save) -> None:
         """Write a save to the disk and confirm it to the voter, unless it was killed; retried while it is stalled."""
@@ -115,8 +115,10 @@
             if not rules.agreed:
                 self.fallback_checks += 1
                 continue
-            checksum, first_name = self.checksum_by_revision.setdefault(rules.revision, (rules.mark, name))
-            if checksum != rules.mark:
+            checksum, first_name = self.checksum_by_revision.setdefault(
+                rules.revision, (rules.checksum, name)
+            )
+            if checksum != rules.checksum:
                 self.violations.append(
                     f"A1: {name} applies other contents under revision {rules.revision} than {first_name}"
                 )
@@ -140,7 +142,7 @@
         """Submit an operator's change at a member, on the condition that the current revision is `expect`.
 
         A negative `expect` stands for the revision that the member holds. The result is recorded in `acknowledged` or
-        `refused`.
+        `rejections`.
         """
         host = self.fleet.hosts[name]
         agreement = host.agreement
@@ -149,7 +151,7 @@
 
         def on_result(result: ChangeResult | OperatorError) -> None:
             if isinstance(result, OperatorError):
-                self.refused.append(result)
+                self.rejections.append(result)
             else:
                 self.acknowledged[id_] = result.revision
 
@@ -179,5 +181,5 @@
     def lost_changes(self) -> list[str]:
         """Ids of the acknowledged changes that are not in the leader's history; all of them if there is no leader."""
         name = self.leader_name()
-        known_ids = self.fleet.hosts[name].agreement.documents.ids if name else {}
+        known_ids = self.fleet.hosts[name].agreement.documents.results if name else {}
         return [id_ for id_ in self.acknowledged if id_ not in known_ids]
--- a/leadslip/lab/fleet.py
+++ b/leadslip/lab/fleet.py
@@ -16,21 +16,21 @@
 from leadslip.lab.network import Clock, Network
 from leadslip.metrics import Metrics
 
-CONDITION_STEP_MS = 20.0  # between two evaluations of a condition in `until`
+CONDITION_STEP_MS = 20.0  # between two evaluations of a condition in `run_until`
 TIMER_TOLERANCE_MS = 1e-6  # rounding error between a host's clock and the simulation's
 KEY = b"the key of the lab"  # with which all hosts authenticate their messages
 
 
-class FleetPart(Protocol):
+class MessagingPart(Protocol):
     """A part that exchanges messages over the fleet; the host transports them as net/peers.py does in production."""
 
     outbox: list[tuple[int, bytes]]  # messages to send: run of the receiver, body
-    wake_ms: float  # when to call `due` next, by the host's monotonic clock
+    wake_ms: float  # when to call `on_timer` next, by the host's monotonic clock
 
-    def received(self, now_ms: float, run: int, body: bytes) -> None:
+    def on_message(self, now_ms: float, run: int, body: bytes) -> None:
         """Handle a message that the member with this run sent."""
 
-    def due(self, now_ms: float) -> None:
+    def on_timer(self, now_ms: float) -> None:
         """Run the timers that have expired."""
 
 
@@ -48,14 +48,14 @@
     ) -> None:
         self.fleet, self.name, self.address = fleet, name, address
         self.clock_rate = 1.0 + drift_ppm / 1e6  # speed of its monotonic clock
-        self.seal = wire.Seal([KEY], view_class.max_version)
+        self.authenticator = wire.Authenticator([KEY], view_class.max_version)
         self.view = view_class(
             OwnMember(name, address, f"zone{fleet.zone_of(name)}"),
             seeds,
             Random(fleet.rng.getrandbits(64)),
             fleet.metrics,
-            fleet.pace,
-            fleet.most_members,
+            fleet.timing,
+            fleet.max_members,
         )
         self.up, self.stalled = True, False
         self.busy_ms = 0.0  # length of each stall of a busy process; 0: not busy
@@ -63,7 +63,7 @@
         self.inbox: list[bytes] = []
         self.next_wake_ms = float("inf")
         self.view.listeners.append(self.on_change)
-        self.parts_by_name: dict[str, FleetPart] = {}
+        self.parts_by_name: dict[str, MessagingPart] = {}
 
     @property
     def now_ms(self) -> float:
@@ -82,23 +82,30 @@
             self.inbox.append(data)
             return
         try:
-            message = wire.decode(self.seal.verify(data))
+            message = wire.decode(self.authenticator.verify(data))
         except wire.WireError as error:
             self.fleet.metrics.add(f"fleet.refused.{error}")
             return
         if isinstance(message, wire.PartMessage):
             self.receive_part_message(message)
         else:
-            self.view.received(self.now_ms, message)
+            self.view.on_message(self.now_ms, message)
         self.flush()
 
     def receive_part_message(self, message: wire.PartMessage) -> None:
         """Hand a message to its part if both runs are current, the sender is live and the message is no replay."""
-        member = self.view.table.get(message.run)
-        if message.to != self.view.run or member is None or not member.live or member.run != message.run:
+        member = self.view.table.get(message.sender_run)
+        if (
+            message.receiver_run != self.view.run
+            or member is None
+            or not member.live
+            or member.run != message.sender_run
+        ):
             return
-        if message.part in self.parts_by_name and self.view.replay_filter.accept(message.run, message.count):
-            self.parts_by_name[message.part].received(self.now_ms, message.run, message.body)
+        if message.part in self.parts_by_name and self.view.replay_filter.accept(
+            message.sender_run, message.sequence_number
+        ):
+            self.parts_by_name[message.part].on_message(self.now_ms, message.sender_run, message.body)
 
     def send_part_message(self, part: str, run: int, body: bytes) -> None:
         """Send a message of a part in a datagram if it fits, otherwise over a connection in one exchange."""
@@ -106,7 +113,7 @@
         if member is None or not member.live or self.view.version_for(run) < 3:
             return
         message = wire.PartMessage(next(self.view.message_counter), self.view.run, run, 0, part, body)
-        data = self.seal.sign(wire.encode(message), 3)
+        data = self.authenticator.sign(wire.encode(message), 3)
         network = self.fleet.network
         if len(data) <= wire.MAX_DATAGRAM_BYTES:
             network.send(self.address, member.address, data)
@@ -127,10 +134,10 @@
         self.next_wake_ms = float("inf")
         now_ms = self.now_ms
         if now_ms >= self.view.wake_ms - TIMER_TOLERANCE_MS:
-            self.view.due(max(now_ms, self.view.wake_ms))
+            self.view.on_timer(max(now_ms, self.view.wake_ms))
         for part in self.parts_by_name.values():
             if now_ms >= part.wake_ms - TIMER_TOLERANCE_MS:
-                part.due(max(now_ms, part.wake_ms))
+                part.on_timer(max(now_ms, part.wake_ms))
         self.flush()
 
     def flush(self) -> None:
@@ -140,7 +147,9 @@
             if isinstance(item, StartSync):
                 self.fleet.sync_tables(self, item.address)
             else:
-                data = self.seal.sign(wire.encode(item.message), self.view.version_for(item.message.to))
+                data = self.authenticator.sign(
+                    wire.encode(item.message), self.view.version_for(item.message.receiver_run)
+                )
                 self.fleet.network.send(self.address, item.address, data)
         for name, part in self.parts_by_name.items():
             messages, part.outbox = part.outbox, []
@@ -177,9 +186,9 @@
             return
         self.stalled = False
         self.next_wake_ms = float("inf")  # timers that fired during the stall were skipped
-        self.view.due(self.now_ms)
+        self.view.on_timer(self.now_ms)
         for part in self.parts_by_name.values():
-            part.due(self.now_ms)
+            part.on_timer(self.now_ms)
         self.flush()
         queued, self.inbox = self.inbox, []
         for data in queued[-500:]:
@@ -192,12 +201,12 @@
     def __init__(
         self,
         seed: int,
-        pace: ProtocolTiming = ProtocolTiming(),  # noqa: B008
+        timing: ProtocolTiming = ProtocolTiming(),  # noqa: B008
         zones: int = 4,
-        most_members: int = 4096,
+        max_members: int = 4096,
     ) -> None:
-        self.rng, self.metrics, self.pace, self.zones = Random(seed), Metrics(), pace, zones
-        self.most_members = most_members
+        self.rng, self.metrics, self.timing, self.zones = Random(seed), Metrics(), timing, zones
+        self.max_members = max_members
         self.clock = Clock()
         self.network = Network(self.clock, Random(self.rng.getrandbits(64)))
         self.hosts: dict[str, Host] = {}
@@ -216,17 +225,17 @@
         seeds: tuple[str, ...] | None = None,
         address: str = "",
         prepare_view: Callable[[View], None] | None = None,
-        kind: type[View] = View,
+        view_class: type[View] = View,
         drift_ppm: float = 0.0,
     ) -> Host:
         """Start a member, or restart one without its state; `prepare_view` is called with its view before that starts.
 
-        `kind` is the View class that it runs. By default, its seeds are the first three hosts.
+        `view_class` is the View class that it runs. By default, its seeds are the first three hosts.
         """
         address = address or f"{name}:7946"
         if seeds is None:
             seeds = tuple(f"{seed_name}:7946" for seed_name in list(self.hosts)[:3])
-        host = self.hosts[name] = Host(self, name, address, seeds, kind, drift_ppm)
+        host = self.hosts[name] = Host(self, name, address, seeds, view_class, drift_ppm)
         self.network.hosts[address] = host.deliver
         if prepare_view is not None:
             prepare_view(host.view)
@@ -239,7 +248,7 @@
         for i in range(members):
             self.add(f"p{i:04d}")
             self.run(10.0)
-        self.until(self.converged, 60_000.0)
+        self.run_until(self.converged, 60_000.0)
 
     def kill(self, name: str) -> Host:
         """Kill a process, without notice to the others."""
@@ -274,7 +283,7 @@
             other.view.accept_sync(other.now_ms, newer_records)
             version = host.view.version_for(other.view.run)
             size = sum(
-                len(wire.encode_frame(message, version)) + wire.SEAL_BYTES + 4
+                len(wire.encode_frame(message, version)) + wire.AUTH_HEADER_BYTES + 4
                 for message in (request, answer, newer_records)
             )
             host.view.charge_sync(size)
@@ -299,7 +308,7 @@
         """Advance the simulation by `for_ms`."""
         self.clock.run(self.clock.now_ms + for_ms)
 
-    def until(self, condition: Callable[[], bool], timeout_ms: float) -> float:
+    def run_until(self, condition: Callable[[], bool], timeout_ms: float) -> float:
         """Run until `condition` is true; returns the time it took in ms, or inf after `timeout_ms`."""
         began_ms = self.clock.now_ms
         while not condition():
--- a/leadslip/lab/replicated.py
+++ b/leadslip/lab/replicated.py
@@ -16,11 +16,13 @@
 CALL_STEP_MS = 100.0  # between two steps of the call generator
 
 
-class Replicated:
-    """A simulated fleet in which each member owns a table of calls, replicated to `copies` others by class `kind`."""
+class SimulatedReplication:
+    """A simulated fleet in which each member owns a table of calls with `copies` replicas by class `replicas_class`."""
 
-    def __init__(self, seed: int, members: int, copies: int = 2, kind: type[Replicas] = Replicas) -> None:
-        self.fleet, self.copies, self.kind = Fleet(seed, zones=3), copies, kind
+    def __init__(
+        self, seed: int, members: int, copies: int = 2, replicas_class: type[Replicas] = Replicas
+    ) -> None:
+        self.fleet, self.copies, self.replicas_class = Fleet(seed, zones=3), copies, replicas_class
         self.rng = Random(seed + 7)
         self.names = [f"p{i:02d}" for i in range(members)]
         # Member -> call -> server: the established calls.
@@ -32,7 +34,10 @@
         # Killed member -> process that held its replica -> last change applied there.
         self.applied_by_holder: dict[str, dict[int, int]] = {}
         self.logged: list[tuple[str, dict]] = []  # log events of the members: event, fields
-        self.calls, self.rate = 0, 0.3  # calls begun so far; probability of a new call per member and step
+        self.calls, self.call_probability = (
+            0,
+            0.3,
+        )  # calls begun so far; probability of a new call per member and step
         for name in self.names:
             self.start(name)
             self.fleet.run(15.0)
@@ -73,13 +78,13 @@
                 if entry[0] != process or entry[1] <= last_known_change
             }
         host = self.fleet.add(name, address=address)
-        host.back = {}
-        host.replicas = host.parts_by_name["replicas"] = self.kind(
+        host.recovered = {}
+        host.replicas = host.parts_by_name["replicas"] = self.replicas_class(
             host.view,
             self.copies,
             self.fleet.metrics,
             lambda event, **fields: self.logged.append((event, fields)),
-            lambda kind, result: host.back.update({kind: result}),
+            lambda kind, result: host.recovered.update({kind: result}),
         )
         host.flush()
         return host
@@ -90,9 +95,9 @@
             if host.stalled:
                 continue
             calls = self.established[name]
-            if self.rng.random() < self.rate:
+            if self.rng.random() < self.call_probability:
                 self.begin_call(name)
-            if calls and self.rng.random() < self.rate / 2:
+            if calls and self.rng.random() < self.call_probability / 2:
                 self.end_call(name, self.rng.choice(list(calls)))
         self.fleet.clock.call_at(self.fleet.clock.now_ms + CALL_STEP_MS, self.step_calls)
 
@@ -108,7 +113,7 @@
         """Record a call's state, or its end, at a member; returns the process and the sequence number of the change."""
         host = self.fleet.hosts[name]
         host.replicas.put(ESTABLISHED, call, state)
-        return process_of(host.view.run), host.replicas.own.applied
+        return process_of(host.view.run), host.replicas.own_table.applied
 
     def end_call(self, name: str, call: str) -> None:
         """End a call at a member."""
@@ -117,7 +122,10 @@
 
     def has_all_calls(self, name: str) -> bool:
         """R2, R4: whether a member's table has all calls that it is expected to have."""
-        return self.established[name].keys() <= self.fleet.hosts[name].replicas.own.all(ESTABLISHED).keys()
+        return (
+            self.established[name].keys()
+            <= self.fleet.hosts[name].replicas.own_table.states_of(ESTABLISHED).keys()
+        )
 
     def replicas_of(self, name: str) -> list[tuple[str, int, int]]:
         """The holders of replicas of a running member's table: name, number of the last change applied, digest."""
@@ -138,7 +146,7 @@
         One of them must be in another zone than the owner, if any member is.
         """
         for name, host in self.fleet.hosts.items():
-            own = host.replicas.own
+            own = host.replicas.own_table
             own_state = own.applied, own.digest()
             equal_holders = [
                 holder for holder, number, digest in self.replicas_of(name) if (number, digest) == own_state
@@ -153,9 +161,9 @@
 
     def settle_replicas(self, timeout_ms: float = 10_000.0) -> float:
         """Pause the start and end of calls, and run until all replicas are equal; returns the time in ms, or inf."""
-        rate, self.rate = self.rate, 0.0
-        took_ms = self.fleet.until(self.replicas_equal, timeout_ms)
-        self.rate = rate
+        call_probability, self.call_probability = self.call_probability, 0.0
+        took_ms = self.fleet.run_until(self.replicas_equal, timeout_ms)
+        self.call_probability = call_probability
         return took_ms
 
     def resurrected_calls(self) -> list[str]:
@@ -164,7 +172,7 @@
             f"{name} holds {call}"
             for name, host in self.fleet.hosts.items()
             for replica in host.replicas.held_replicas.values()
-            if replica.gone_ms == float("inf") and replica.table.is_complete()
-            for call in replica.table.all(ESTABLISHED)
+            if replica.owner_gone_ms == float("inf") and replica.table.is_complete()
+            for call in replica.table.states_of(ESTABLISHED)
             if call in self.call_ends
         ]
--- a/leadslip/lab/simulation.py
+++ b/leadslip/lab/simulation.py
@@ -13,8 +13,8 @@
     ScheduledAction,
     draw_drifts,
     draw_schedule,
-    names,
     previous_version_names,
+    process_names,
     scaled,
 )
 from leadslip.fleet.history import record_view
@@ -34,7 +34,7 @@
     ) -> None:
         scenario = scaled(scenario, members)
         self.scenario, self.members, self.seed = scenario, members, seed
-        self.names = names(members)
+        self.names = process_names(members)
         self.actions = actions if actions is not None else draw_schedule(scenario, seed)
         self.previous_version_names, self.drifts_ppm = (
             previous_version_names(scenario),
@@ -99,7 +99,7 @@
         for name in self.names:
             self.start(name)
             fleet.run(5.0)
-        joined_ms = fleet.until(fleet.converged, 60_000.0)
+        joined_ms = fleet.run_until(fleet.converged, 60_000.0)
         self.record_fault("agreed")
         began_ms, traffic_before = fleet.clock.now_ms, fleet.traffic()
         fleet.clock.call_at(began_ms + SAMPLE_INTERVAL_MS, self.sample_traffic, sum(traffic_before[1:]))
@@ -107,7 +107,7 @@
             fleet.run(max(0.0, began_ms + action.at_s * 1000.0 - fleet.clock.now_ms))
             self.execute(action)
         self.record_fault("faults over")
-        settled_ms = fleet.until(fleet.converged, self.scenario.settle_s * 1000.0)
+        settled_ms = fleet.run_until(fleet.converged, self.scenario.settle_s * 1000.0)
         self.record_fault("settled" if settled_ms < float("inf") else "not settled")
         duration_s = (fleet.clock.now_ms - began_ms) / 1000.0
         breaches, figures = check.check_views_and_answers(
@@ -160,7 +160,7 @@
             elif action.do in ("descriptors", "end descriptors") and host is not None:
                 host.out_of_descriptors = action.do == "descriptors"
             elif action.do in ("out of service", "in service") and host is not None:
-                host.view.change_facts(host.now_ms, {"service": action.do.split()[0]})
+                host.view.set_metadata(host.now_ms, {"service": action.do.split()[0]})
                 host.flush()
             elif action.do == "end" and host is not None:
                 fleet.leave(name)
--- a/leadslip/lab/voters.py
+++ b/leadslip/lab/voters.py
@@ -1,6 +1,6 @@
 """Simulates Raft voters: the production Raft on a virtual clock, with an unreliable network and delayed disks.
 
-`Voters` starts, crashes, pauses and restarts voters, and records what each commits and which proposals were
+`SimulatedVoters` starts, crashes, pauses and restarts voters, and records what each commits and which proposals were
 acknowledged. `violations` lists the entries that contradict one committed before, `lost_changes` the acknowledged
 changes that a running voter lacks.
 """
@@ -53,20 +53,20 @@
 class Voter:
     """One process of a voter, from its start to its crash; `state` is the list of the changes committed."""
 
-    def __init__(self, simulation: Voters, id_: str, disk: Disk) -> None:
+    def __init__(self, simulation: SimulatedVoters, id_: str, disk: Disk) -> None:
         self.simulation, self.id, self.disk = simulation, id_, disk
         self.up, self.paused = True, False
         self.queued: list = []  # callbacks queued while it is paused
         stored = disk.stored
         loaded = PersistentState(stored.term, stored.vote, stored.snapshot, list(stored.entries))
         self.state = self.decode_state(stored.snapshot.data)
-        self.raft = simulation.kind(
+        self.raft = simulation.raft_class(
             id_,
             loaded,
             Random(simulation.rng.getrandbits(64)),
             simulation.metrics,
             self.commit,
-            simulation.pace,
+            simulation.timing,
         )
         self.raft.start(simulation.now_ms)
 
@@ -88,7 +88,7 @@
         """Replace the committed part of the log by a snapshot of the state."""
         self.raft.compact(msgspec.msgpack.encode(self.state))
 
-    def act(self, callback: Callable[[], object]) -> None:
+    def run_callback(self, callback: Callable[[], object]) -> None:
         """Run a callback, then carry out the saves, messages and timer that Raft requests; queued while paused."""
         if not self.up:
             return
@@ -112,19 +112,25 @@
         """Write a save to the disk and confirm it to Raft, unless the process has crashed."""
         if self.up:
             self.disk.write(save)
-            self.act(lambda: self.raft.saved(self.simulation.now_ms, save.number))
+            self.run_callback(lambda: self.raft.saved(self.simulation.now_ms, save.number))
 
     def on_timer(self) -> None:
         """Run Raft's expired timers, unless the timer was rescheduled to a later time."""
         if self.up and not self.paused and self.simulation.now_ms >= self.raft.wake_ms:
-            self.act(lambda: self.raft.due(self.simulation.now_ms))
+            self.run_callback(lambda: self.raft.on_timer(self.simulation.now_ms))
 
 
-class Voters:
-    """A simulated group of Raft voters that run class `kind`; what happens depends on the seed alone."""
+class SimulatedVoters:
+    """A simulated group of Raft voters that run class `raft_class`; what happens depends on the seed alone."""
 
-    def __init__(self, seed: int, count: int = 3, pace: Timing = Timing(), kind: type[Raft] = Raft) -> None:  # noqa: B008
-        self.rng, self.metrics, self.pace, self.kind = Random(seed), Metrics(), pace, kind
+    def __init__(
+        self,
+        seed: int,
+        count: int = 3,
+        timing: Timing = Timing(),  # noqa: B008
+        raft_class: type[Raft] = Raft,
+    ) -> None:
+        self.rng, self.metrics, self.timing, self.raft_class = Random(seed), Metrics(), timing, raft_class
         self.now_ms, self.sequence = 0.0, 0
         self.heap: list[tuple[float, int, Callable, tuple]] = []
         self.loss_rate, self.blocked = 0.0, set()  # share of messages lost; blocked paths (source, target)
@@ -157,14 +163,14 @@
     def start(self, id_: str) -> None:
         """Start a voter, or restart it with what its disk holds."""
         voter = self.voters[id_] = Voter(self, id_, self.disks[id_])
-        voter.act(lambda: None)
+        voter.run_callback(lambda: None)
 
     def crash(self, id_: str) -> None:
         """Kill a voter's process; saves that have not reached its disk are lost."""
         self.voters[id_].up = False
         self.disk_busy_until_ms.pop(id_, None)
 
-    def stop(self, id_: str) -> None:
+    def pause(self, id_: str) -> None:
         """Pause a voter."""
         self.voters[id_].paused = True
 
@@ -173,9 +179,9 @@
         voter = self.voters[id_]
         voter.paused = False
         queued, voter.queued = voter.queued, []
-        voter.act(lambda: voter.raft.due(self.now_ms))
+        voter.run_callback(lambda: voter.raft.on_timer(self.now_ms))
         for callback in queued:
-            voter.act(callback)
+            voter.run_callback(callback)
 
     def partition(self, *parts: Iterable[str]) -> None:
         """Block all paths between these groups of voters."""
@@ -197,7 +203,7 @@
         """Hand a message to its target, if it runs."""
         voter = self.voters.get(message.target)
         if voter is not None:
-            voter.act(lambda: voter.raft.received(self.now_ms, message))
+            voter.run_callback(lambda: voter.raft.received(self.now_ms, message))
 
     def leader(self) -> Voter | None:
         """The running leader of the latest term, if any."""
@@ -224,7 +230,7 @@
                 return
             self.proposed.setdefault(index, []).append((voter.id, voter.raft.term, data))
 
-        voter.act(propose)
+        voter.run_callback(propose)
         return True
 
     def record_commit(self, id_: str, entry: Entry) -> None:
@@ -246,7 +252,7 @@
         running = [voter for voter in self.voters.values() if voter.up and not voter.paused]
         return self.leader() is not None and len({tuple(voter.state) for voter in running}) == 1
 
-    def until(self, condition: Callable[[], bool], timeout_ms: float) -> float:
+    def run_until(self, condition: Callable[[], bool], timeout_ms: float) -> float:
         """Run until `condition` is true; returns the time it took in ms, or inf after `timeout_ms`."""
         began_ms = self.now_ms
         while not condition():
--- a/leadslip/net/peers.py
+++ b/leadslip/net/peers.py
@@ -39,7 +39,7 @@
 MAX_QUEUED_BYTES = 4 << 20  # of messages of parts that wait for delivery to one member
 MAX_DELIVERY_BYTES = 1 << 20  # of messages of parts in one delivery session; the last message may exceed it
 # Larger bodies of messages of parts are delivered over TCP; 60 bytes are left for the other fields of the message.
-MAX_DATAGRAM_BODY = wire.MAX_DATAGRAM_BYTES - wire.SEAL_BYTES - 60
+MAX_DATAGRAM_BODY = wire.MAX_DATAGRAM_BYTES - wire.AUTH_HEADER_BYTES - 60
 RECEIVE_BUFFER_BYTES = 1 << 20  # of the UDP socket; holds datagrams while this process is busy or paused
 
 
@@ -69,7 +69,7 @@
 
 
 class PeerSession(Int32StringReceiver):
-    """A TCP session between members; each message is a sealed frame, and an error ends the session.
+    """A TCP session between members; each message is a signed frame, and an error ends the session.
 
     The accepting side begins with a `Hello`. In an anti-entropy session the initiator sends a `SyncRequest`, the
     accepting side answers with a `SyncTable`, and the initiator sends a `SyncTable` with its newer records. In a
@@ -109,15 +109,15 @@
     def send_message(self, message: wire.AnyMessage) -> None:
         """Sends a message in the newest version that the receiver supports."""
         peers = self.peers
-        version = peers.view.version_for(message.to)
-        data = peers.seal.sign(wire.encode_frame(message, version), version)
+        version = peers.view.version_for(message.receiver_run)
+        data = peers.authenticator.sign(wire.encode_frame(message, version), version)
         self.transferred_bytes += len(data)
         self.sendString(data)
 
     def stringReceived(self, string: bytes) -> None:
         try:
             self.transferred_bytes += len(string)
-            message = wire.decode_frame(self.peers.seal.verify(string), string[0])
+            message = wire.decode_frame(self.peers.authenticator.verify(string), string[0])
             self.message_received(message, self.peers.clock.now_ms())
         except wire.WireError as wire_error:
             self.peers.metrics.add(f"fleet.refused.{wire_error}")
@@ -226,12 +226,12 @@
     """A part whose messages the fleet transport sends. It does no I/O itself."""
 
     outbox: list[tuple[int, bytes]]  # messages to be sent: (run of the receiving member, body)
-    wake_ms: float  # when `due` is to be called next
+    wake_ms: float  # when `on_timer` is to be called next
 
-    def received(self, now_ms: float, run: int, body: bytes) -> None:
+    def on_message(self, now_ms: float, run: int, body: bytes) -> None:
         """Handles a signed message from the run of a live member; the body has not been validated."""
 
-    def due(self, now_ms: float) -> None:
+    def on_timer(self, now_ms: float) -> None:
         """Does the work that is due; called at `wake_ms`, and possibly earlier or later."""
 
 
@@ -244,14 +244,14 @@
 
     def message_received(self, now_ms: float, run: int, body: bytes) -> None:
         """Passes a received message to the part and sends what that has queued."""
-        self.part.received(now_ms, run, body)
+        self.part.on_message(now_ms, run, body)
         self.flush()
 
     def timer_fired(self, _: object = None) -> None:
         """Has the part do the work that is due and sends what it has queued."""
         self.timer = None
         if not self.peers.stopped:
-            self.part.due(self.peers.clock.now_ms())
+            self.part.on_timer(self.peers.clock.now_ms())
             self.flush()
 
     def flush(self) -> None:
@@ -310,7 +310,7 @@
         # Timers set before this line would be due by the other clock, so this object is created before any is set.
         reactor.seconds = lambda: time.clock_gettime(CLOCK)
         self.deadlines = Deadlines(self.clock, reactor)
-        self.seal = wire.Seal(conf.keys)  # raises for invalid keys before any port is bound
+        self.authenticator = wire.Authenticator(conf.keys)  # raises for invalid keys before any port is bound
         self.rng = random.SystemRandom()
         self.inbound: set[PeerSession] = set()
         self.outbound_count = 0  # anti-entropy sessions that this member has open
@@ -344,14 +344,14 @@
         self.metadata = metadata
         seeds = tuple("{}:{}".format(*seed) for seed in self.conf.seeds)
         view_class = View
-        if self.conf.broken:
+        if self.conf.faulty_variant:
             from leadslip.drill.faulty import VIEW_VARIANTS
 
-            view_class = VIEW_VARIANTS.get(self.conf.broken, View)
+            view_class = VIEW_VARIANTS.get(self.conf.faulty_variant, View)
         # The view uses a pseudo-random generator, seeded from the system's.
         rng = random.Random(self.rng.getrandbits(64))
         self.view = view_class(me, seeds, rng, self.metrics, ProtocolTiming(), self.conf.most_members)
-        self.seal = wire.Seal(self.conf.keys, self.view.max_version)
+        self.authenticator = wire.Authenticator(self.conf.keys, self.view.max_version)
         if self.conf.history:
             from leadslip.fleet import history
 
@@ -389,9 +389,9 @@
             return
 
     def datagram_received(self, datagram: bytes) -> None:
-        """Handles a datagram; nothing in it is used before its seal is verified."""
+        """Handles a datagram; nothing in it is used before its signature is verified."""
         try:
-            message = wire.decode(self.seal.verify(datagram))
+            message = wire.decode(self.authenticator.verify(datagram))
         except wire.WireError as wire_error:
             self.metrics.add(f"fleet.refused.{wire_error}")
             return
@@ -399,23 +399,23 @@
             return
         now_ms = self.clock.now_ms()
         if isinstance(message, wire.PartMessage):
-            if self.view.replay_filter.accept(message.run, message.count):
+            if self.view.replay_filter.accept(message.sender_run, message.sequence_number):
                 self.part_message_received(now_ms, message)
             else:
                 self.metrics.add("fleet.replayed")
             return
-        self.view.received(now_ms, message)
+        self.view.on_message(now_ms, message)
         self.flush()
 
     def part_message_received(self, now_ms: float, message: wire.PartMessage) -> None:
         """Passes a message to its part if it is addressed to this run and its sender is the run of a live member."""
-        part, sender = self.parts.get(message.part), self.view.table.get(message.run)
-        if part is None or message.to != self.view.run:
+        part, sender = self.parts.get(message.part), self.view.table.get(message.sender_run)
+        if part is None or message.receiver_run != self.view.run:
             self.metrics.add("fleet.for_another")
-        elif sender is None or not sender.live or sender.run != message.run:
+        elif sender is None or not sender.live or sender.run != message.sender_run:
             self.metrics.add("fleet.of_no_member")
         else:
-            part.message_received(now_ms, message.run, message.body)
+            part.message_received(now_ms, message.sender_run, message.body)
 
     def add_part(self, name: str, part: MessagingPart, after_flush: Callable[[], None]) -> PartTransport:
         """Sends and receives a part's messages from now on, and runs its timer.
@@ -475,12 +475,12 @@
     def _timer_fired(self, _: object = None) -> None:
         self.timer = None
         if not self.stopped:
-            self.view.due(self.clock.now_ms())
+            self.view.on_timer(self.clock.now_ms())
             self.flush()
 
     def _send(self, address: str, message: wire.AnyMessage) -> None:
         """Sends a message in a datagram."""
-        data = self.seal.sign(wire.encode(message), self.view.version_for(message.to))
+        data = self.authenticator.sign(wire.encode(message), self.view.version_for(message.receiver_run))
         if not self.metrics.check_invariant(
             len(data) <= wire.MAX_DATAGRAM_BYTES, "a datagram of the fleet keeps its size"
         ):
@@ -519,12 +519,12 @@
     def publish_metadata(self) -> None:
         """Disseminates this member's metadata if it has changed."""
         if self.view is not None and not self.stopped:
-            self.view.change_facts(self.clock.now_ms(), self.metadata())
+            self.view.set_metadata(self.clock.now_ms(), self.metadata())
             self.flush()
 
     def replace_keys(self, keys: tuple[bytes, ...]) -> None:
         """Signs with the first of these keys from now on, and accepts signatures by any of them."""
-        self.seal = wire.Seal(keys, self.seal.max_version)
+        self.authenticator = wire.Authenticator(keys, self.authenticator.max_version)
 
     def stop(self) -> None:
         """Leaves the fleet, stops accepting sessions and closes the inbound ones; does nothing more from then on."""
--- a/leadslip/parts/agreement/part.py
+++ b/leadslip/parts/agreement/part.py
@@ -16,7 +16,7 @@
     MAX_DOCUMENT_BYTES,
     SCHEMAS,
     ChangeResult,
-    Isolated,
+    FallbackRules,
     Proposal,
     RefusedError,
     hash_of,
@@ -50,13 +50,13 @@
     def start(self) -> None:
         node, conf = self.node, self.conf
         self.peers = node.parts["fleet"].peers
-        isolated = Isolated(most_tries=conf.isolated_most_tries)
+        isolated = FallbackRules(most_tries=conf.isolated_most_tries)
         rng = random.Random(random.SystemRandom().getrandbits(64))
         agreement_class = Agreement
-        if self.peers.conf.broken:
+        if self.peers.conf.faulty_variant:
             from leadslip.drill.faulty import AGREEMENT_VARIANTS
 
-            agreement_class = AGREEMENT_VARIANTS.get(self.peers.conf.broken, Agreement)
+            agreement_class = AGREEMENT_VARIANTS.get(self.peers.conf.faulty_variant, Agreement)
         self.agreement = agreement_class(
             self.peers.view, conf.voters, conf.in_force_ms, isolated, rng, node.metrics, node.log
         )
@@ -89,7 +89,7 @@
             self.peers.publish_metadata()
 
     def member_metadata(self) -> dict[str, str | int]:
-        return {} if self.agreement is None else self.agreement.facts()
+        return {} if self.agreement is None else self.agreement.metadata()
 
     def close(self) -> None:
         if self.saver is not None:
@@ -216,9 +216,9 @@
         """Answers with this proxy's status as a voter (null if it is none), and all live members that are voters."""
         agreement = self.require_agreement()
         live_voters = {
-            str(member.facts["voter"]): {"name": member.name, "blank": bool(member.facts.get("blank"))}
+            str(member.metadata["voter"]): {"name": member.name, "blank": bool(member.metadata.get("blank"))}
             for member in self.peers.view.members()
-            if "voter" in member.facts
+            if "voter" in member.metadata
         }
         return as_json({"voter": agreement.status(self.peers.clock.now_ms())["voter"], "there": live_voters})
 
--- a/leadslip/parts/fleet/part.py
+++ b/leadslip/parts/fleet/part.py
@@ -79,7 +79,7 @@
                 "incarnation": member.incarnation,
                 "since_ms": round(now_ms - member.since_ms),
                 "way": "round" if view.is_relayed_only(member.run) else "straight",
-                "facts": member.facts,
+                "facts": member.metadata,
             }
             for member in members
         ],
--- a/leadslip/parts/fleet/settings.py
+++ b/leadslip/parts/fleet/settings.py
@@ -34,7 +34,7 @@
     # For fault-injection runs: the file to which this member appends its event history, and the faulty variant that it
     # runs (drill/faulty.py; debug builds only).
     history: str = ""
-    broken: str = ""
+    faulty_variant: str = ""
 
 
 def settings(table: Mapping, context: SettingsContext) -> FleetConfig | None:
@@ -56,7 +56,9 @@
     if broken and not __debug__:
         raise MalformedError(f"fleet.broken is allowed in debug builds only: {broken!r}")
     numbers = bounded_numbers(table, "fleet", KEYS)
-    return FleetConfig(listen, advertise, seeds, keys, zone, **numbers, history=history, broken=broken)
+    return FleetConfig(
+        listen, advertise, seeds, keys, zone, **numbers, history=history, faulty_variant=broken
+    )
 
 
 def read_keys(path: str) -> tuple[bytes, ...]:
--- a/leadslip/parts/part.py
+++ b/leadslip/parts/part.py
@@ -78,7 +78,7 @@
         """Called after a reload with the part's new settings."""
         self.conf = conf
 
-    def ended_elsewhere(self, call: str) -> None:
+    def on_unknown_call_ended(self, call: str) -> None:
         """Called with the id of a call that a server has ended and that this proxy's engine does not have."""
 
     def close(self) -> None:
--- a/leadslip/parts/replicas/part.py
+++ b/leadslip/parts/replicas/part.py
@@ -58,7 +58,7 @@
         if attempt.established and self.replicas is not None:
             self.replicas.put(ESTABLISHED, attempt.request.id, None)
 
-    def ended_elsewhere(self, call: str) -> None:
+    def on_unknown_call_ended(self, call: str) -> None:
         """Replicates the end of a call that the engine does not know, such as one from before a restart."""
         if self.replicas is not None:
             self.replicas.put(ESTABLISHED, call, None)
@@ -106,7 +106,11 @@
     # Operators' requests
 
     def gauges(self) -> dict[str, Callable[[], int]]:
-        return {"replicas_behind": lambda: int(self.replicas is None or self.replicas.behind(self.now_ms()))}
+        return {
+            "replicas_behind": lambda: int(
+                self.replicas is None or self.replicas.recovery_pending(self.now_ms())
+            )
+        }
 
     def now_ms(self) -> float:
         """The time of the fleet's clock."""
--- a/tests/test_fleet_agreed.py
+++ b/tests/test_fleet_agreed.py
@@ -9,12 +9,12 @@
 
 from leadslip.fleet.agreement.documents import RefusedError
 from leadslip.fleet.agreement.member import ConflictError, NoAgreementError
-from leadslip.lab.agreed import Agreed
+from leadslip.lab.agreed import SimulatedAgreement
 
 
 def assert_converged(lab, timeout_ms=20_000.0):
     """Waits until all members apply the newest revision; fails if that takes too long or an invariant was broken."""
-    assert lab.fleet.until(lab.converged, timeout_ms) < timeout_ms, [
+    assert lab.fleet.run_until(lab.converged, timeout_ms) < timeout_ms, [
         (name, host.agreement.status(host.now_ms)) for name, host in lab.fleet.hosts.items()
     ]
     assert lab.violations == [] and lab.lost_changes() == []
@@ -23,13 +23,13 @@
 def change_and_converge(lab, name, document, contents, id_):
     """Changes a document at a member and waits until all members apply it."""
     lab.change(name, document, contents, id_)
-    assert lab.fleet.until(lambda: id_ in lab.acknowledged, 9000.0) < 9000.0, lab.refused
+    assert lab.fleet.run_until(lambda: id_ in lab.acknowledged, 9000.0) < 9000.0, lab.rejections
     assert_converged(lab)
 
 
 def bootstrapped(seed, members=7, **options):
     """Returns a simulated fleet whose revision 1 has fallback rules that bar prefix 9."""
-    lab = Agreed(seed, members, **options)
+    lab = SimulatedAgreement(seed, members, **options)
     assert_converged(lab)
     change_and_converge(lab, lab.names[-1], "isolated", {"bars": {"prefixes": ["9"]}}, "first")
     return lab
@@ -38,7 +38,7 @@
 def test_voters_bootstrap_once_all_are_live_and_all_members_apply_a_change_made_anywhere():
     lab = bootstrapped(1)
     change_and_converge(lab, "p05", "bars", {"prefixes": ["900"]}, "bar")
-    assert lab.acknowledged == {"first": 1, "bar": 2} and lab.refused == []
+    assert lab.acknowledged == {"first": 1, "bar": 2} and lab.rejections == []
     assert all(
         host.agreement.rules_in_effect(host.now_ms).documents["bars"].prefixes == ["900"]
         for host in lab.fleet.hosts.values()
@@ -47,7 +47,7 @@
 
 
 def test_there_is_no_bootstrap_while_a_voter_is_missing():
-    lab = Agreed(2, 2)
+    lab = SimulatedAgreement(2, 2)
     lab.fleet.run(10_000.0)
     assert not lab.leader_name() and not lab.fleet.metrics.counts.get("agreement.founded")
 
@@ -60,8 +60,8 @@
     lab.fleet.run(2000.0)
     lab.change("p05", "bars", {"prefixes": ["92"]}, "late", expect=1)
     lab.fleet.run(2000.0)
-    assert [type(error) for error in lab.refused] == [RefusedError, ConflictError]
-    assert "isolated.bars" in str(lab.refused[0]) and lab.acknowledged["good"] == 2
+    assert [type(error) for error in lab.rejections] == [RefusedError, ConflictError]
+    assert "isolated.bars" in str(lab.rejections[0]) and lab.acknowledged["good"] == 2
     assert_converged(lab)
 
 
@@ -76,7 +76,7 @@
     assert not rules.agreed and rules.documents["bars"].prefixes == ["9"]
     lab.change("p06", "bars", {"prefixes": ["912"]}, "alone")
     lab.fleet.run(5000.0)
-    assert [type(error) for error in lab.refused] == [NoAgreementError]
+    assert [type(error) for error in lab.rejections] == [NoAgreementError]
     lab.fleet.heal()
     assert_converged(lab)
 
@@ -84,7 +84,7 @@
 def test_a_long_document_is_fetched_in_chunks_and_resumed_elsewhere_when_its_source_dies():
     lab = bootstrapped(5)
     lab.change("p00", "isolated", {"bars": {"prefixes": ["9"], "destinations": list(range(25_000))}}, "long")
-    lab.fleet.until(
+    lab.fleet.run_until(
         lambda: any(
             host.agreement.fetch and host.agreement.fetch.received for host in lab.fleet.hosts.values()
         ),
@@ -157,7 +157,7 @@
     ]
     lab.violations.clear()  # the simulation has reported the diverging contents as a violation of A1
     assert_converged(lab)
-    assert host.agreement.current.mark == contents.mark
+    assert host.agreement.current.checksum == contents.checksum
 
 
 def test_a_voter_that_diverges_from_its_leader_stops():
--- a/tests/test_fleet_agreed_processes.py
+++ b/tests/test_fleet_agreed_processes.py
@@ -21,7 +21,7 @@
     scenario = Scenario(
         "short", "agreed", processes, list(faults), calls, settle_s, voters=3, changes_per_s=4.0
     )
-    return run_scenario(scenario, seed, tmp_path / "drill", broken=broken)
+    return run_scenario(scenario, seed, tmp_path / "drill", faulty_variant=broken)
 
 
 def test_processes_agree_through_a_kill_and_a_partition(tmp_path):
--- a/tests/test_fleet_documents.py
+++ b/tests/test_fleet_documents.py
@@ -117,5 +117,5 @@
         state.revision == 50
         and len(state.history) == 5
         and len(state.bodies_by_hash) == 5
-        and len(state.ids) == 7
+        and len(state.results) == 7
     )
--- a/tests/test_fleet_filter.py
+++ b/tests/test_fleet_filter.py
@@ -3,7 +3,7 @@
 import json
 
 from leadslip import core, interface
-from leadslip.fleet.agreement.documents import Isolated
+from leadslip.fleet.agreement.documents import FallbackRules
 from leadslip.fleet.agreement.filter import AgreedRulesFilter
 from leadslip.fleet.agreement.member import RevisionContents, Rules
 from tests.helpers import PLAIN
@@ -86,7 +86,7 @@
     call_class = next(call_class for call_class in world.engine.settings.classes if call_class.name == PLAIN)
     assert (call_class.worth, call_class.deadline_ms, request.max_attempts) == (9.0, 900.0, 1)
     assert world.engine.settings.max_attempts == 1 and world.reserved_lines[-1] == {"g": 4}
-    world.rules = Rules.fallback(Isolated(most_tries=2), 2)
+    world.rules = Rules.fallback(FallbackRules(most_tries=2), 2)
     assert world.offer_call("b").max_attempts == min(2, world.own_settings.max_attempts)
     world.rules = BASE
     world.offer_call("c")
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -27,7 +27,7 @@
 def run_faults(tmp_path, *faults, processes=4, broken="", settle_s=TIMEOUT_S, seed=1):
     """Runs processes under faults, as the faulty variant `broken` if that is given; returns the checker's report."""
     short_scenario = Scenario("short", "a few faults", processes, list(faults), 8.0, settle_s)
-    return run_scenario(short_scenario, seed, tmp_path / "drill", broken=broken)
+    return run_scenario(short_scenario, seed, tmp_path / "drill", faulty_variant=broken)
 
 
 def test_a_platform_proxy_imports_no_fleet_module(tmp_path):
@@ -69,7 +69,7 @@
     )
     assert report["held"], report["breaches"]
     assert report["calls"] > 10 and report["figures"]["calls_judged"] > 5
-    histories = {path.stem: check.lines(path) for path in (tmp_path / "drill").glob("*.jsonl")}
+    histories = {path.stem: check.read_history(path) for path in (tmp_path / "drill").glob("*.jsonl")}
     assert len(histories) == 5, "one process was started twice"
     deaths = [
         entry
@@ -83,7 +83,7 @@
 def test_a_leave_and_an_upgrade_are_not_taken_for_crashes(tmp_path):
     report = run_faults(tmp_path, Fault("upgrade", 0.2, 1.0), Fault("leave", 2.5), processes=3)
     assert report["held"], report["breaches"]
-    histories = [check.lines(path) for path in (tmp_path / "drill").glob("*.jsonl")]
+    histories = [check.read_history(path) for path in (tmp_path / "drill").glob("*.jsonl")]
     states = {entry["state"] for history in histories for entry in history if entry["do"] == "held"}
     assert "left" in states and "dead" not in states
 
@@ -108,7 +108,7 @@
     )
     report = run_scenario(version_scenario, 3, tmp_path / "drill")
     assert report["held"], report["breaches"]
-    histories, injected_faults = check.records(tmp_path / "drill")
+    histories, injected_faults = check.read_records(tmp_path / "drill")
     assert len(histories) == 5, "one process was started twice"
     actions = {fault["do"] for fault in injected_faults}
     assert {"clock", "end clock", "busy", "descriptors", "end descriptors", "in service"} <= actions
@@ -173,9 +173,9 @@
     assert schedule == scenario.draw_schedule(mixed, 5) != scenario.draw_schedule(mixed, 6)
     assert [action.at_s for action in schedule] == sorted(action.at_s for action in schedule)
     failing_action = next(action for action in schedule if action.do == "stop")
-    smallest = scenario.minimized(schedule, lambda subset: failing_action in subset)
+    smallest = scenario.minimize(schedule, lambda subset: failing_action in subset)
     assert [action.do for action in smallest] == ["stop", "go on"]
-    assert scenario.minimized(schedule, lambda subset: subset == schedule) == schedule
+    assert scenario.minimize(schedule, lambda subset: subset == schedule) == schedule
 
 
 def test_every_bundled_scenario_is_valid_and_listed(capsys):
@@ -216,7 +216,7 @@
 def test_each_kind_of_partition_blocks_the_right_paths():
     import random
 
-    names = scenario.names(6)
+    names = scenario.process_names(6)
     for parts, path_count in (("halves", 18), ("one", 10), ("three", 24), ("bridge", 12), ("ring", 18)):
         blocked = scenario.partition_paths(random.Random(1), names, parts)
         assert len(blocked) == len(set(blocked)) == path_count, parts
--- a/tests/test_fleet_raft.py
+++ b/tests/test_fleet_raft.py
@@ -10,11 +10,11 @@
 
 from leadslip.fleet.agreement.freshness import CLOCK_DRIFT, Freshness
 from leadslip.fleet.agreement.raft import Raft, RaftError, Role
-from leadslip.lab.voters import Voters
+from leadslip.lab.voters import SimulatedVoters
 
 
 def assert_converged(lab, timeout_ms=10_000.0):
-    elapsed_ms = lab.until(lambda: lab.converged() and not lab.lost_changes(), timeout_ms)
+    elapsed_ms = lab.run_until(lambda: lab.converged() and not lab.lost_changes(), timeout_ms)
     assert elapsed_ms < timeout_ms, (
         "there is a leader, and all have the same state with all acknowledged entries"
     )
@@ -22,7 +22,7 @@
 
 
 def test_a_leader_is_elected_and_its_entries_are_committed_by_all():
-    lab = Voters(1)
+    lab = SimulatedVoters(1)
     assert_converged(lab)
     for i in range(20):
         assert lab.propose(b"%d" % i)
@@ -33,16 +33,16 @@
 
 
 def test_a_partitioned_leader_steps_down_and_its_uncommitted_entries_are_dropped():
-    lab = Voters(2)
+    lab = SimulatedVoters(2)
     assert_converged(lab)
     old_leader = lab.leader()
     lab.partition([old_leader.id], [id_ for id_ in lab.ids if id_ != old_leader.id])
-    old_leader.act(lambda: old_leader.raft.propose(lab.now_ms, b"alone"))
+    old_leader.run_callback(lambda: old_leader.raft.propose(lab.now_ms, b"alone"))
     assert (
-        lab.until(lambda: old_leader.raft.role is not Role.LEADER, 5000.0)
-        <= 2 * lab.pace.election_timeout_ms + 200.0
+        lab.run_until(lambda: old_leader.raft.role is not Role.LEADER, 5000.0)
+        <= 2 * lab.timing.election_timeout_ms + 200.0
     )
-    assert lab.until(lambda: lab.leader() is not None, 5000.0) < 3000.0
+    assert lab.run_until(lambda: lab.leader() is not None, 5000.0) < 3000.0
     lab.propose(b"together")
     lab.run(500.0)
     assert old_leader.raft.confirmed(lab.now_ms) is None
@@ -52,7 +52,7 @@
 
 
 def test_a_voter_that_was_partitioned_does_not_depose_the_leader_on_its_return():
-    lab = Voters(3)
+    lab = SimulatedVoters(3)
     assert_converged(lab)
     leader = lab.leader()
     isolated_id = next(id_ for id_ in lab.ids if id_ != leader.id)
@@ -70,7 +70,7 @@
 def test_random_faults_never_make_commits_diverge_or_lose_acknowledged_entries(seed):
     """Seeded mix of crashes (losing what is not on disk), stops, partitions, message loss, proposals, snapshots and
     leadership transfers."""
-    lab = Voters(seed, count=3 if seed % 2 else 5)
+    lab = SimulatedVoters(seed, count=3 if seed % 2 else 5)
     rng = random.Random(seed)
     down, stopped = set(), set()
     for step in range(250):
@@ -85,7 +85,7 @@
             lab.start(id_)
             down.discard(id_)
         elif action == 3 and id_ not in down | stopped:
-            lab.stop(id_)
+            lab.pause(id_)
             stopped.add(id_)
         elif action == 4 and stopped:
             id_ = rng.choice(sorted(stopped))
@@ -99,11 +99,11 @@
         elif action == 7:
             lab.loss_rate = rng.choice((0.0, 0.1, 0.3))
         elif action == 8 and id_ not in down | stopped:
-            lab.voters[id_].act(lab.voters[id_].compact)
+            lab.voters[id_].run_callback(lab.voters[id_].compact)
         elif action == 9 and lab.leader() is not None:
             leader, target = lab.leader(), rng.choice(lab.ids)
             if target != leader.id:
-                leader.act(
+                leader.run_callback(
                     lambda leader=leader, target=target: ignore_raft_error(
                         leader.raft.transfer, lab.now_ms, target
                     )
@@ -132,15 +132,15 @@
 class CommitsWithoutMajority(Raft):
     """Faulty variant: commits entries that are on its own disk only."""
 
-    def _advance(self, now_ms):
+    def _advance_commit_index(self, now_ms):
         if self.role is Role.LEADER:
             self._commit(self.durable_index)
 
 
 def test_the_simulation_detects_a_leader_that_commits_without_a_majority():
     """Guards against a simulation that finds nothing: a faulty variant of Raft must be reported."""
-    lab = Voters(2, kind=CommitsWithoutMajority)
-    assert lab.until(lambda: lab.leader() is not None, 10_000.0) < 10_000.0
+    lab = SimulatedVoters(2, raft_class=CommitsWithoutMajority)
+    assert lab.run_until(lambda: lab.leader() is not None, 10_000.0) < 10_000.0
     lab.run(300.0)
     old_leader = lab.leader()
     lab.partition([old_leader.id], [id_ for id_ in lab.ids if id_ != old_leader.id])
@@ -155,19 +155,19 @@
 
 
 def test_voters_change_one_at_a_time_and_a_removed_leader_steps_down():
-    lab = Voters(5)
+    lab = SimulatedVoters(5)
     assert_converged(lab)
     lab.run(200.0)
     leader = lab.leader()
     others = [id_ for id_ in lab.ids if id_ != leader.id]
     with pytest.raises(RaftError, match="one at a time"):
         leader.raft.change_voters(lab.now_ms, [leader.id])
-    leader.act(lambda: leader.raft.change_voters(lab.now_ms, others))
+    leader.run_callback(lambda: leader.raft.change_voters(lab.now_ms, others))
     with pytest.raises(RaftError):
         leader.raft.change_voters(lab.now_ms, lab.ids)
-    assert lab.until(lambda: leader.raft.role is not Role.LEADER, 5000.0) < 2000.0
+    assert lab.run_until(lambda: leader.raft.role is not Role.LEADER, 5000.0) < 2000.0
     lab.crash(leader.id)
-    assert lab.until(lambda: lab.leader() is not None, 10_000.0) < 5000.0
+    assert lab.run_until(lambda: lab.leader() is not None, 10_000.0) < 5000.0
     lab.propose(b"by two")
     lab.run(1000.0)
     assert lab.leader().state == [b"by two"] and lab.violations == []
@@ -175,7 +175,7 @@
 
 
 def test_a_voter_far_behind_receives_a_snapshot():
-    lab = Voters(6)
+    lab = SimulatedVoters(6)
     assert_converged(lab)
     lagging = next(id_ for id_ in lab.ids if id_ != lab.leader().id)
     lab.crash(lagging)
@@ -183,7 +183,7 @@
         lab.propose(b"%d" % i)
         lab.run(30.0)
     for voter in lab.voters.values():
-        voter.act(voter.compact)
+        voter.run_callback(voter.compact)
     lab.run(200.0)
     lab.start(lagging)
     assert_converged(lab)
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -11,7 +11,7 @@
 from leadslip.fleet.replicas.placement import holders_of
 from leadslip.fleet.replicas.table import BUCKETS, Record, Table, bucket_of
 from leadslip.fleet.view.members import Member
-from leadslip.lab.replicated import Replicated
+from leadslip.lab.replicated import SimulatedReplication
 
 repeatable = settings(derandomize=True, max_examples=150, deadline=None)
 CHANGES = st.lists(st.tuples(st.integers(0, 8), st.booleans()), max_size=40)
@@ -120,7 +120,7 @@
 
 
 def test_every_table_has_two_equal_replicas_in_two_zones():
-    lab = Replicated(1, 8)
+    lab = SimulatedReplication(1, 8)
     lab.fleet.run(4000.0)
     assert lab.settle_replicas() < 2000.0
     assert lab.resurrected_calls() == [] and lab.calls > 60
@@ -135,29 +135,29 @@
 
 
 def test_a_process_restarted_without_state_recovers_its_calls_and_rates_and_reports_behind_until_then():
-    lab = Replicated(2, 8)
+    lab = SimulatedReplication(2, 8)
     owner = lab.fleet.hosts["p03"].replicas
     owner.put(LEARNED, "rates", b"r")
     lab.fleet.run(3000.0)
     lab.settle_replicas()
     calls = kill_member(lab, "p03")
     host = lab.start("p03")
-    assert host.replicas.behind(host.now_ms)
-    lab.rate = 0.0
-    assert lab.fleet.until(lambda: not host.replicas.behind(host.now_ms), 8000.0) < 3000.0
-    assert {key: state.decode() for key, state in host.back[ESTABLISHED].items()} == calls and calls
-    assert host.back[LEARNED] == {"rates": b"r"}
+    assert host.replicas.recovery_pending(host.now_ms)
+    lab.call_probability = 0.0
+    assert lab.fleet.run_until(lambda: not host.replicas.recovery_pending(host.now_ms), 8000.0) < 3000.0
+    assert {key: state.decode() for key, state in host.recovered[ESTABLISHED].items()} == calls and calls
+    assert host.recovered[LEARNED] == {"rates": b"r"}
     assert lab.settle_replicas() < 4000.0
     assert not [
         replica
         for other in lab.fleet.hosts.values()
         for replica in other.replicas.held_replicas.values()
-        if replica.gone_ms < 9e9
+        if replica.owner_gone_ms < 9e9
     ]
 
 
 def test_any_proxy_locates_a_call_of_a_killed_proxy_but_not_a_call_that_no_member_knows():
-    lab = Replicated(3, 8)
+    lab = SimulatedReplication(3, 8)
     lab.fleet.run(3000.0)
     lab.settle_replicas()
     calls = kill_member(lab, "p02")
@@ -171,14 +171,14 @@
 
 
 def test_a_holder_far_behind_is_sent_full_buckets_and_resumes_after_an_interruption():
-    lab = Replicated(4, 6)
-    lab.rate = 0.0
+    lab = SimulatedReplication(4, 6)
+    lab.call_probability = 0.0
     for _ in range(3000):
         lab.begin_call("p01")
     lab.fleet.run(300.0)
     run = lab.fleet.hosts["p01"].view.run
     behind = next(host for host in lab.fleet.hosts.values() if run in host.replicas.held_replicas)
-    lab.fleet.until(
+    lab.fleet.run_until(
         lambda: 0 < len(behind.replicas.held_replicas[run].table.missing_buckets()) < BUCKETS, 4000.0
     )
     others = [name for name in lab.names if name != behind.name]
@@ -190,12 +190,12 @@
 
 def test_two_live_processes_of_one_name_are_two_owners():
     """During an upgrade the new process must not adopt the calls of the old one, which still serves them."""
-    lab = Replicated(5, 6)
+    lab = SimulatedReplication(5, 6)
     lab.fleet.run(2000.0)
     lab.fleet.hosts.pop("p04")
     new = lab.start("p04", address="p04-new:7946")
     lab.fleet.run(3000.0)
-    assert new.back == {} and not new.replicas.behind(new.now_ms), (
+    assert new.recovered == {} and not new.replicas.recovery_pending(new.now_ms), (
         "the table of a live process is not recovered by another"
     )
 
@@ -205,7 +205,7 @@
     """R1 and R3 (drill/check.py) while calls begin and end, under random kills with restart, stalls, partitions,
     loss and duplicated datagrams; at last every owner has all its established calls again (R2, R4).
     """
-    lab = Replicated(50 + seed, 8)
+    lab = SimulatedReplication(50 + seed, 8)
     rng = random.Random(seed)
     for _ in range(15):
         match rng.choice(("kill", "stall", "halves", "loss", "twice")):
@@ -215,7 +215,7 @@
                 lab.fleet.run(rng.uniform(0.0, 3000.0))
                 lab.start(name)
                 # Until recovery no holder may be killed.
-                lab.fleet.until(lambda name=name: lab.has_all_calls(name), 6000.0)
+                lab.fleet.run_until(lambda name=name: lab.has_all_calls(name), 6000.0)
             case "stall":
                 lab.fleet.hosts[rng.choice(list(lab.fleet.hosts))].stall(rng.uniform(300.0, 10_000.0))
             case "halves":
@@ -229,13 +229,13 @@
                 lab.fleet.network.conditions.duplicate_rate = rng.choice((0.0, 0.3))
         lab.fleet.run(rng.uniform(0.0, 1500.0))
     lab.fleet.network.conditions.loss_rate = 0.0
-    assert lab.fleet.until(lab.fleet.converged, 30_000.0) < 30_000.0
+    assert lab.fleet.run_until(lab.fleet.converged, 30_000.0) < 30_000.0
     assert lab.settle_replicas(30_000.0) < 30_000.0
     assert not [event for event in lab.logged if event[0] == "replicas.differs"]
-    assert lab.fleet.until(lambda: all(map(lab.has_all_calls, lab.names)), 5000.0) < 5000.0, (
+    assert lab.fleet.run_until(lambda: all(map(lab.has_all_calls, lab.names)), 5000.0) < 5000.0, (
         "every established call is known to its owner"
     )
-    lab.rate = 0.0
+    lab.call_probability = 0.0
     lab.fleet.run(12_000.0)
     assert lab.settle_replicas(5000.0) < 5000.0 and lab.resurrected_calls() == []
 
@@ -250,7 +250,7 @@
 
 def test_an_end_that_is_not_replicated_is_detected():
     """Checks the checker: `resurrected_calls` has to report a program that violates R1."""
-    lab = Replicated(9, 6, kind=DropsEnds)
+    lab = SimulatedReplication(9, 6, replicas_class=DropsEnds)
     lab.fleet.run(4000.0)
     lab.settle_replicas()
     assert lab.resurrected_calls(), "the violation of R1 is reported"
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -26,7 +26,7 @@
 
 def record_of(edition, **fields):
     """Builds a record whose metadata contains its edition, as metadata of one edition is always the same."""
-    return wire.MemberRecord(**fields, edition=edition, facts={"edition": edition})
+    return wire.MemberRecord(**fields, edition=edition, metadata={"edition": edition})
 
 
 member_records = st.builds(
@@ -57,7 +57,7 @@
     first, second = table_of(records), table_of(shuffled)
     assert {member.precedence() for member in first} == {member.precedence() for member in second}
     assert first.live_digest == second.live_digest and first.buckets == second.buckets
-    assert all(member.facts == {"edition": member.edition} for member in first)
+    assert all(member.metadata == {"edition": member.edition} for member in first)
 
 
 @repeatable
@@ -106,8 +106,8 @@
         {"name": ""},
         {"address": "x" * 65},
         {"max_version": 256},
-        {"facts": {str(i): 1 for i in range(9)}},
-        {"facts": {"k": "v" * 65}},
+        {"metadata": {str(i): 1 for i in range(9)}},
+        {"metadata": {"k": "v" * 65}},
     )
     for change in changes:
         fields = {key: getattr(valid, key) for key in valid.__struct_fields__} | change
@@ -153,13 +153,13 @@
 
 def test_a_join_a_crash_and_a_leave_are_known_to_all_in_time(fleet):
     joined = fleet.add("late")
-    assert fleet.until(lambda: fleet.alive_everywhere(joined.view.run), 5000.0) < 2000.0
+    assert fleet.run_until(lambda: fleet.alive_everywhere(joined.view.run), 5000.0) < 2000.0
     killed_run = fleet.kill("p0003").view.run
-    assert fleet.until(lambda: fleet.gone_everywhere(killed_run), 10_000.0) < 4000.0
+    assert fleet.run_until(lambda: fleet.gone_everywhere(killed_run), 10_000.0) < 4000.0
     leaving = fleet.hosts["p0004"]
     suspected = fleet.metrics.counts["fleet.suspected"]
     fleet.leave("p0004")
-    assert fleet.until(lambda: fleet.gone_everywhere(leaving.view.run), 5000.0) < 700.0
+    assert fleet.run_until(lambda: fleet.gone_everywhere(leaving.view.run), 5000.0) < 700.0
     fleet.run(3000.0)
     assert fleet.metrics.counts["fleet.suspected"] == suspected, "a member that leaves is not suspected"
     assert fleet.false_removals() == [] and fleet.converged()
@@ -175,7 +175,7 @@
         side_sizes = {len(host.view.members()) for host in fleet.hosts.values()}
         assert side_sizes == {6, 10}
     fleet.heal()
-    assert fleet.until(fleet.converged, 20_000.0) < 5000.0
+    assert fleet.run_until(fleet.converged, 20_000.0) < 5000.0
     if for_ms > 5000.0:
         assert all(host.view.run != runs[name] for name, host in fleet.hosts.items()), (
             "each continues as a new generation"
@@ -191,7 +191,7 @@
     assert any(removal[2] == run for removal in fleet.removals), "others have declared it dead meanwhile"
     fleet.run(1000.0)
     assert new_runs == [host.view.run] and host.view.run == run + 1
-    assert fleet.until(fleet.converged, 10_000.0) < 3000.0
+    assert fleet.run_until(fleet.converged, 10_000.0) < 3000.0
     assert all(other.view.table.status(run) == State.DEAD for other in fleet.hosts.values())
 
 
@@ -244,7 +244,7 @@
         "no member is removed once the bridge is used as relay"
     )
     fleet.heal()
-    assert fleet.until(fleet.converged, 20_000.0) < 5000.0
+    assert fleet.run_until(fleet.converged, 20_000.0) < 5000.0
 
 
 def test_a_proxy_restarted_without_state_replaces_its_predecessor(fleet):
@@ -252,12 +252,12 @@
     predecessor_run = fleet.kill("p0006").view.run
     host = fleet.add("p0006")
     assert (
-        fleet.until(
+        fleet.run_until(
             lambda: fleet.gone_everywhere(predecessor_run) and fleet.alive_everywhere(host.view.run), 10_000.0
         )
         < 2500.0
     )
-    assert fleet.until(fleet.converged, 5000.0) < 2000.0
+    assert fleet.run_until(fleet.converged, 5000.0) < 2000.0
 
 
 def test_two_runs_of_one_name_are_two_members(fleet):
@@ -266,20 +266,20 @@
     twin.view.me = replace(twin.view.me, name="p0007")
     twin.view.incarnation += 1
     twin.view._publish_self(fleet.clock.now_ms)
-    assert fleet.until(fleet.converged, 5000.0) < 3000.0
+    assert fleet.run_until(fleet.converged, 5000.0) < 3000.0
     namesakes = [member for member in fleet.hosts["p0000"].view.members() if member.name == "p0007"]
     assert len(namesakes) == 2 and len({process_of(member.run) for member in namesakes}) == 2
 
 
 def test_changed_metadata_is_disseminated(fleet):
-    fleet.hosts["p0001"].view.change_facts(fleet.clock.now_ms, {"service": "out"})
+    fleet.hosts["p0001"].view.set_metadata(fleet.clock.now_ms, {"service": "out"})
     fleet.hosts["p0001"].flush()
     run = fleet.hosts["p0001"].view.run
 
     def known_everywhere():
-        return all(host.view.table.get(run).facts == {"service": "out"} for host in fleet.hosts.values())
+        return all(host.view.table.get(run).metadata == {"service": "out"} for host in fleet.hosts.values())
 
-    assert fleet.until(known_everywhere, 5000.0) < 1500.0
+    assert fleet.run_until(known_everywhere, 5000.0) < 1500.0
 
 
 def test_metadata_arrives_even_if_a_later_update_arrives_first(fleet):
@@ -287,22 +287,24 @@
     names = sorted(fleet.hosts)
     sender, receiver = (fleet.hosts[name] for name in names[3:5])
     fleet.partition([sender.name], [name for name in names if name != sender.name])
-    sender.view.change_facts(fleet.clock.now_ms, {"service": "out"})
+    sender.view.set_metadata(fleet.clock.now_ms, {"service": "out"})
     sender.view.gossip_queue.drop(sender.view.run)
     later = wire.MemberUpdate(sender.view.run, int(State.ALIVE), sender.view.incarnation)
     receiver.view.table.apply_update(later, fleet.clock.now_ms)
     fleet.heal()
-    assert fleet.until(fleet.converged, 10_000.0) < 10_000.0
+    assert fleet.run_until(fleet.converged, 10_000.0) < 10_000.0
     entries = [host.view.table.get(sender.view.run) for host in fleet.hosts.values()]
-    assert all(entry.facts == {"service": "out"} and entry.edition == 1 for entry in entries)
+    assert all(entry.metadata == {"service": "out"} and entry.edition == 1 for entry in entries)
 
 
 def test_members_of_two_wire_versions_use_the_older_and_converge():
     fleet = Fleet(4)
     for i in range(8):
-        fleet.add(f"p{i}", kind=PreviousVersion if i % 2 else View, drift_ppm=500.0 if i % 3 else -500.0)
+        fleet.add(
+            f"p{i}", view_class=PreviousVersion if i % 2 else View, drift_ppm=500.0 if i % 3 else -500.0
+        )
         fleet.run(10.0)
-    assert fleet.until(fleet.converged, 10_000.0) < 10_000.0
+    assert fleet.run_until(fleet.converged, 10_000.0) < 10_000.0
     new, previous = fleet.hosts["p0"].view, fleet.hosts["p1"].view
     assert (
         new.version_for(fleet.hosts["p2"].view.run) == wire.VERSION and new.version_for(0) == wire.MIN_VERSION
@@ -310,14 +312,14 @@
     assert new.version_for(previous.run) == previous.version_for(new.run) == 1
     # Without the edition, members of the previous version can't tell that the metadata belonging to a later incarnation
     # is missing: the owner has to correct it.
-    new.change_facts(fleet.clock.now_ms, {"service": "out"})
+    new.set_metadata(fleet.clock.now_ms, {"service": "out"})
     new.gossip_queue.drop(new.run)
     later = wire.MemberUpdate(new.run, int(State.ALIVE), new.incarnation)
     for host in fleet.hosts.values():
         if host.view is not new:
             host.view.table.apply_update(later, fleet.clock.now_ms)
-    assert fleet.until(fleet.converged, 20_000.0) < 20_000.0
-    assert all(host.view.table.get(new.run).facts == {"service": "out"} for host in fleet.hosts.values())
+    assert fleet.run_until(fleet.converged, 20_000.0) < 20_000.0
+    assert all(host.view.table.get(new.run).metadata == {"service": "out"} for host in fleet.hosts.values())
     assert not fleet.metrics.counts["fleet.refused.version"] and not fleet.removals
 
 
@@ -341,7 +343,7 @@
     def listen(change):
         first.append(change)
         if len(first) == 1:
-            view.change_facts(fleet.clock.now_ms, {"a": 1})
+            view.set_metadata(fleet.clock.now_ms, {"a": 1})
 
     view.listeners += [listen, second.append]
     fleet.add("more")
@@ -355,15 +357,15 @@
     view = fleet.hosts["p0001"].view
     other = fleet.hosts["p0002"].view
     ping = wire.Ping(next(other.message_counter), other.run, view.run, 1, other.me.address, 16, 0)
-    view.received(fleet.clock.now_ms, ping)
+    view.on_message(fleet.clock.now_ms, ping)
     assert sum(isinstance(item, Datagram) for item in view.outbox) == 1
     view.outbox.clear()
-    view.received(fleet.clock.now_ms, ping)
+    view.on_message(fleet.clock.now_ms, ping)
     assert view.outbox == [] and fleet.metrics.counts["fleet.replayed"] == 1
     for_another = wire.Gossip(
         10**6, other.run, RUNS[0], [wire.MemberUpdate(fleet.hosts["p0003"].view.run, 2, 9)], []
     )
-    view.received(fleet.clock.now_ms, for_another)
+    view.on_message(fleet.clock.now_ms, for_another)
     assert view.table.status(fleet.hosts["p0003"].view.run) == State.ALIVE
 
 
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -17,28 +17,30 @@
 PING = wire.Ping(7, 5 << 60, 6, 9, "127.0.0.1:7946", 3, 11, [wire.MemberUpdate(1, 1, 0, 2)], [])
 
 
-def rejection(seal, data):
+def rejection(authenticator, data):
     """Checks that a message is rejected; returns the reason."""
     with pytest.raises(wire.WireError) as error:
-        wire.decode(seal.verify(data))
+        wire.decode(authenticator.verify(data))
     return str(error.value)
 
 
 def test_sealed_messages_round_trip():
-    seal = wire.Seal([OLD_KEY])
-    record = wire.MemberRecord(1, 0, 2, 0, "n0", "127.0.0.1:1", "z", facts={"capacity": 5, "version": "0.1"})
+    authenticator = wire.Authenticator([OLD_KEY])
+    record = wire.MemberRecord(
+        1, 0, 2, 0, "n0", "127.0.0.1:1", "z", metadata={"capacity": 5, "version": "0.1"}
+    )
     for message in (
         PING,
         wire.Ack(1, 2, 3, 4, 0, 1, 5, records=[record], relayed_from=9),
         wire.Gossip(1, 2, 3, [], [record]),
         wire.SyncTable(1, 2, 3, 4, 5, [record] * 3, [1, 2]),
     ):
-        assert wire.decode(seal.verify(seal.sign(wire.encode(message)))) == message
+        assert wire.decode(authenticator.verify(authenticator.sign(wire.encode(message)))) == message
 
 
 def test_frames_are_compressed_from_version_2_on_and_bounded():
     members = [
-        wire.MemberRecord(i, 0, 0, 0, f"n{i}", f"127.0.0.{i}:7946", facts={"version": "0.1"})
+        wire.MemberRecord(i, 0, 0, 0, f"n{i}", f"127.0.0.{i}:7946", metadata={"version": "0.1"})
         for i in range(99)
     ]
     table = wire.SyncTable(1, 2, 3, 4, 5, members)
@@ -68,44 +70,48 @@
 
 def test_a_newer_version_is_rejected_by_a_member_of_an_older_version():
     """A member that does not know the version must not interpret the message; both still use the oldest version."""
-    new, previous = wire.Seal([OLD_KEY]), wire.Seal([OLD_KEY], max_version=1)
+    new, previous = wire.Authenticator([OLD_KEY]), wire.Authenticator([OLD_KEY], max_version=1)
     assert previous.verify(new.sign(b"x")) == b"x" == new.verify(previous.sign(b"x"))
     assert rejection(previous, new.sign(b"x", 2)) == "version"
 
 
 def test_a_key_can_be_replaced_while_the_fleet_runs():
-    old_only, both, new_only = wire.Seal([OLD_KEY]), wire.Seal([NEW_KEY, OLD_KEY]), wire.Seal([NEW_KEY])
+    old_only, both, new_only = (
+        wire.Authenticator([OLD_KEY]),
+        wire.Authenticator([NEW_KEY, OLD_KEY]),
+        wire.Authenticator([NEW_KEY]),
+    )
     assert both.verify(old_only.sign(b"x")) == b"x", "a member with both keys accepts the old one"
     assert new_only.verify(both.sign(b"x")) == b"x", "a member with both keys signs with the first"
     assert rejection(old_only, new_only.sign(b"x")) == "key"
     for invalid_keys in ([], [b"short"], [OLD_KEY, OLD_KEY]):
         with pytest.raises(ValueError):
-            wire.Seal(invalid_keys)
+            wire.Authenticator(invalid_keys)
 
 
 @repeatable
 @given(st.binary(max_size=200))
 def test_random_bytes_are_rejected_before_they_are_parsed(data):
-    assert rejection(wire.Seal([OLD_KEY]), data) in ("short", "version", "key", "mac")
+    assert rejection(wire.Authenticator([OLD_KEY]), data) in ("short", "version", "key", "mac")
 
 
 @repeatable
 @given(st.integers(0, 10_000), st.integers(0, 7), st.integers(0, 200))
 def test_a_flipped_bit_or_a_truncated_message_is_rejected(position, bit, length):
-    seal = wire.Seal([OLD_KEY])
-    sealed = seal.sign(wire.encode(PING))
-    position %= len(sealed)
-    corrupted = sealed[:position] + bytes((sealed[position] ^ 1 << bit,)) + sealed[position + 1 :]
-    assert rejection(seal, corrupted) in ("version", "key", "mac")
-    assert rejection(seal, sealed[: min(length, len(sealed) - 1)]) in ("short", "mac")
+    authenticator = wire.Authenticator([OLD_KEY])
+    signed = authenticator.sign(wire.encode(PING))
+    position %= len(signed)
+    corrupted = signed[:position] + bytes((signed[position] ^ 1 << bit,)) + signed[position + 1 :]
+    assert rejection(authenticator, corrupted) in ("version", "key", "mac")
+    assert rejection(authenticator, signed[: min(length, len(signed) - 1)]) in ("short", "mac")
 
 
 @repeatable
 @given(st.binary(min_size=1, max_size=120))
 def test_a_body_of_no_known_type_is_rejected_as_unknown(body):
-    seal = wire.Seal([OLD_KEY])
+    authenticator = wire.Authenticator([OLD_KEY])
     try:
-        wire.decode(seal.verify(seal.sign(body)))
+        wire.decode(authenticator.verify(authenticator.sign(body)))
     except wire.WireError as error:
         assert str(error) == "unknown"
 
@@ -117,7 +123,10 @@
     later = msgspec.msgpack.encode([*fields, "a field of a later version", {"and": "more"}])
     assert wire.decode(later) == PING
     assert (
-        rejection(wire.Seal([OLD_KEY]), wire.Seal([OLD_KEY]).sign(msgspec.msgpack.encode([99, 1, 2, 3])))
+        rejection(
+            wire.Authenticator([OLD_KEY]),
+            wire.Authenticator([OLD_KEY]).sign(msgspec.msgpack.encode([99, 1, 2, 3])),
+        )
         == "unknown"
     )
 
@@ -139,9 +148,9 @@
 
 def test_a_full_datagram_keeps_within_the_size_limit():
     """Else a ping with the longest fields and as many updates as fit would be dropped by the receiver."""
-    seal, rng = wire.Seal([OLD_KEY]), random.Random(1)
+    authenticator, rng = wire.Authenticator([OLD_KEY]), random.Random(1)
     run = draw_run(rng)
-    facts = {f"{i}" * MAX_FACT_CHARS: "v" * MAX_FACT_CHARS for i in range(MAX_FACTS)}
+    metadata = {f"{i}" * MAX_FACT_CHARS: "v" * MAX_FACT_CHARS for i in range(MAX_FACTS)}
     largest = wire.MemberRecord(
         run,
         0,
@@ -152,7 +161,7 @@
         "z" * MAX_NAME_CHARS,
         1,
         1,
-        facts,
+        metadata,
     )
     assert len(wire.encode(largest)) > GOSSIP_ROOM_BYTES, "such a record is distributed by syncs only"
     update = wire.MemberUpdate(run, 3, 2**32 - 1, run)
@@ -160,4 +169,4 @@
     ping = wire.Ping(
         2**40, run, run, 2**32 - 1, "a" * MAX_NAME_CHARS, 4096, 2**64 - 1, [update] * max_updates
     )
-    assert len(seal.sign(wire.encode(ping))) <= wire.MAX_DATAGRAM_BYTES
+    assert len(authenticator.sign(wire.encode(ping))) <= wire.MAX_DATAGRAM_BYTES
