--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -36,7 +36,7 @@
 from leadslip.lab.fleet import Fleet
 from leadslip.lab.network import Clock, Network
 from leadslip.metrics import Metrics
-from leadslip.site import configuration
+from leadslip.site import demo_config
 
 # Phi is -log10 of the probability of a longer gap; it is 8 at this many standard deviations above the mean gap.
 PHI_8 = -statistics.NormalDist().inv_cdf(1e-8)
@@ -485,7 +485,7 @@
         async def start(i: int, with_fleet: bool) -> asyncio.subprocess.Process:
             folder = work_folder / str(i)
             folder.mkdir()
-            config = configuration(server_port, board_port, 0) | {
+            config = demo_config(server_port, board_port, 0) | {
                 "name": f"n{i}",
                 "listen": f"{prefix}.{10 + i}:5060",
             }
--- a/benchmarks/trunks.py
+++ b/benchmarks/trunks.py
@@ -74,7 +74,7 @@
     """Measure the CPU time of the traffic observer for an established call and for a refused one."""
     traffic = Traffic(0.0, lambda interval: None, lambda *span: None)
     requests = [
-        SimpleNamespace(destination=i % 4, call_class="plain", number=str(i), redialled=False)
+        SimpleNamespace(destination=i % 4, call_class="plain", number_called=str(i), redialled=False)
         for i in range(1000)
     ]
     attempts = [SimpleNamespace(request=request, established=True, sent_ms=0.0) for request in requests]
--- a/leadslip/__main__.py
+++ b/leadslip/__main__.py
@@ -78,7 +78,7 @@
     @classmethod
     def from_config(cls, conf: config.Config) -> Descriptors:
         """Divide the configured limit, or that of the system if lower."""
-        limit = min(conf.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        limit = min(conf.max_descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         overflow = limit // 16
         callers = limit * 5 // 8 - overflow
         return cls(callers, overflow, limit - callers - overflow - OTHER_DESCRIPTORS)
@@ -121,7 +121,7 @@
             reactor,
             self.metrics,
             self.clock.now_ms,
-            conf.dial_timeout_ms,
+            conf.connect_timeout_ms,
             self.on_unknown_end,
             self.deadlines,
             descriptors.servers,
@@ -135,7 +135,7 @@
             self.servers,
             self.metrics,
             log,
-            conf.most_held,
+            conf.max_open_requests,
             self.observers["sip"],
             counters=self.counters,
         )
@@ -154,9 +154,9 @@
             self.deadlines,
             self.metrics,
             conf.board,
-            conf.last_event,
+            conf.last_event_id,
             self.apply_notice,
-            conf.dial_timeout_ms / 1000.0,
+            conf.connect_timeout_ms / 1000.0,
         )
 
     def rebuild_filters(self) -> None:
@@ -167,7 +167,7 @@
         """Start serving; the notices in the configuration are applied before the first poll of the notice board."""
         # Installed before listening: once the load balancer can reach the proxy, SIGTERM must drain it, not end it.
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(self.drain))
-        for notice in self.conf.notices:
+        for notice in self.conf.known_notices:
             self.apply_notice(notice)
         host, _ = self.conf.listen
         self.listening_port = listen_shared(reactor, self.conf.listen, self.clients, backlog=512)
@@ -210,7 +210,7 @@
 
         endpoints: Endpoints = {
             b"ready": Endpoint({b"GET": ready, b"HEAD": ready}),
-            b"counters": Endpoint({b"GET": lambda request: Answer(200, self.counters.text())}),
+            b"counters": Endpoint({b"GET": lambda request: Answer(200, self.counters.to_text())}),
             b"out-of-service": Endpoint({b"PUT": take_out, b"POST": take_out}),
             b"in-service": Endpoint({b"PUT": put_back, b"POST": put_back}),
         }
@@ -220,14 +220,14 @@
 
     def take_out_of_service(self) -> None:
         """Drain client connections on an operator's request; the process keeps running."""
-        if self.readiness.out_of_service(self.clock.now_ms()):
+        if self.readiness.take_out_of_service(self.clock.now_ms()):
             self.log("out_of_service")
             self.clients.drain_connections()
             self.notify_service_state()
 
     def return_to_service(self) -> None:
         """Accept clients again on an operator's request."""
-        if self.readiness.in_service():
+        if self.readiness.return_to_service():
             self.log("in_service")
             self.notify_service_state()
 
@@ -261,9 +261,9 @@
             for key, fixed_settings in parts.restart_settings(loaded.parts).items():
                 if fixed_settings != running[key]:
                     raise config.FixedError(f"{key} can't change without a restart")
-            if (conf.settings, conf.most_held) != (self.conf.settings, self.conf.most_held):
+            if (conf.settings, conf.max_open_requests) != (self.conf.settings, self.conf.max_open_requests):
                 # Before anything else is changed, as the Controller may reject the settings.
-                self.engine.apply_settings(conf.settings, conf.most_held)
+                self.engine.apply_settings(conf.settings, conf.max_open_requests)
         except OperatorError as error:
             self.counters.config_rejected += 1
             self.metrics.add("reloads.rejected")
@@ -275,14 +275,14 @@
         self.rebuild_filters()
         self.counters.config_applied += 1
         self.metrics.add("reloads")
-        self.servers.connect_timeout_s = conf.dial_timeout_ms / 1000.0
+        self.servers.connect_timeout_s = conf.connect_timeout_ms / 1000.0
         descriptors = Descriptors.from_config(conf)
         self.clients.inbound.max_connections, self.clients.inbound.overflow = (
             descriptors.callers,
             descriptors.overflow,
         )
         self.servers.max_connections = descriptors.servers
-        for notice in conf.notices:
+        for notice in conf.known_notices:
             if notice.rev > self.board.last_event_id:
                 self.board.last_event_id = notice.rev
                 self.apply_notice(notice)
@@ -312,8 +312,8 @@
         )
         # The end of an established call can be reported only on a connection from a caller. Once none is left, the
         # servers report it to their other clients, such as a new process beside this one.
-        pending = any(engine.open for engine in self.engines) or (
-            self.engine.established and self.clients.connections
+        pending = any(engine.open_requests for engine in self.engines) or (
+            self.engine.established_requests and self.clients.connections
         )
         if now_ms >= exit_by_ms - FINAL_CLOSE_MS:
             # Prevents the exit from dropping connections during a set-up: each is closed once no answer is pending,
--- a/leadslip/cli/demo.py
+++ b/leadslip/cli/demo.py
@@ -92,7 +92,7 @@
         server, board = toy.start(
             self.reactor, 0, 0, self.lines, self.hold_s, lambda text: self.print_status("server", text)
         )
-        (self.folder / "config.json").write_text(json.dumps(site.configuration(server, board, 0)))
+        (self.folder / "config.json").write_text(json.dumps(site.demo_config(server, board, 0)))
         env = {key: value for key, value in os.environ.items() if not key.startswith(("NODE_", "LEADSLIP_"))}
         env["NODE_CONFIG"] = str(self.folder / "config.json")
         env["PYTHONPATH"] = os.pathsep.join(path for path in sys.path if path)
--- a/leadslip/cli/trunks.py
+++ b/leadslip/cli/trunks.py
@@ -192,7 +192,7 @@
     """Size all groups of the plan FILE; groups that overflow are sized together with their final group."""
     with open(file, "rb") as plan_file:
         fields = tomllib.load(plan_file)
-    confidence = plan.figure(fields, "confidence", "", 0.01, 0.999999, 0.95)
+    confidence = plan.bounded_number(fields, "confidence", "", 0.01, 0.999999, 0.95)
     measured = None
     if store_path is not None:
         from leadslip.trunks import report
--- a/leadslip/config.py
+++ b/leadslip/config.py
@@ -276,13 +276,13 @@
     listen: Address
     ops: Address | None  # the operators' address; None: no operators' endpoint
     seed: int  # random seed of the Controller
-    sockets: int  # maximum number of file descriptors, divided between callers and setup servers
+    max_descriptors: int  # maximum number of file descriptors, divided between callers and setup servers
     board: Address  # the notice board's address
-    last_event: int  # id of the last event known at the start: the notice board is asked for later ones
-    notices: tuple[Notice, ...]  # known at the start, applied before the notice board is asked
+    last_event_id: int  # id of the last event known at the start: the notice board is asked for later ones
+    known_notices: tuple[Notice, ...]  # known at the start, applied before the notice board is asked
     settings: interface.Settings
-    dial_timeout_ms: float  # time-out for connecting to a setup server or the notice board
-    most_held: int  # maximum number of open requests; further ones are refused
+    connect_timeout_ms: float  # time-out for connecting to a setup server or the notice board
+    max_open_requests: int  # maximum number of open requests; further ones are refused
     keys: frozenset[str] = frozenset()  # the keys written in the file, except those of `known` and of classes
     class_keys: tuple[frozenset[str], ...] = ()  # the keys written for each class in the file
 
@@ -364,7 +364,7 @@
     return Notice(rev, interface.ServerListUpdate(update_kind, tuple(entries)), addresses)
 
 
-def config_of(document: object) -> Config:
+def parse_config(document: object) -> Config:
     """Parses and validates the configuration of a signalling proxy. Raises MalformedError."""
     if not isinstance(document, Mapping):
         raise MalformedError("the configuration is no object: the file must contain one JSON object")
@@ -379,12 +379,12 @@
                 raise BoundsError(f"{key} must be above 0: {flat[key]}")
         if settings.cold_fraction > 1:
             raise BoundsError(f"obligations.cold_from must not be above 1: {settings.cold_fraction}")
-        dial_timeout_ms = number(flat, "limits.dial_timeout_ms", 500.0)
-        most_held = integer(flat, "limits.most_held", 20_000)
+        connect_timeout_ms = number(flat, "limits.dial_timeout_ms", 500.0)
+        max_open_requests = integer(flat, "limits.most_held", 20_000)
     except MalformedError as error:
         raise error.with_prefix("settings.") from error
     known_state = required_value(document, "known", Mapping)
-    notices = [
+    known_notices = [
         parse_notice(event, f"known.notices.{i}")
         for i, event in enumerate(required_value(known_state, "notices", list, "known"))
     ]
@@ -395,21 +395,21 @@
     limits = document.get("limits", {})
     if not isinstance(limits, Mapping):
         raise MalformedError("limits must be an object")
-    sockets = limits.get("sockets", 1024)
-    if not isinstance(sockets, int) or sockets < 16:
-        raise MalformedError(f"limits.sockets must be an integer of at least 16: {sockets!r}")
+    max_descriptors = limits.get("sockets", 1024)
+    if not isinstance(max_descriptors, int) or max_descriptors < 16:
+        raise MalformedError(f"limits.sockets must be an integer of at least 16: {max_descriptors!r}")
     return Config(
         name=str(document.get("name", "")),
         listen=parse_address(required_value(document, "listen", str), "listen"),
         ops=None if document.get("ops") is None else parse_address(document["ops"], "ops"),
         seed=seed,
-        sockets=sockets,
+        max_descriptors=max_descriptors,
         board=parse_address(required_value(document, "board", str), "board"),
-        last_event=int(required_value(known_state, "rev", int, "known")),
-        notices=tuple(notices),
+        last_event_id=int(required_value(known_state, "rev", int, "known")),
+        known_notices=tuple(known_notices),
         settings=settings,
-        dial_timeout_ms=dial_timeout_ms,
-        most_held=most_held,
+        connect_timeout_ms=connect_timeout_ms,
+        max_open_requests=max_open_requests,
     )
 
 
@@ -467,12 +467,12 @@
         raise MissingError("NODE_CONFIG is missing: it must name the configuration file")
     document = read_json(path, "NODE_CONFIG")
     if not isinstance(document, dict):
-        return config_of(document)
+        return parse_config(document)
     keys, class_keys = written_keys(document)
     for key, variable in (("name", "NODE_NAME"), ("listen", "NODE_LISTEN"), ("ops", "NODE_OPS")):
         if variable in environ:
             document.setdefault(key, environ[variable])
-    return dataclasses.replace(config_of(document), keys=keys, class_keys=class_keys)
+    return dataclasses.replace(parse_config(document), keys=keys, class_keys=class_keys)
 
 
 PER_CLASS_PREFIXES = (
--- a/leadslip/configure.py
+++ b/leadslip/configure.py
@@ -89,10 +89,10 @@
         config_table["seed"] = secrets.token_hex(8)
         try:
             config_table["known"] = known_state_of(merged.get("servers", []))
-            conf = config.config_of(config_table)
+            conf = config.parse_config(config_table)
             context = parts.SettingsContext(tuple(call_class.name for call_class in conf.settings.classes))
             for part in parts.NAMES:
-                context.settings[part] = parts.settings_class(part).settings(merged.get(part, {}), context)
+                context.settings[part] = parts.settings_class(part).parse(merged.get(part, {}), context)
         except MalformedError as error:
             raise error.with_prefix(f"{path} ({name}): ") from error
         exclusive_values = [("listen", conf.listen)]
@@ -145,11 +145,11 @@
     """Validates one file, whose kind follows from its name. Raises MalformedError."""
     name = Path(path).name
     if name.endswith(".json"):
-        config.config_of(config.read_json(path, "file"))
+        config.parse_config(config.read_json(path, "file"))
     elif name.endswith(".toml") and name[:-5] in parts.NAMES:
         # One file does not tell which other parts are enabled: all that this part may need are assumed to be.
         context = parts.SettingsContext(settings=dict.fromkeys(parts.NAMES, True))
-        parts.settings_class(name[:-5]).settings(read_toml(path), context)
+        parts.settings_class(name[:-5]).parse(read_toml(path), context)
     else:
         applications_of(read_toml(path))
 
--- a/leadslip/core.py
+++ b/leadslip/core.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from leadslip import interface
-from leadslip.choice import Controller
+from leadslip.controller import Controller
 from leadslip.counters import Counters
 from leadslip.deadlines import Clock, Deadlines
 from leadslip.filters import Chain
@@ -96,8 +96,8 @@
         # Upper limit for the duration of each attempt, so that after a silent peer time is left for another.
         self.max_attempt_ms = max_attempt_ms
         self.chain = Chain(metrics, log)
-        self.open: dict[str, Request] = {}  # by id; no final answer given yet
-        self.established: dict[str, Request] = {}  # by id; answered, and the call goes on
+        self.open_requests: dict[str, Request] = {}  # by id; no final answer given yet
+        self.established_requests: dict[str, Request] = {}  # by id; answered, and the call goes on
         self.states: dict[str, interface.ServerState] = {}  # by server, with local drains applied
         self.entries: dict[str, interface.ListEntry] = {}  # by server, as listed, without local drains
         self.out_of_rotation: frozenset[str] = frozenset()  # servers drained by operators, not by the list
@@ -119,7 +119,7 @@
     def shut_down(self) -> None:
         """Fail all open requests now and refuse new ones, since nothing can be answered after the exit."""
         self.stopped = True
-        for request in list(self.open.values()):
+        for request in list(self.open_requests.values()):
             self._on_overall_deadline(request)
 
     # Server list updates.
@@ -181,15 +181,15 @@
         now_ms = request.received_at_ms = self.clock.now_ms()
         request.max_attempts = self.settings.max_attempts
         self.metrics.add("requests")
-        if request.id in self.open or request.id in self.established:
+        if request.id in self.open_requests or request.id in self.established_requests:
             # The id is in use: this request fails, and the first one with the id goes on.
             self.metrics.add("requests.doubled")
             request.state = State.ENDED
             self.counters.count_answer(request.call_class, "errors")
-            request.downstream.failed(request)
+            request.downstream.on_failed(request)
             return
-        self.open[request.id] = request
-        if self.stopped or not has_capacity or len(self.open) > self.max_open_requests:
+        self.open_requests[request.id] = request
+        if self.stopped or not has_capacity or len(self.open_requests) > self.max_open_requests:
             self.metrics.add("requests.after_the_end" if self.stopped else "requests.over_most_held")
             self._refuse(request, 0.0)
             return
@@ -209,7 +209,7 @@
                 request.valid_until_ms,
                 request.destination,
                 request.lines,
-                request.number,
+                request.number_called,
                 cut_before=request.cut_before,
                 redialled=request.redialled,
             )
@@ -247,14 +247,14 @@
         attempt.established = True
         self._mark_closed(request)
         request.state = State.ESTABLISHED
-        self.established[request.id] = request
+        self.established_requests[request.id] = request
         self.metrics.add("answers.stands")
         self.counters.count_answer(request.call_class, "ok")
         now_ms = self.clock.now_ms()
         if request.admitted_by:
             self.chain.established(request, now_ms)
         self._notify_observer(request, "stands")
-        request.downstream.established(request, payload)
+        request.downstream.on_established(request, payload)
         self._dispatch(
             interface.CallEstablished(request.id, attempt.server, attempt.index, now_ms - attempt.sent_ms)
         )
@@ -291,7 +291,7 @@
 
     def active_count(self) -> int:
         """Number of requests that are open, or whose call is still established."""
-        return len(self.open) + len(self.established)
+        return len(self.open_requests) + len(self.established_requests)
 
     def may_send(self, attempt: Attempt) -> bool:
         """Whether a set-up may still be sent; the upstream side checks this just before it writes one.
@@ -346,7 +346,7 @@
             self.observer.attempt_ended(attempt, outcome, now_ms)
         if request.state is State.ESTABLISHED:
             request.state = State.ENDED
-            self.established.pop(request.id, None)
+            self.established_requests.pop(request.id, None)
             if request.admitted_by:
                 self.chain.ended(request, now_ms)
             if notify:
@@ -383,15 +383,15 @@
             case interface.SetUp(call, server, timeout_at_ms):
                 self._send_attempt(call, server, timeout_at_ms)
             case interface.Refuse(call, pause_ms):
-                request = self.open.get(call)
+                request = self.open_requests.get(call)
                 if self.metrics.check_invariant(request is not None, "one final answer"):
                     self._refuse(request, pause_ms)
             case interface.Fail(call):
-                request = self.open.get(call)
+                request = self.open_requests.get(call)
                 if self.metrics.check_invariant(request is not None, "one final answer"):
                     self._fail(request)
             case interface.Withdraw(call, attempt):
-                request = self.open.get(call)
+                request = self.open_requests.get(call)
                 if request is not None and request.attempt and request.attempt.index == attempt:
                     self.on_attempt_ended(request.attempt, interface.Outcome.WITHDRAWN)
             case interface.SetTimer(after_ms, token):
@@ -407,7 +407,11 @@
         self._dispatch(interface.TimerDue(token))
 
     def _send_attempt(self, call: str, server: str, timeout_at_ms: float) -> None:
-        request, now_ms, check = self.open.get(call), self.clock.now_ms(), self.metrics.check_invariant
+        request, now_ms, check = (
+            self.open_requests.get(call),
+            self.clock.now_ms(),
+            self.metrics.check_invariant,
+        )
         if not check(request is not None, "a set-up is for an open request"):
             return
         if not check(request.attempt is None, "one attempt out"):
@@ -448,7 +452,7 @@
         self.metrics.check_invariant(request.state is State.OPEN, "one final answer")
         request.state = State.ENDED
         self.deadlines.cancel(request.overall_deadline)
-        self.open.pop(request.id, None)
+        self.open_requests.pop(request.id, None)
 
     def _notify_filters_ended(self, request: Request) -> None:
         """Notify the filters that admitted a request that it ended without an established call."""
@@ -461,7 +465,7 @@
         self.metrics.add("answers.refused")
         self.counters.count_answer(request.call_class, "shed")
         self._notify_observer(request, "refused")
-        request.downstream.refused(request, min(max(pause_ms, 0.0), self.settings.max_pause_ms))
+        request.downstream.on_refused(request, min(max(pause_ms, 0.0), self.settings.max_pause_ms))
 
     def _fail(self, request: Request) -> None:
         self._mark_closed(request)
@@ -469,7 +473,7 @@
         self.metrics.add("answers.failed")
         self.counters.count_answer(request.call_class, "errors")
         self._notify_observer(request, "failed")
-        request.downstream.failed(request)
+        request.downstream.on_failed(request)
 
     def _notify_observer(self, request: Request, answer: str) -> None:
         if self.observer is not None:
--- a/leadslip/counters.py
+++ b/leadslip/counters.py
@@ -72,6 +72,6 @@
         values["proxy.config_rejected"] = self.config_rejected
         return values
 
-    def text(self) -> bytes:
+    def to_text(self) -> bytes:
         """Returns the values of all counters and gauges as `name=value` lines."""
         return "".join(f"{name}={value}\n" for name, value in self.values().items()).encode()
--- a/leadslip/drill/run.py
+++ b/leadslip/drill/run.py
@@ -34,7 +34,7 @@
     process_names,
 )
 from leadslip.errors import OperatorError
-from leadslip.site import configuration
+from leadslip.site import demo_config
 
 SIP_PORT, OPS_PORT = 5060, 7000
 SHORT_CALL_S, LONG_CALL_S = 0.3, 120.0  # after which the toy server ends a call, without and with `replicas`
@@ -133,7 +133,7 @@
         folder = drill.folder / start_name
         folder.mkdir()
         ops_port = OPS_PORT + self.start_count % 1000
-        config = configuration(drill.toy_ports[0], drill.toy_ports[1], 0)
+        config = demo_config(drill.toy_ports[0], drill.toy_ports[1], 0)
         config |= {"name": self.name, "listen": f"{self.ip}:{SIP_PORT}", "ops": f"{self.ip}:{ops_port}"}
         config["limits"] = {"sockets": 256}
         (folder / "config.json").write_text(json.dumps(config))
--- a/leadslip/fleet/agreement/filter.py
+++ b/leadslip/fleet/agreement/filter.py
@@ -67,7 +67,7 @@
             self._report_rules(rules, fleet_now_ms)
         self.last_decision_ms = fleet_now_ms
         bars = self.bars
-        if request.destination in bars.destinations or request.number.startswith(tuple(bars.prefixes)):
+        if request.destination in bars.destinations or request.number_called.startswith(tuple(bars.prefixes)):
             return Refusal()
         return None
 
--- a/leadslip/interface.py
+++ b/leadslip/interface.py
@@ -1,4 +1,4 @@
-"""Settings, events and actions of the Controller in leadslip/choice.py.
+"""Settings, events and actions of the Controller in leadslip/controller.py.
 
 All times are in milliseconds on the gateway's clock. A gateway is one proxy. A server is a setup server: a core
 switch or a pool of agents; it has an id, and a number by which calls name their first choice. A call is one request
--- a/leadslip/net/clients.py
+++ b/leadslip/net/clients.py
@@ -144,7 +144,7 @@
             downstream,
             bytes(body),  # a copy, as a view would keep the whole read in memory until the last retry
         )
-        request.number = number.decode("ascii", "replace")
+        request.number_called = number.decode("ascii", "replace")
         for field in headers.get(b"p-trunk-info", b"").split(b";"):
             name, _, value = field.partition(b":")
             if name == b"dest":
@@ -182,10 +182,10 @@
 
     def bye(self, number: bytes, headers: dict[bytes, bytes], body: memoryview) -> None:
         """Handles the release of a call by its caller: answers 200, or 481 if no proxy knows the call."""
-        request = self.downstream.engine.established.get(parse_call_id(headers))
+        request = self.downstream.engine.established_requests.get(parse_call_id(headers))
         # The caller's release may cross the proxy's own, which is retained until it is acknowledged.
         known = request is not None or parse_call_id(headers) in self.downstream.pending_releases
-        if not known and self.downstream.release_elsewhere is not None:
+        if not known and self.downstream.release_replicated_call is not None:
             # Encoded now, so that the parsed headers need not be kept until the result arrives.
             echoed = echo_headers(headers)
 
@@ -194,7 +194,7 @@
                     status = b"200 OK" if found else UNKNOWN_CALL
                     self.send(b"SIP/2.0 ", status, b"\r\n", echoed, b"Content-Length: 0\r\n\r\n")
 
-            self.downstream.release_elsewhere(parse_call_id(headers), on_result)
+            self.downstream.release_replicated_call(parse_call_id(headers), on_result)
             return
         self.reply(b"200 OK" if known else UNKNOWN_CALL, headers)
         if request is not None:
@@ -272,7 +272,7 @@
         self.resend_scheduled = False
         # Releases a call that this engine does not have, and calls back with whether its server was found.
         # None: calls are not replicated to other proxies.
-        self.release_elsewhere: Callable[[str, Callable[[bool], None]], None] | None = None
+        self.release_replicated_call: Callable[[str, Callable[[bool], None]], None] | None = None
 
     def buildProtocol(self, addr: object) -> CallerConnection | None:
         return CallerConnection(self) if self.inbound.has_capacity() else None
@@ -329,10 +329,10 @@
             self._close_free_connections()
 
     def _close_free_connections(self, _: object = None) -> None:
-        if not self.readiness.draining():
+        if not self.readiness.client_connections_draining():
             self.draining = False
             return
-        in_use = {request.context[0] for request in self.engine.established.values()}
+        in_use = {request.context[0] for request in self.engine.established_requests.values()}
         now_ms = self.engine.clock.now_ms()
         for connection in list(self.connections):
             if connection.transport.disconnecting or (
@@ -370,15 +370,15 @@
 
     # Called by the engine.
 
-    def established(self, request: Request, payload: object) -> None:
+    def on_established(self, request: Request, payload: object) -> None:
         length_header = b"Content-Length: %d\r\n\r\n" % len(payload)
         self._answer(request, b"SIP/2.0 200 OK\r\n", length_header, payload)
 
-    def refused(self, request: Request, retry_after_ms: float) -> None:
+    def on_refused(self, request: Request, retry_after_ms: float) -> None:
         back_off = b"P-Back-Off: %d\r\n" % int(retry_after_ms) if retry_after_ms >= 1 else b""
         self._answer(request, b"SIP/2.0 503 Service Unavailable\r\n", back_off, b"Content-Length: 0\r\n\r\n")
 
-    def failed(self, request: Request) -> None:
+    def on_failed(self, request: Request) -> None:
         self._answer(request, b"SIP/2.0 500 Server Internal Error\r\n", b"Content-Length: 0\r\n\r\n")
 
     def call_ended(self, request: Request, cut: bool) -> None:
--- a/leadslip/net/enum.py
+++ b/leadslip/net/enum.py
@@ -152,7 +152,7 @@
             self.request_count += 1
             valid_until_ms = self.deadlines.clock.now_ms() + self.conf.answer_within_ms
             request = Request(f"{self.request_count:016x}", "enum", valid_until_ms, self)
-            request.number, request.context = number, client_query
+            request.number_called, request.context = number, client_query
             request.destination = self.request_count % len(self.conf.resolvers)
             self.open_requests[key] = request
             self.engine.offer(request)
@@ -172,7 +172,7 @@
 
     # Callbacks of the engine.
 
-    def established(self, request: Request, payload: object) -> None:
+    def on_established(self, request: Request, payload: object) -> None:
         """Forwards a resolver's reply; if it is too long for the client, an empty one that makes it retry over TCP."""
         client_query: ClientQuery = request.context
         if len(payload) > client_query.max_size:
@@ -182,10 +182,10 @@
         fourth_byte = RECURSION_AVAILABLE | (payload[3] & 0x0F)
         self._reply(request, b"".join((client_query.id, bytes((third_byte, fourth_byte)), payload[4:])))
 
-    def refused(self, request: Request, pause_ms: float) -> None:
+    def on_refused(self, request: Request, pause_ms: float) -> None:
         self._reply(request, request.context.empty_reply(dns.EREFUSED))
 
-    def failed(self, request: Request) -> None:
+    def on_failed(self, request: Request) -> None:
         self._reply(request, request.context.empty_reply(dns.ESERVER))
 
     def call_ended(self, request: Request, cut: bool) -> None:
--- a/leadslip/net/servers.py
+++ b/leadslip/net/servers.py
@@ -266,7 +266,7 @@
                 call,
                 (CLASS, request.call_class.encode()),
                 (WAIT, b"%d" % left_ms),
-                (NUMBER, request.number.encode()),
+                (NUMBER, request.number_called.encode()),
                 (DESCRIPTION, request.payload),
             )
         )
--- a/leadslip/parts/__init__.py
+++ b/leadslip/parts/__init__.py
@@ -39,7 +39,7 @@
     restart_keys: ClassVar[str]  # what an error names if the settings that need a restart have changed
 
     @staticmethod
-    def settings(table: Mapping, context: SettingsContext) -> object | None:
+    def parse(table: Mapping, context: SettingsContext) -> object | None:
         """The validated settings from the content of the file; None if the part is off. Raises MalformedError."""
         raise NotImplementedError
 
@@ -74,7 +74,7 @@
         table = config.read_optional_toml(
             environ, settings_class(name).environment_variable, f"deploy/{name}.toml"
         )
-        context.settings[name] = settings_class(name).settings(table, context)
+        context.settings[name] = settings_class(name).parse(table, context)
     return context.settings
 
 
--- a/leadslip/parts/agreement/settings.py
+++ b/leadslip/parts/agreement/settings.py
@@ -34,7 +34,7 @@
     isolated_most_tries: int
 
 
-def settings(table: Mapping, context: SettingsContext) -> AgreementConfig | None:
+def parse(table: Mapping, context: SettingsContext) -> AgreementConfig | None:
     """Returns the validated settings of the agreement; None if they disable it."""
     if not is_enabled(table, "agreement", ("voters", "disk", *KEYS)):
         return None
@@ -55,7 +55,7 @@
     """Describes the settings file of the agreement part."""
 
     name, environment_variable, restart_keys = "agreement", "LEADSLIP_AGREEMENT", "agreement"
-    settings = staticmethod(settings)
+    parse = staticmethod(parse)
 
     @staticmethod
     def exclusive_values(conf: AgreementConfig) -> tuple[tuple[str, object], ...]:
--- a/leadslip/parts/enum/settings.py
+++ b/leadslip/parts/enum/settings.py
@@ -41,7 +41,7 @@
 }
 
 
-def settings(table: Mapping, context: SettingsContext | None = None) -> EnumConfig | None:
+def parse(table: Mapping, context: SettingsContext | None = None) -> EnumConfig | None:
     """The validated settings of ENUM look-ups; None where they are off. Raises MalformedError."""
     if not is_enabled(table, "enum", ("listen", "resolvers", "suffix", *ENUM_KEYS)):
         return None
@@ -85,7 +85,7 @@
     """Describes the settings file of ENUM look-ups."""
 
     name, environment_variable, restart_keys = "enum", "LEADSLIP_ENUM", "enum"
-    settings = staticmethod(settings)
+    parse = staticmethod(parse)
 
     @staticmethod
     def exclusive_values(conf: EnumConfig) -> tuple[tuple[str, object], ...]:
--- a/leadslip/parts/fleet/part.py
+++ b/leadslip/parts/fleet/part.py
@@ -30,7 +30,7 @@
         """Returns the metadata that this member publishes, including that of its other parts."""
         node = self.node
         metadata = {
-            "capacity": node.conf.most_held,
+            "capacity": node.conf.max_open_requests,
             "service": node.readiness.service_state(),
             "version": __version__,
         }
--- a/leadslip/parts/fleet/settings.py
+++ b/leadslip/parts/fleet/settings.py
@@ -37,7 +37,7 @@
     faulty_variant: str = ""
 
 
-def settings(table: Mapping, context: SettingsContext) -> FleetConfig | None:
+def parse(table: Mapping, context: SettingsContext) -> FleetConfig | None:
     """Returns the validated settings of the fleet; None if they turn it off. Raises MalformedError."""
     if not is_enabled(
         table, "fleet", ("listen", "advertise", "seeds", "key_file", "zone", "history", "broken", *KEYS)
@@ -85,7 +85,7 @@
     """Schema of this part's settings file."""
 
     name, environment_variable, restart_keys = "fleet", "LEADSLIP_FLEET", "fleet"
-    settings = staticmethod(settings)
+    parse = staticmethod(parse)
 
     @staticmethod
     def restart_settings(conf: FleetConfig) -> object:
--- a/leadslip/parts/logs/settings.py
+++ b/leadslip/parts/logs/settings.py
@@ -20,7 +20,7 @@
 LOG_FORMATS, LOG_LEVELS = ("plain", "console", "json"), ("debug", "info", "warning", "error")
 
 
-def settings(table: Mapping, context: SettingsContext | None = None) -> LogsConfig:
+def parse(table: Mapping, context: SettingsContext | None = None) -> LogsConfig:
     """The validated settings of the log; plain lines of level info by default. Raises MalformedError."""
     for key in table:
         if key not in ("format", "level"):
@@ -37,7 +37,7 @@
     """Describes the settings file of logging."""
 
     name, environment_variable, restart_keys = "logs", "LEADSLIP_LOGS", "logs"
-    settings = staticmethod(settings)
+    parse = staticmethod(parse)
 
 
 SETTINGS_CLASS = LogsSettings
--- a/leadslip/parts/otlp/settings.py
+++ b/leadslip/parts/otlp/settings.py
@@ -28,7 +28,7 @@
 }
 
 
-def settings(table: Mapping, context: SettingsContext | None = None) -> OtlpConfig | None:
+def parse(table: Mapping, context: SettingsContext | None = None) -> OtlpConfig | None:
     """The validated settings of the OTLP export; None where it is off. Raises MalformedError."""
     if not is_enabled(table, "otlp", ("collector", *OTLP_KEYS)):
         return None
@@ -42,7 +42,7 @@
     """Describes the settings file of the OTLP export."""
 
     name, environment_variable, restart_keys = "otlp", "LEADSLIP_OTLP", "otlp"
-    settings = staticmethod(settings)
+    parse = staticmethod(parse)
 
 
 SETTINGS_CLASS = OtlpSettings
--- a/leadslip/parts/part.py
+++ b/leadslip/parts/part.py
@@ -18,7 +18,7 @@
 from leadslip.readiness import Readiness
 
 
-class Host(Protocol):
+class Proxy(Protocol):
     """The proxy as its parts see it."""
 
     reactor: object
@@ -46,7 +46,7 @@
 class Part:
     """Base of the parts; a part is created only if its settings enable it, and overrides what it needs."""
 
-    def __init__(self, node: Host, conf: object) -> None:
+    def __init__(self, node: Proxy, conf: object) -> None:
         self.node, self.conf = node, conf
 
     def add_observers(self, observers: dict[str, list[Observer]]) -> None:
--- a/leadslip/parts/replicas/part.py
+++ b/leadslip/parts/replicas/part.py
@@ -43,7 +43,7 @@
         self.peers = node.parts["fleet"].peers
         self.replicas = Replicas(self.peers.view, self.conf.copies, node.metrics, node.log, self.recovered)
         self.transport = self.peers.add_part("replicas", self.replicas, lambda: None)
-        node.clients.release_elsewhere = self.release_call
+        node.clients.release_replicated_call = self.release_call
         self.replicate_rates()
 
     # Owner: events of the engine
--- a/leadslip/parts/replicas/settings.py
+++ b/leadslip/parts/replicas/settings.py
@@ -18,7 +18,7 @@
     copies: int  # number of other proxies that hold a replica of this one's table
 
 
-def settings(table: Mapping, context: SettingsContext) -> ReplicasConfig | None:
+def parse(table: Mapping, context: SettingsContext) -> ReplicasConfig | None:
     """Returns the validated settings of replication; None if they turn it off. Raises MalformedError and NeedsError."""
     if not is_enabled(table, "replicas", tuple(KEYS)):
         return None
@@ -31,7 +31,7 @@
     """Schema of this part's settings file."""
 
     name, environment_variable, restart_keys = "replicas", "LEADSLIP_REPLICAS", "replicas"
-    settings = staticmethod(settings)
+    parse = staticmethod(parse)
 
 
 SETTINGS_CLASS = ReplicasSettings
--- a/leadslip/parts/store/settings.py
+++ b/leadslip/parts/store/settings.py
@@ -27,7 +27,7 @@
 }
 
 
-def settings(table: Mapping, context: SettingsContext | None = None) -> StoreConfig | None:
+def parse(table: Mapping, context: SettingsContext | None = None) -> StoreConfig | None:
     """Returns the validated configuration of the store; None if the part is not enabled."""
     if not is_enabled(table, "store", ("path", *STORE_BOUNDS)):
         return None
@@ -50,7 +50,7 @@
     """The settings file of the store part: its name, its environment variable and what needs a restart."""
 
     name, environment_variable, restart_keys = "store", "LEADSLIP_STORE", "store"
-    settings = staticmethod(settings)
+    parse = staticmethod(parse)
 
     @staticmethod
     def exclusive_values(conf: StoreConfig) -> tuple[tuple[str, object], ...]:
--- a/leadslip/parts/trunks/settings.py
+++ b/leadslip/parts/trunks/settings.py
@@ -41,7 +41,7 @@
 TRUNK_BOUNDS = {"interval_s": (60, 1, 900)}  # key -> (default, minimum, maximum)
 
 
-def settings(table: Mapping, context: SettingsContext) -> TrunksConfig | None:
+def parse(table: Mapping, context: SettingsContext) -> TrunksConfig | None:
     """Returns the validated configuration of trunk groups; None if the part is not enabled."""
     if not is_enabled(table, "trunks", ("measure", "group", *TRUNK_BOUNDS)):
         return None
@@ -110,7 +110,7 @@
     """The settings file of the trunk-group part: its name, its environment variable and what needs a restart."""
 
     name, environment_variable, restart_keys = "trunks", "LEADSLIP_TRUNKS", "trunks.measure"
-    settings = staticmethod(settings)
+    parse = staticmethod(parse)
 
     @staticmethod
     def restart_settings(conf: TrunksConfig) -> object:
--- a/leadslip/readiness.py
+++ b/leadslip/readiness.py
@@ -36,18 +36,18 @@
         """Return `in` (in service), `out` (taken out of service by operators) or `ending` (shutting down)."""
         return "ending" if self.shutdown_since_ms else "out" if self.out_of_service_since_ms else "in"
 
-    def draining(self) -> bool:
+    def client_connections_draining(self) -> bool:
         """Whether client connections are to be closed once no answer is pending on them."""
         return bool(self.out_of_service_since_ms or self.shutdown_since_ms)
 
-    def out_of_service(self, now_ms: float) -> bool:
+    def take_out_of_service(self, now_ms: float) -> bool:
         """Take the proxy out of service, unless it already is; returns whether this changed anything."""
         if self.out_of_service_since_ms:
             return False
         self.out_of_service_since_ms = max(now_ms, 1.0)
         return True
 
-    def in_service(self) -> bool:
+    def return_to_service(self) -> bool:
         """Put the proxy back into service, unless it already is; returns whether this changed anything."""
         if not self.out_of_service_since_ms:
             return False
--- a/leadslip/recorder.py
+++ b/leadslip/recorder.py
@@ -55,7 +55,7 @@
         """Start the writer, and schedule the ends of the traffic intervals and the retention rounds."""
         self.writer.start()
         for traffic in self.traffics:
-            self.deadlines.call_at(traffic.due_ms(), self._end_interval, traffic)
+            self.deadlines.call_at(traffic.interval_end_ms(), self._end_interval, traffic)
         self._schedule_retention()
 
     def record_intervals(self, intervals: list[Interval]) -> None:
@@ -69,7 +69,7 @@
                     "trunks.kept", level="debug", run=self.run_id, start_s=first_start_s, records=len(points)
                 )
 
-        self.writer.put(Batch(points=points, done=on_written))
+        self.writer.put(Batch(points=points, on_committed=on_written))
 
     def report_gap(self, start_ms: float, end_ms: float) -> None:
         """Log a period in which traffic was not measured, and for which there are no records."""
@@ -78,7 +78,7 @@
 
     def _end_interval(self, traffic: Traffic) -> None:
         traffic.finish_intervals(self.deadlines.clock.now_ms())
-        self.deadlines.call_at(traffic.due_ms(), self._end_interval, traffic)
+        self.deadlines.call_at(traffic.interval_end_ms(), self._end_interval, traffic)
 
     def _schedule_retention(self, _: object = None) -> None:
         now_ms = self.deadlines.clock.now_ms()
--- a/leadslip/request.py
+++ b/leadslip/request.py
@@ -19,14 +19,14 @@
 class Request:
     """One request from the downstream side, which gets exactly one final answer unless its caller cancels it.
 
-    `number` is the number called, `destination` the number of the server that is its first choice (-1: none), `lines`
+    `destination` is the number of the server that is its first choice (-1: none), `lines`
     how many lines the call takes. Times are Unix milliseconds.
     """
 
     __slots__ = (
         "id",
         "call_class",
-        "number",
+        "number_called",
         "valid_until_ms",
         "destination",
         "lines",
@@ -50,7 +50,7 @@
         self, id_: str, call_class: str, valid_until_ms: float, downstream: Downstream, payload: bytes = b""
     ) -> None:
         self.id, self.call_class, self.valid_until_ms = id_, call_class, valid_until_ms
-        self.number, self.destination, self.lines = "", -1, 1.0
+        self.number_called, self.destination, self.lines = "", -1, 1.0
         # The caller repeats a call that was not established; the call replaces one that was cut.
         self.redialled = self.cut_before = False
         self.downstream, self.payload = downstream, payload
@@ -93,13 +93,13 @@
 class Downstream(Protocol):
     """The side a request came from: receives its one final answer, and the end of an established call."""
 
-    def established(self, request: Request, payload: object) -> None:
+    def on_established(self, request: Request, payload: object) -> None:
         """Final answer: the call is established; `payload` is the server's answer."""
 
-    def refused(self, request: Request, pause_ms: float) -> None:
+    def on_refused(self, request: Request, pause_ms: float) -> None:
         """Final answer: refused; the caller is asked to retry after `pause_ms` (0: no time is given)."""
 
-    def failed(self, request: Request) -> None:
+    def on_failed(self, request: Request) -> None:
         """Final answer: failed."""
 
     def call_ended(self, request: Request, cut: bool) -> None:
--- a/leadslip/simhost.py
+++ b/leadslip/simhost.py
@@ -2,7 +2,7 @@
 
 The simulator sends batches: `ROUND` with the time, lines that address a gateway (`SWITCH_TO`), start or destroy it,
 transfer server lists or report an event, and `EOF_BATCH`. The reply has the gateways' actions and ends with `DONE`.
-The adapter only translates names and units; every decision is made in leadslip/choice.py.
+The adapter only translates names and units; every decision is made in leadslip/controller.py.
 """
 
 from __future__ import annotations
@@ -13,7 +13,6 @@
 from typing import TextIO
 
 from leadslip import interface
-from leadslip.choice import Controller
 from leadslip.config import (
     Fields,
     MalformedError,
@@ -25,6 +24,7 @@
     parse_settings,
     required_text,
 )
+from leadslip.controller import Controller
 
 UPDATE_KINDS = {
     0: interface.UpdateKind.FAILED,
--- a/leadslip/site.py
+++ b/leadslip/site.py
@@ -26,7 +26,7 @@
     }
 
 
-def configuration(server_port: int, board_port: int, listen_port: int) -> dict:
+def demo_config(server_port: int, board_port: int, listen_port: int) -> dict:
     """The content of config.json; all ports are on loopback, and the proxy chooses `listen_port` if it is 0."""
     target = {
         "uid": "toy",
--- a/leadslip/store/writer.py
+++ b/leadslip/store/writer.py
@@ -28,17 +28,23 @@
     batch was committed.
     """
 
-    __slots__ = ("points", "items", "deleted", "done", "task")
+    __slots__ = ("points", "items", "deleted", "on_committed", "task")
 
     def __init__(
         self,
         points: Sequence[Point] = (),
         items: Sequence[Item] = (),
         deleted: Sequence[tuple[str, str]] = (),
-        done: Callable[[bool], None] | None = None,
+        on_committed: Callable[[bool], None] | None = None,
         task: Callable[[Store], None] | None = None,
     ) -> None:
-        self.points, self.items, self.deleted, self.done, self.task = points, items, deleted, done, task
+        self.points, self.items, self.deleted, self.on_committed, self.task = (
+            points,
+            items,
+            deleted,
+            on_committed,
+            task,
+        )
 
     def __len__(self) -> int:
         return len(self.points) + len(self.items) + len(self.deleted) + (self.task is not None)
@@ -75,8 +81,8 @@
         """Queues a batch; returns False if it was dropped, because the queue is full or the writer closing."""
         if self.closing or self.pending_records + len(batch) > MAX_PENDING_RECORDS:
             self.metrics.add("store.dropped", len(batch))
-            if batch.done is not None:
-                batch.done(False)
+            if batch.on_committed is not None:
+                batch.on_committed(False)
             return False
         self.pending_records += len(batch)
         with self.queue_changed:
@@ -191,5 +197,5 @@
                 # Records are lost; calls are not affected.
                 self.log("store.drops", level="error", fault=error)
         for batch in batches:
-            if batch.done is not None:
-                batch.done(written)
+            if batch.on_committed is not None:
+                batch.on_committed(written)
--- a/leadslip/trunks/plan.py
+++ b/leadslip/trunks/plan.py
@@ -85,7 +85,7 @@
     levels: tuple[sizing.ReservationLevel, ...] = ()  # up to the one that protects the class `spared`
 
 
-def figure(
+def bounded_number(
     table: Mapping, key: str, prefix: str, minimum: float, maximum: float, default: float | None = None
 ) -> float:
     """Returns a number of the table, checked against its bounds; the key is required if there is no default."""
@@ -105,8 +105,8 @@
     group_tables = document.get("group")
     if not isinstance(group_tables, list) or not group_tables:
         raise PlanError("group is missing: a plan needs at least one [[group]] table")
-    default_blocking = figure(document, "blocking", "", 1e-9, 0.99, 0.01)
-    default_growth = figure(document, "growth", "", -0.99, 100.0, 0.0)
+    default_blocking = bounded_number(document, "blocking", "", 1e-9, 0.99, 0.01)
+    default_growth = bounded_number(document, "growth", "", -0.99, 100.0, 0.0)
     specs: dict[str, GroupSpec] = {}
     for i, table in enumerate(group_tables):
         spec = _read_group(table, f"group.{i}.", default_blocking, default_growth, measured)
@@ -139,7 +139,7 @@
     classes = table.get("classes", {})
     if not isinstance(classes, Mapping):
         raise PlanError(f"{prefix}classes must be a table of loads by class: {classes!r}")
-    loads = {key: figure(classes, key, f"{prefix}classes.", 0.0, MAX_LOAD) for key in classes}
+    loads = {key: bounded_number(classes, key, f"{prefix}classes.", 0.0, MAX_LOAD) for key in classes}
     if "measured" in table:
         if "load" in table:
             raise PlanError(f"{prefix}load and {prefix}measured exclude each other")
@@ -152,7 +152,7 @@
                 f" {table['measured']!r}: {load!r}"
             )
     else:
-        load = figure(table, "load", prefix, 0.0, MAX_LOAD, total_load(loads))
+        load = bounded_number(table, "load", prefix, 0.0, MAX_LOAD, total_load(loads))
     spared = table.get("spared")
     if spared is not None and spared not in loads:
         raise PlanError(f"{prefix}spared names no class of the group: {spared!r}")
@@ -160,23 +160,23 @@
     if overflow is not None and not isinstance(overflow, str):
         raise PlanError(f"{prefix}overflow must be the name of a group: {overflow!r}")
     if trunks is not None:
-        trunks = int(figure(table, "trunks", prefix, 0, 100_000))
-    group_blocking = figure(table, "blocking", prefix, 1e-9, 0.99, blocking)
-    grown_load = load * (1.0 + figure(table, "growth", prefix, -0.99, 100.0, growth))
+        trunks = int(bounded_number(table, "trunks", prefix, 0, 100_000))
+    group_blocking = bounded_number(table, "blocking", prefix, 1e-9, 0.99, blocking)
+    grown_load = load * (1.0 + bounded_number(table, "growth", prefix, -0.99, 100.0, growth))
     if grown_load > MAX_LOAD:
         raise PlanError(f"{prefix}load is above {MAX_LOAD:g} erlangs after growth: {grown_load!r}")
     return GroupSpec(
         name,
         grown_load,
-        int(figure(table, "module", prefix, 1, 100_000, 1)),
-        figure(table, "cost", prefix, 1e-9, 1e9, 1.0),
-        figure(table, "peakedness", prefix, 0.01, 100.0, 1.0),
+        int(bounded_number(table, "module", prefix, 1, 100_000, 1)),
+        bounded_number(table, "cost", prefix, 1e-9, 1e9, 1.0),
+        bounded_number(table, "peakedness", prefix, 0.01, 100.0, 1.0),
         group_blocking,
         overflow,
         trunks,
         loads,
         spared,
-        figure(table, "spared_blocking", prefix, 0.0, 1.0, group_blocking / 10.0),
+        bounded_number(table, "spared_blocking", prefix, 0.0, 1.0, group_blocking / 10.0),
     )
 
 
--- a/leadslip/trunks/traffic.py
+++ b/leadslip/trunks/traffic.py
@@ -171,7 +171,7 @@
             cell = self._cell_for(request.destination, request.call_class)
         interval = cell.interval
         sample = self.refusal_samples.get(interval.group)
-        if sample is not None and request.number:
+        if sample is not None and request.number_called:
             self._match_repeat(interval, sample, request, now_ms)
         if request.redialled:
             interval.marked += 1
@@ -189,8 +189,8 @@
             interval.failed += 1
         else:
             interval.left += 1
-        if request.number:
-            self._sample_refusal(interval, request.number, now_ms)
+        if request.number_called:
+            self._sample_refusal(interval, request.number_called, now_ms)
 
     def attempt_ended(self, attempt: Attempt, outcome: interface.Outcome, now_ms: float) -> None:
         """Counts the end of an established call; other attempts are ignored."""
@@ -214,7 +214,7 @@
         self, interval: Interval, sample: RefusalSample, request: Request, now_ms: float
     ) -> None:
         """Matches an attempt against the sample of refused numbers, and counts the result in its interval."""
-        key = hash((interval.call_class, request.number))
+        key = hash((interval.call_class, request.number_called))
         if request.redialled:
             sample.remove(key)
             return
@@ -256,21 +256,21 @@
     def _interval_start_s(self, ms: float) -> int:
         return int(ms / 1000.0 // self.interval_s) * self.interval_s
 
-    def due_ms(self) -> float:
+    def interval_end_ms(self) -> float:
         """Returns the end of the current interval in Unix ms."""
         return (self._interval_start_s(self.covered_from_ms) + self.interval_s) * 1000.0
 
     def finish_intervals(self, now_ms: float) -> None:
-        """Reports each interval that has ended; must be called at the time that `due_ms` returns."""
+        """Reports each interval that has ended; must be called at the time that `interval_end_ms` returns."""
         if now_ms - self.covered_from_ms > MAX_UNFINISHED_INTERVALS * self.interval_s * 1000.0:
             self._report_gap(now_ms)
-        while self.due_ms() <= now_ms:
-            self._finish_interval(self.due_ms())
+        while self.interval_end_ms() <= now_ms:
+            self._finish_interval(self.interval_end_ms())
 
     def _report_gap(self, now_ms: float) -> None:
         """Reports the time since the current interval began as a gap, after a clock jump or a suspended process."""
         # The counters of that interval are kept, with 1 ms of it as measured.
-        self._finish_interval(min(self.covered_from_ms + 1.0, self.due_ms()))
+        self._finish_interval(min(self.covered_from_ms + 1.0, self.interval_end_ms()))
         self.on_gap(self.covered_from_ms, now_ms)
         self._begin_interval(now_ms)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from leadslip import interface
-from leadslip.choice import INTERVAL_MS, Controller
+from leadslip.controller import INTERVAL_MS, Controller
 
 URGENT, PLAIN = "urgent", "plain"
 
--- a/tests/standin_links.py
+++ b/tests/standin_links.py
@@ -17,7 +17,7 @@
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
-from tests.standins import binary
+from tests.standins import encode_message
 
 SERVE_MS, RTT_MS = 20.0, 20.0  # from a set-up's arrival to its answer; round trip of a message
 LATE_MS = 2900.0  # instead of SERVE_MS, for an answer after the time-out of its attempt
@@ -139,12 +139,12 @@
         self.call_later(
             RTT_MS / 2,
             connection.send,
-            binary(43, bytes(8), (51, b"x0:50;x1:50")) + b"".join(connection.repeated_releases),
+            encode_message(43, bytes(8), (51, b"x0:50;x1:50")) + b"".join(connection.repeated_releases),
         )
 
     def _send_state(self) -> None:
         for connection in self.connections[:4] if self.deferred is None else ():
-            connection.send(binary(43, bytes(8), (51, b"x0:50;x1:50")))
+            connection.send(encode_message(43, bytes(8), (51, b"x0:50;x1:50")))
         self.call_later(500.0, self._send_state)
 
     def message_received(self, connection: FakeConnection, message: bytes) -> None:
@@ -155,13 +155,13 @@
         elif message_type == 12:
             self.released.add(call)
         elif message_type == 52 and connection.server_open:
-            connection.send(binary(53, call, (61, b"\x01")))
+            connection.send(encode_message(53, call, (61, b"\x01")))
 
     def _establish(self, connection: FakeConnection, call: bytes) -> None:
         if self.defer_while_hung(self._establish, connection, call):
             return
         if connection.server_open:
-            connection.send(binary(9, call, (63, b"sdp")))
+            connection.send(encode_message(9, call, (63, b"sdp")))
             if call in self.released:
                 return
             self.established[call] = connection
@@ -191,7 +191,7 @@
             return
         if connection not in self.connections and self.connections:
             connection = self.rng.choice(self.connections) if self.repeats_ends else self.connections[-1]
-        release = binary(12, call, (61, b"\x10"))
+        release = encode_message(12, call, (61, b"\x10"))
         self.ended_ms[call] = self.now_ms()
         if self.repeats_ends or not self.connections:
             self.repeat_on_open.append(release)
--- a/tests/standin_trunks.py
+++ b/tests/standin_trunks.py
@@ -17,7 +17,7 @@
 from leadslip import core, interface, logs
 from leadslip.metrics import Metrics
 from tests.helpers import URGENT, entry, settings
-from tests.standins import SetupServer, binary
+from tests.standins import SetupServer, encode_message
 
 START_S = 1_000_000.0  # Unix time at which the simulation begins
 
@@ -139,12 +139,12 @@
         request = core.Request(
             f"{self.attempts:016x}", self.call_class, self.world.now_ms() + self.timeout_ms, self
         )
-        request.destination, request.number = 0, number
+        request.destination, request.number_called = 0, number
         request.redialled = self.marks_redials and earlier_attempts > 0
         request.context = earlier_attempts
         self.engine.offer(request)
 
-    def established(self, request: core.Request, payload: object) -> None:
+    def on_established(self, request: core.Request, payload: object) -> None:
         self.log.append(False)
 
     def lost(self, request: core.Request) -> None:
@@ -152,12 +152,12 @@
         if request.context < self.max_redials and self.rng.random() < self.persistence:
             self.redials += 1
             wait_s = self.rng.expovariate(1.0 / self.redial_s)
-            self.world.callLater(wait_s, lambda: self._dial(request.number, request.context + 1))
+            self.world.callLater(wait_s, lambda: self._dial(request.number_called, request.context + 1))
 
-    def refused(self, request: core.Request, pause_ms: float) -> None:
+    def on_refused(self, request: core.Request, pause_ms: float) -> None:
         self.lost(request)
 
-    def failed(self, request: core.Request) -> None:
+    def on_failed(self, request: core.Request) -> None:
         self.lost(request)
 
     def call_ended(self, request: core.Request, cut: bool) -> None:
@@ -197,12 +197,12 @@
 
     def answer(self, link: socket.socket, call: bytes, fields: dict[int, bytes]) -> None:
         if len(self.established) >= self.trunks:
-            link.sendall(binary(12, call, (61, b"\x22"), (47, b"no_circuit"), (51, self.report())))
+            link.sendall(encode_message(12, call, (61, b"\x22"), (47, b"no_circuit"), (51, self.report())))
             return
         self.established.add(call)
-        link.sendall(binary(9, call, (63, b"sdp"), (51, self.report())))
+        link.sendall(encode_message(9, call, (63, b"sdp"), (51, self.report())))
 
     def release(self, call_id: str) -> None:
         call = bytes.fromhex(call_id)
         self.established.remove(call)
-        self.connections[-1].sendall(binary(12, call, (61, b"\x10"), (51, self.report())))
+        self.connections[-1].sendall(encode_message(12, call, (61, b"\x10"), (51, self.report())))
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -53,13 +53,13 @@
     return defaults | changes
 
 
-def notice(rev: int, *targets: tuple[str, str, str], whole: bool = False) -> dict:
+def notice(rev: int, *targets: tuple[str, str, str], snapshot: bool = False) -> dict:
     """Returns one event of the notice board, with (uid, address, state) for each server."""
     listed = [
         {"uid": uid, "endpoint": address, "az": "x", "pod_group": i, "state": state, "boot_ms": 0}
         for i, (uid, address, state) in enumerate(targets)
     ]
-    return {"rev": rev, "pool": {"rev": rev, "all": whole, "targets": listed}}
+    return {"rev": rev, "pool": {"rev": rev, "all": snapshot, "targets": listed}}
 
 
 class Listener:
@@ -104,7 +104,7 @@
         """Handles one connection, which is closed when this returns."""
         raise NotImplementedError
 
-    def die(self) -> None:
+    def stop_with_reset(self) -> None:
         """Stops listening, and resets every connection."""
         if self.socket.fileno() < 0:
             return
@@ -133,7 +133,7 @@
 
     def serve(self, connection: socket.socket) -> None:
         file = connection.makefile("rb")
-        connection.sendall(binary(43, bytes(8), (51, self.report())))
+        connection.sendall(encode_message(43, bytes(8), (51, self.report())))
         while head := file.read(2):
             body = file.read(struct.unpack("!H", head)[0])
             fields, offset = {}, 9
@@ -145,7 +145,7 @@
             if body[0] == 1:
                 self.answer(connection, body[1:9], fields)
             elif body[0] == 52 and self.behaviour != "silent":
-                connection.sendall(binary(53, body[1:9], (61, b"\x01")))
+                connection.sendall(encode_message(53, body[1:9], (61, b"\x01")))
 
     def report(self) -> bytes:
         """The load report that is sent when a connection opens."""
@@ -153,20 +153,22 @@
 
     def answer(self, connection: socket.socket, call: bytes, fields: dict[int, bytes]) -> None:
         if self.behaviour in ("answer", "hold"):
-            connection.sendall(binary(6, call) + binary(9, call, (63, b"v=" + call.hex().encode())))
+            connection.sendall(
+                encode_message(6, call) + encode_message(9, call, (63, b"v=" + call.hex().encode()))
+            )
         if self.behaviour == "answer":
-            connection.sendall(binary(12, call, (61, b"\x10"), (51, b"x0:49;x1:50")))
+            connection.sendall(encode_message(12, call, (61, b"\x10"), (51, b"x0:49;x1:50")))
         if self.behaviour == "full":
-            connection.sendall(binary(12, call, (61, b"\x22"), (47, b"overload")))
+            connection.sendall(encode_message(12, call, (61, b"\x22"), (47, b"overload")))
 
     def release_all(self) -> None:
         """Releases all calls on the newest connection."""
         for message_type, call, _ in list(self.received):
             if message_type == 1:
-                self.connections[-1].sendall(binary(12, call, (61, b"\x10")))
+                self.connections[-1].sendall(encode_message(12, call, (61, b"\x10")))
 
 
-def binary(message_type: int, call: bytes, *fields: tuple[int, bytes]) -> bytes:
+def encode_message(message_type: int, call: bytes, *fields: tuple[int, bytes]) -> bytes:
     """Encodes one message of the setup servers' protocol, from its type, call id and parameters (code, value)."""
     body = (
         bytes((message_type,))
@@ -238,9 +240,9 @@
         self.queries.append(query)
         return self.answers[min(len(self.queries), len(self.answers)) - 1](query)
 
-    def die(self) -> None:
+    def stop_with_reset(self) -> None:
         self.datagrams.close()
-        super().die()
+        super().stop_with_reset()
 
 
 def reply(query: dns.Message, rcode: int = dns.OK, records: int = 1, **changes: object) -> bytes:
@@ -258,9 +260,9 @@
     return message.toStr()
 
 
-def ask(address: tuple[str, int], name: bytes, id_: int = 7, over_tcp: bool = False) -> dns.Message:
+def query_enum(address: tuple[str, int], name: bytes, id_: int = 7, over_tcp: bool = False) -> dns.Message:
     """Sends one query to the proxy's ENUM listener; returns the answer."""
-    (message,) = ask_many(address, [(name, id_)], over_tcp)
+    (message,) = query_enum_many(address, [(name, id_)], over_tcp)
     return message
 
 
@@ -271,7 +273,9 @@
     return message.toStr()
 
 
-def ask_many(address: tuple[str, int], queries: list, over_tcp: bool = False, quiet_s: float = 0.0) -> list:
+def query_enum_many(
+    address: tuple[str, int], queries: list, over_tcp: bool = False, quiet_s: float = 0.0
+) -> list:
     """Sends several queries at once over one socket; returns all answers, and any more that arrive within quiet_s."""
     socket_type = socket.SOCK_STREAM if over_tcp else socket.SOCK_DGRAM
     answers = []
@@ -318,7 +322,7 @@
         known = {
             "rev": 1,
             "notices": [
-                notice(1, *((uid, address, "active") for uid, address in servers.items()), whole=True)
+                notice(1, *((uid, address, "active") for uid, address in servers.items()), snapshot=True)
             ],
         }
         self.folder = folder
@@ -382,7 +386,7 @@
             name: int(count) for name, count in (part.split("=") for part in line.split(" counts")[1].split())
         }
 
-    def call(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
+    def http_request(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
         """Sends one HTTP request to the operators' address; returns status and body."""
         connection = http.client.HTTPConnection(*self.ops, timeout=TEST_TIMEOUT_S)
         try:
@@ -421,9 +425,9 @@
             + body
         )
 
-    def invite(self, id_: str, kind: str = "plain", expires: int = 3000, dest: int = 0) -> None:
+    def invite(self, id_: str, call_class: str = "plain", expires: int = 3000, dest: int = 0) -> None:
         info = f"dest:{dest};width:1;via:-1"
-        self.send("INVITE", id_, b"c=offer", Priority_Class=kind, Expires_Ms=expires, P_Trunk_Info=info)
+        self.send("INVITE", id_, b"c=offer", Priority_Class=call_class, Expires_Ms=expires, P_Trunk_Info=info)
 
     def receive(self) -> tuple[str, dict[str, str], bytes]:
         """Reads the next message; returns start line, headers and body, and an empty start line at the end."""
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -7,7 +7,7 @@
 
 from leadslip.net import board
 from tests.standins import notice
-from tests.test_core import World
+from tests.test_core import EngineFixture
 
 
 class FakeAgent:
@@ -42,7 +42,7 @@
 
 
 def test_a_silent_stream_is_dropped_and_polled_again_from_the_last_event():
-    world, revisions, agent = World(), [], FakeAgent()
+    world, revisions, agent = EngineFixture(), [], FakeAgent()
     client = board.BoardClient(
         world.time,
         world.deadlines,
@@ -72,7 +72,7 @@
 
 def open_poll():
     """Returns a World, a client that polls from event 3, the revisions it passes on, its agent and the open stream."""
-    world, revisions, agent = World(), [], FakeAgent()
+    world, revisions, agent = EngineFixture(), [], FakeAgent()
     client = board.BoardClient(
         world.time,
         world.deadlines,
@@ -126,7 +126,7 @@
 
 
 def test_a_poll_without_a_response_is_repeated_after_the_silence_time_out():
-    world, revisions, agent = World(), [], FakeAgent()
+    world, revisions, agent = EngineFixture(), [], FakeAgent()
     client = board.BoardClient(
         world.time,
         world.deadlines,
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -180,13 +180,13 @@
 @pytest.mark.parametrize(
     ("read", "given", "key"),
     [
-        (logs_part.settings, {"format": "xml"}, "logs.format"),
-        (logs_part.settings, {"level": "loud"}, "logs.level"),
-        (logs_part.settings, {"colour": 1}, "logs.colour"),
-        (store_part.settings, {"enabled": True}, "store.path"),
-        (store_part.settings, {"enabled": True, "path": "folder/"}, "store.path"),
-        (store_part.settings, {"enabled": True, "path": "x.db", "days": 1}, "store.days"),
-        (store_part.settings, {"enabled": True, "path": "x.db", "most_mb": 0}, "store.most_mb"),
+        (logs_part.parse, {"format": "xml"}, "logs.format"),
+        (logs_part.parse, {"level": "loud"}, "logs.level"),
+        (logs_part.parse, {"colour": 1}, "logs.colour"),
+        (store_part.parse, {"enabled": True}, "store.path"),
+        (store_part.parse, {"enabled": True, "path": "folder/"}, "store.path"),
+        (store_part.parse, {"enabled": True, "path": "x.db", "days": 1}, "store.days"),
+        (store_part.parse, {"enabled": True, "path": "x.db", "most_mb": 0}, "store.most_mb"),
     ],
 )
 def test_errors_in_logs_and_store_settings_name_the_key(read, given, key):
@@ -217,11 +217,11 @@
 )
 def test_errors_in_trunks_settings_name_the_key(given, key):
     with pytest.raises(MalformedError, match=key):
-        trunks_part.settings({"enabled": True} | given, CONTEXT)
-    assert trunks_part.settings({"enabled": False}, SettingsContext()) is None
+        trunks_part.parse({"enabled": True} | given, CONTEXT)
+    assert trunks_part.parse({"enabled": False}, SettingsContext()) is None
     with pytest.raises(MalformedError, match="needs the store"):
-        trunks_part.settings({"enabled": True}, SettingsContext())
-    good = trunks_part.settings({"enabled": True, "group": [GROUP | {"share": 0.5}]}, CONTEXT)
+        trunks_part.parse({"enabled": True}, SettingsContext())
+    good = trunks_part.parse({"enabled": True, "group": [GROUP | {"share": 0.5}]}, CONTEXT)
     assert good.groups[0].trunks == 2.5
 
 
--- a/tests/test_configure.py
+++ b/tests/test_configure.py
@@ -29,7 +29,7 @@
         folder = tmp_path / "out" / name
         conf = config.load({"NODE_CONFIG": str(folder / "config.json")})
         seeds.add(conf.seed)
-        assert conf.name == name and len(conf.notices[0].addresses) == 1
+        assert conf.name == name and len(conf.known_notices[0].addresses) == 1
         assert configure.main(["check", *map(str, folder.iterdir())]) == 0
     assert len(seeds) == 2
     enum = tmp_path / "out" / "voice-alerts" / "enum.toml"
@@ -71,7 +71,7 @@
     for name in parts.NAMES:
         table = tomllib.loads((root / "deploy" / f"{name}.toml").read_text())
         validate, context = (
-            parts.settings_class(name).settings,
+            parts.settings_class(name).parse,
             parts.SettingsContext(settings={"store": True, "fleet": True}),
         )
         assert validate(table, context) == (LogsConfig() if name == "logs" else None)
@@ -83,7 +83,7 @@
 
 def test_the_example_configuration_is_valid():
     path = configure.Path(__file__).parent.parent / "example" / "config.json"
-    assert config.config_of(json.loads(path.read_text())).name == "example"
+    assert config.parse_config(json.loads(path.read_text())).name == "example"
 
 
 # The store and the trunk group of an application, to be completed with a file name and a call class.
@@ -118,7 +118,7 @@
         table = tomllib.loads((folder / "trunks.toml").read_text())
         (group,) = (
             parts.settings_class("trunks")
-            .settings(table, parts.SettingsContext(settings={"store": True}))
+            .parse(table, parts.SettingsContext(settings={"store": True}))
             .groups
         )
         assert (group.name, group.reserve) == ("north", {call_class: 2})
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,13 +6,13 @@
 import pytest
 from twisted.internet.task import Clock
 
-from leadslip import choice, core, deadlines, interface, logs
+from leadslip import controller, core, deadlines, interface, logs
 from leadslip.metrics import Metrics
 from tests.helpers import PLAIN, entry, settings
 from tests.standins import ROOT
 
 
-class World:
+class EngineFixture:
     """An engine with its clock; also its downstream and upstream sides, which record what the engine calls.
 
     `sent` has the attempts passed to `send`, `recorded` all other calls; `outcome` is what `send` returns.
@@ -36,22 +36,22 @@
         return self.outcome
 
     def cancel(self, attempt):
-        self.recorded.append(("give up", attempt.request.id))
+        self.recorded.append(("cancel", attempt.request.id))
 
     def release(self, attempt):
         self.recorded.append(("release", attempt.request.id))
 
-    def established(self, request, payload):
-        self.recorded.append(("stands", request.id, payload))
+    def on_established(self, request, payload):
+        self.recorded.append(("established", request.id, payload))
 
-    def refused(self, request, pause_ms):
+    def on_refused(self, request, pause_ms):
         self.recorded.append(("refused", request.id))
 
-    def failed(self, request):
+    def on_failed(self, request):
         self.recorded.append(("failed", request.id))
 
     def call_ended(self, request, cut):
-        self.recorded.append(("over", request.id, cut))
+        self.recorded.append(("call_ended", request.id, cut))
 
     def read_pending(self, request):
         """Does nothing: the callers of this fixture never have unread data."""
@@ -69,7 +69,7 @@
 
 
 def test_repeated_answers_and_ends_of_an_attempt_are_passed_to_the_caller_once():
-    world = World()
+    world = EngineFixture()
     world.offer()
     (attempt,) = world.sent
     world.engine.on_established(attempt, b"sdp")
@@ -77,20 +77,20 @@
     world.engine.on_attempt_ended(attempt, interface.Outcome.SERVED)
     world.engine.on_attempt_ended(attempt, interface.Outcome.CUT)
     world.wait(3000)
-    assert world.recorded == [("stands", "a", b"sdp"), ("over", "a", False)]
+    assert world.recorded == [("established", "a", b"sdp"), ("call_ended", "a", False)]
 
 
 def test_with_a_silent_server_the_request_fails_before_its_deadline_and_the_attempt_is_cancelled():
-    world = World()
+    world = EngineFixture()
     world.offer(valid_for_ms=800.0)
     world.wait(795)
-    assert world.recorded == [("give up", "a"), ("failed", "a")]
+    assert world.recorded == [("cancel", "a"), ("failed", "a")]
     world.engine.on_established(world.sent[0], b"late")
     assert len(world.recorded) == 2
 
 
 def test_a_request_is_answered_even_if_the_controller_never_decides_about_it():
-    world = World()
+    world = EngineFixture()
     world.engine.controller.handle = lambda now_ms, event: []
     world.offer(valid_for_ms=500.0)
     world.wait(500)
@@ -98,27 +98,27 @@
 
 
 def test_a_cancellation_that_crosses_the_answer_changes_nothing():
-    world = World()
+    world = EngineFixture()
     request = world.offer()
     world.engine.on_established(world.sent[0], b"sdp")
     world.engine.cancel(request)
-    assert world.recorded == [("stands", "a", b"sdp")]
+    assert world.recorded == [("established", "a", b"sdp")]
     world.engine.hang_up(request)
     world.engine.hang_up(request)
     assert world.recorded[1:] == [("release", "a")]
 
 
 def test_a_cancelled_request_gets_no_answer_and_its_attempt_is_cancelled_at_the_server():
-    world = World()
+    world = EngineFixture()
     request = world.offer()
     world.engine.cancel(request)
     world.engine.on_established(world.sent[0], b"late")
     world.wait(3000)
-    assert world.recorded == [("give up", "a")]
+    assert world.recorded == [("cancel", "a")]
 
 
 def test_after_a_lost_connection_nothing_is_sent_for_the_release_wait():
-    world = World(release_wait_ms=250.0)
+    world = EngineFixture(release_wait_ms=250.0)
     world.offer()
     world.engine.on_attempt_ended(world.sent[0], interface.Outcome.CUT)
     world.wait(249)
@@ -128,7 +128,7 @@
 
 
 def test_an_unsent_attempt_is_retried_elsewhere_at_once_with_one_attempt_in_progress():
-    world = World()
+    world = EngineFixture()
     world.outcome = interface.Outcome.NO_CONNECTION
     world.offer()
     assert [attempt.server for attempt in world.sent] == ["s0", "s1"]
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("state", [interface.ServerState.DRAINING, interface.ServerState.GONE])
 def test_a_draining_server_accepts_set_ups_only_during_the_drain_grace(state):
-    world = World(drain_grace_ms=300.0)
+    world = EngineFixture(drain_grace_ms=300.0)
     world.engine.update_servers(
         interface.ServerListUpdate(interface.UpdateKind.CHANGES, (interface.ListEntry("s0", 0, state),))
     )
@@ -153,16 +153,16 @@
 
 
 def test_a_duplicate_id_fails_and_the_first_call_is_kept():
-    world = World()
+    world = EngineFixture()
     world.offer()
     world.offer()
     world.engine.on_established(world.sent[0], b"sdp")
-    assert world.recorded == [("failed", "a"), ("stands", "a", b"sdp")]
+    assert world.recorded == [("failed", "a"), ("established", "a", b"sdp")]
     assert len(world.sent) == 1
 
 
 def test_many_deadlines_share_one_timer_and_cancelled_ones_are_compacted():
-    world = World()
+    world = EngineFixture()
     before = len(world.time.getDelayedCalls())
     scheduled = [
         world.deadlines.call_at(world.now_ms() + 5000 + i, lambda argument: None) for i in range(5000)
@@ -193,7 +193,7 @@
 
 
 def test_servers_replaced_under_new_ids_leave_no_state_behind():
-    world = World(drain_grace_ms=300.0)
+    world = EngineFixture(drain_grace_ms=300.0)
     for i in range(50):
         world.engine.update_servers(
             interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry(f"n{i}", 0),))
@@ -205,10 +205,10 @@
         world.engine.update_servers(interface.ServerListUpdate(interface.UpdateKind.CHANGES, (gone_entry,)))
         world.wait(301)
     world.engine.update_servers(interface.ServerListUpdate(interface.UpdateKind.CHANGES, ()))
-    world.wait(choice.MAX_SAMPLE_LIFETIME_MS + choice.INTERVAL_MS)
+    world.wait(controller.MAX_SAMPLE_LIFETIME_MS + controller.INTERVAL_MS)
     assert set(world.engine.states) == {"s0", "s1"} == set(world.engine.controller.servers)
     assert (
         not world.engine.unavailable_since_ms
-        and not world.engine.open
+        and not world.engine.open_requests
         and not world.engine.controller.gone_servers
     )
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -6,15 +6,15 @@
 from leadslip.core import Request
 from leadslip.counters import Counters
 from tests.helpers import PLAIN, URGENT
-from tests.test_core import World
+from tests.test_core import EngineFixture
 
 
-def counter_values(world: World) -> dict[str, int]:
+def counter_values(world: EngineFixture) -> dict[str, int]:
     return world.engine.counters.values()
 
 
 def test_each_answer_counts_once_in_its_class_and_active_counts_open_requests():
-    world = World()
+    world = EngineFixture()
     rng = random.Random(7)
     classes, expected, active_seen, cancelled = {}, {}, [], set()
     for i in range(400):
@@ -37,14 +37,14 @@
             world.engine.cancel(request)  # the caller left: no answer is counted
             cancelled.add(request.id)
         world.wait(rng.choice((0, 5, 50)))
-        for established in list(world.engine.established.values()):
+        for established in list(world.engine.established_requests.values()):
             if rng.random() < 0.1:
                 world.engine.on_attempt_ended(established.attempt, interface.Outcome.SERVED)
         active = len(active_requests(world, classes, cancelled))
         assert counter_values(world)["proxy.active"] == active
         active_seen.append(active)
     world.wait(4000)
-    answers = {"stands": "ok", "refused": "shed", "failed": "errors"}
+    answers = {"established": "ok", "refused": "shed", "failed": "errors"}
     for answer, id_, *_ in world.recorded:
         if answer in answers:
             key = (classes[id_], answers[answer])
@@ -58,17 +58,17 @@
     assert max(active_seen) > 10
 
 
-def active_requests(world: World, offered: dict, cancelled: set) -> set:
+def active_requests(world: EngineFixture, offered: dict, cancelled: set) -> set:
     """Ids of the requests without a final answer or with an established call, as recorded by the downstream side."""
     active = set(offered) - cancelled
     for answer, id_, *_ in world.recorded:
-        if answer in ("refused", "failed", "over"):
+        if answer in ("refused", "failed", "call_ended"):
             active.discard(id_)
     return active
 
 
 def test_a_duplicate_id_counts_as_an_error_and_an_unknown_class_is_not_counted():
-    world = World()
+    world = EngineFixture()
     first = Request("a" * 16, PLAIN, world.now_ms() + 2000.0, world)
     world.engine.offer(first)
     world.engine.offer(Request("a" * 16, PLAIN, world.now_ms() + 2000.0, world))
@@ -80,7 +80,7 @@
 
 
 def test_classes_added_at_a_reload_are_counted_and_removed_ones_keep_their_counters():
-    world = World()
+    world = EngineFixture()
     world.engine.offer(Request("a" * 16, PLAIN, world.now_ms() + 2000.0, world))
     world.engine.on_established(world.sent[0], b"sdp")
     settings = world.engine.settings
@@ -101,7 +101,7 @@
     counters.add_gauge("active", lambda: 14)
     counters.count_answer("a", "ok")
     counters.config_rejected += 1
-    lines = counters.text().decode().splitlines()
+    lines = counters.to_text().decode().splitlines()
     assert lines[:4] == [
         f"proxy.responses.a.{name}" + ("=1" if name == "ok" else "=0")
         for name in ("ok", "shed", "errors", "tries")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.standins import Caller, Program, SetupServer, Stopped, binary, settings, wait_for
+from tests.standins import Caller, Program, SetupServer, Stopped, encode_message, settings, wait_for
 from tests.test_program import FIRST, LONG_CLASS, SECOND
 
 FULL = ((61, b"\x22"), (47, b"overload"))  # parameters of a release by which a server refuses a set-up
@@ -67,7 +67,7 @@
     wait_for(lambda: set_ups(first) == [FIRST])
     with Stopped(program):
         (connection,) = first.connections
-        connection.sendall(binary(12, bytes.fromhex(FIRST), *FULL))  # sent first, so read first
+        connection.sendall(encode_message(12, bytes.fromhex(FIRST), *FULL))  # sent first, so read first
         leave(caller, manner)
     assert set_ups_after_another_call(program, second) == [SECOND]
 
@@ -105,6 +105,6 @@
     wait_for(lambda: set_ups(first) == [FIRST])
     with Stopped(program):
         (connection,) = first.connections
-        connection.sendall(binary(9, bytes.fromhex(FIRST), (63, b"sdp")))
+        connection.sendall(encode_message(9, bytes.fromhex(FIRST), (63, b"sdp")))
         time.sleep(2.1)
     assert caller.receive()[0] == "SIP/2.0 200 OK"
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -3,7 +3,7 @@
 import pytest
 
 from leadslip import interface
-from leadslip.choice import (
+from leadslip.controller import (
     CALM_PROBABILITY,
     INTERVAL_MS,
     MAJOR_MS,
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -14,12 +14,12 @@
 from leadslip.net.servers import Servers
 from tests.helpers import entry, settings
 from tests.standin_links import StandInServer
-from tests.test_core import World
+from tests.test_core import EngineFixture
 
 ADDRESS = {"s0": ("127.0.0.1", 1)}
 
 
-class ConnectedWorld(World):
+class ConnectedWorld(EngineFixture):
     """A proxy's engine and its connections to one simulated server, all on one virtual clock.
 
     `behaviour` are further arguments of StandInServer; `ended_at_ms` has the times at which ends were reported.
@@ -53,7 +53,7 @@
         self.upstream.apply_list_update(update, ADDRESS)
         self.engine.update_servers(update)
 
-    def established(self, request, payload):
+    def on_established(self, request, payload):
         self.established_calls.add(bytes.fromhex(request.id))
 
     def call_ended(self, request, cut):
@@ -104,7 +104,7 @@
     world.wait(8000)
     assert len(world.established_calls) > 80 and len(world.server.ended_ms) > 80
     assert world.late_ends() == {}
-    assert not world.engine.established and world.server.connect_count < 250
+    assert not world.engine.established_requests and world.server.connect_count < 250
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -155,7 +155,7 @@
     world.server.release(calls[0])
     world.wait(900)
     assert calls[0] in world.ended_at_ms and least_recent in server.active and len(server.active) == 5
-    assert len(world.engine.established) == 39
+    assert len(world.engine.established_requests) == 39
     for call in calls[1:]:
         world.server.release(call)
     world.wait(900)
@@ -198,7 +198,7 @@
         world.wait(20)
     world.wait(4000)
     assert len(world.server.ended_ms) > 300 and world.late_ends() == {}
-    assert not world.engine.established and world.server.connect_count < 12
+    assert not world.engine.established_requests and world.server.connect_count < 12
     assert world.metrics.counts["servers.late_set_ups"] > 5, "late attempts were cancelled and retried"
 
 
@@ -212,7 +212,7 @@
             reset(world)
         world.wait(10)
     world.wait(4000)
-    assert len(world.server.ended_ms) > 1000 and not world.engine.established
+    assert len(world.server.ended_ms) > 1000 and not world.engine.established_requests
     assert world.late_ends() == {} and world.server.connect_count <= 12
 
 
@@ -226,7 +226,7 @@
     connect_count = world.server.connect_count
     world.wait(5000)
     assert world.server.connections == connections and world.server.connect_count == connect_count
-    assert world.metrics.counts["servers.tests"] > 5 and len(world.engine.established) == 8
+    assert world.metrics.counts["servers.tests"] > 5 and len(world.engine.established_requests) == 8
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -240,7 +240,7 @@
     world.server.hang(for_ms)
     world.wait(for_ms + 10_000)
     assert len(world.server.ended_ms) > 40 and world.late_ends() == {}
-    assert not world.engine.established and world.server.connect_count < 40
+    assert not world.engine.established_requests and world.server.connect_count < 40
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -255,7 +255,7 @@
         world.wait(1500)
     world.wait(15_000)
     assert len(world.server.ended_ms) > 60 and world.late_ends() == {}
-    assert not world.engine.established and world.server.connect_count <= 14
+    assert not world.engine.established_requests and world.server.connect_count <= 14
 
 
 def test_calls_of_a_server_process_end_when_another_process_takes_over_its_address():
@@ -270,12 +270,12 @@
     for connection in list(world.server.connections):
         connection.end(error.ConnectionLost())
     world.wait(2000)
-    assert len(world.engine.established) == 12 and world.upstream.servers["s0"].active
+    assert len(world.engine.established_requests) == 12 and world.upstream.servers["s0"].active
     update = interface.ServerListUpdate(interface.UpdateKind.CHANGES, (entry("s1", 0),))
     world.upstream.apply_list_update(update, {"s1": ADDRESS["s0"]})
     world.engine.update_servers(update)
     assert (
         len(world.ended_at_ms) == 12
-        and not world.engine.established
+        and not world.engine.established_requests
         and list(world.upstream.servers) == ["s1"]
     )
--- a/tests/test_enum.py
+++ b/tests/test_enum.py
@@ -17,7 +17,7 @@
 from leadslip.net import enum
 from leadslip.net.connections import MessageError
 from leadslip.parts.enum import settings as enum_settings
-from tests.standins import HOST, Program, Resolver, ask, ask_many, query, reply
+from tests.standins import HOST, Program, Resolver, query, query_enum, query_enum_many, reply
 from tests.test_links import Transport
 
 NAME = b"9.8.7.6.5.4.3.2.1.2.8.e164.arpa"
@@ -80,14 +80,14 @@
     for program, resolvers in started:
         assert program.stop() == 0, program.log
         for resolver in resolvers:
-            resolver.die()
+            resolver.stop_with_reset()
 
 
 @pytest.mark.parametrize("release", [True, False], ids=["release", "debug"])
 def test_a_reply_is_forwarded_with_its_records_and_the_id_of_the_clients_query(start, release):
     program, _ = start(replies, replies, release=release)
     for over_tcp in (False, True):
-        answer = ask(program.enum_address, NAME, 77, over_tcp)
+        answer = query_enum(program.enum_address, NAME, 77, over_tcp)
         assert (answer.id, answer.answer, answer.rCode) == (77, 1, dns.OK)
         assert answer.answers[0].payload.service == dns.Charstr(b"E2U+sip")
         assert answer.queries[0].name.name == NAME
@@ -114,7 +114,7 @@
     program, resolvers = start(*behaviours)
     # Two queries, so that each resolver is the first choice of one.
     for id_ in (1, 2):
-        answers = ask_many(program.enum_address, [(NAME, id_)], quiet_s=0.3)
+        answers = query_enum_many(program.enum_address, [(NAME, id_)], quiet_s=0.3)
         assert [(a.id, a.rCode) for a in answers] == [(id_, rcode)]
     if queries_per_request is not None:
         assert sum(len(r.queries) for r in resolvers) == 2 * queries_per_request
@@ -122,31 +122,31 @@
 
 def test_a_silent_resolver_gives_a_server_failure_at_the_overall_deadline(start):
     program, _ = start(silent, attempt_ms=5000, answer_within_ms=500)
-    assert ask(program.enum_address, NAME).rCode == dns.ESERVER
+    assert query_enum(program.enum_address, NAME).rCode == dns.ESERVER
 
 
 def test_a_truncated_reply_is_fetched_over_tcp_within_the_same_attempt(start):
     program, (resolver,) = start(truncated, attempt_ms=5000, answer_within_ms=6000)
-    answer = ask(program.enum_address, NAME, over_tcp=True)
+    answer = query_enum(program.enum_address, NAME, over_tcp=True)
     assert len(answer.answers) == 40
     assert [received.over_tcp for received in resolver.queries] == [False, True]
     # Over UDP the reply is too long for this client, which has to retry over TCP.
-    udp_answer = ask(program.enum_address, NAME)
+    udp_answer = query_enum(program.enum_address, NAME)
     assert (udp_answer.trunc, udp_answer.answers) == (1, [])
 
 
 def test_after_one_resolver_stops_the_other_answers_all_queries(start):
     program, (first, _) = start(replies, replies)
-    assert ask(program.enum_address, NAME).rCode == dns.OK
-    first.die()
+    assert query_enum(program.enum_address, NAME).rCode == dns.OK
+    first.stop_with_reset()
     for id_ in range(4):
-        assert ask(program.enum_address, NAME, id_).rCode == dns.OK
+        assert query_enum(program.enum_address, NAME, id_).rCode == dns.OK
 
 
 def test_concurrent_queries_get_one_reply_each(start):
     program, _ = start(replies, replies)
     queries = [(b"%d.%d.2.8.e164.arpa" % (i // 10, i % 10), i) for i in range(60)]
-    answers = ask_many(program.enum_address, queries, quiet_s=0.2)
+    answers = query_enum_many(program.enum_address, queries, quiet_s=0.2)
     assert all(a.rCode == dns.OK for a in answers)
     assert sorted(a.id for a in answers) == list(range(60))
 
@@ -179,7 +179,7 @@
         with pytest.raises(ConnectionResetError):
             if not client.recv(1):
                 raise ConnectionResetError
-    assert ask(program.enum_address, NAME, over_tcp=True).rCode == dns.OK
+    assert query_enum(program.enum_address, NAME, over_tcp=True).rCode == dns.OK
 
 
 class SilentUpstream:
@@ -187,9 +187,7 @@
 
     def __init__(self):
         self.clock, self.metrics = Clock(), Metrics()
-        conf = enum_settings.settings(
-            {"enabled": True, "listen": "127.0.0.1:1", "resolvers": ["127.0.0.1:2"]}
-        )
+        conf = enum_settings.parse({"enabled": True, "listen": "127.0.0.1:1", "resolvers": ["127.0.0.1:2"]})
         self.deadlines = Deadlines(self, self.clock)
         self.downstream = enum.EnumServer(conf, self.metrics, self.deadlines)
         self.downstream.engine = Engine(
--- a/tests/test_filters.py
+++ b/tests/test_filters.py
@@ -4,7 +4,7 @@
 
 from leadslip import core, interface
 from leadslip.filters import Refusal
-from tests.test_core import World
+from tests.test_core import EngineFixture
 
 
 class RecordingFilter:
@@ -38,7 +38,7 @@
 
 
 def world_with(*filters):
-    world = World(max_pause_ms=2000.0)
+    world = EngineFixture(max_pause_ms=2000.0)
     world.engine.chain.replace(filters)
     return world
 
@@ -74,11 +74,11 @@
         RecordingFilter("c", invocations),
     )
     refusals = []
-    world.refused = lambda request, pause_ms: refusals.append((request.id, pause_ms))
+    world.on_refused = lambda request, pause_ms: refusals.append((request.id, pause_ms))
     world.offer("x")
     assert refusals == [("x", 2000.0)] and not world.sent, "the pause is limited to max_pause_ms"
     assert invocations == [("a", "admit", "x"), ("b", "admit", "x"), ("a", "ended", "x")]
-    assert world.metrics.counts["filters.b.refused"] == 1 and not world.engine.open
+    assert world.metrics.counts["filters.b.refused"] == 1 and not world.engine.open_requests
 
 
 def test_a_filter_may_set_the_destination_and_shorten_times_but_not_extend_them():
@@ -90,7 +90,7 @@
     request = world.offer("x", valid_for_ms=800.0)
     assert world.sent[0].server == "s1" and request.valid_until_ms == world.now_ms() + 800.0
     world.wait(110)
-    assert world.recorded[0] == ("give up", "x"), "its attempt timed out after 100 ms"
+    assert world.recorded[0] == ("cancel", "x"), "its attempt timed out after 100 ms"
     world.wait(700)
     finals = [answer for answer, *_ in world.recorded if answer in ("failed", "refused")]
     assert len(finals) == 1, "it is answered once, within the caller's deadline"
@@ -104,7 +104,7 @@
         world.offer(id_)
         world.engine.on_established(world.sent[-1], b"sdp")
         world.engine.on_attempt_ended(world.sent[-1], interface.Outcome.SERVED)
-    assert [answer for answer, *_ in world.recorded] == ["stands", "over"] * 2
+    assert [answer for answer, *_ in world.recorded] == ["established", "call_ended"] * 2
     assert world.metrics.counts["filters.bad.raised"] == 6 and logged == [("filter.raised", "bad")]
 
 
@@ -140,7 +140,7 @@
         def request_answered(self, request, answer, now_ms):
             invocations.append((self.name, answer))
 
-    world = World()
+    world = EngineFixture()
     world.engine.observer = core.Observers(RecordingObserver("a"), RecordingObserver("b"))
     world.offer("x")
     world.engine.on_established(world.sent[0], b"sdp")
--- a/tests/test_fleet_agreed_processes.py
+++ b/tests/test_fleet_agreed_processes.py
@@ -55,7 +55,7 @@
 def test_without_the_agreement_part_its_endpoint_does_not_exist(tmp_path):
     program = Program(tmp_path, {"s0": f"{HOST}:9"}, ops=f"{HOST}:0")
     try:
-        status, body = program.call("GET", "/control/settings")
+        status, body = program.http_request("GET", "/control/settings")
         assert status == 404 and json.loads(body)["code"] == "ops.no-such-call"
     finally:
         program.stop()
@@ -74,8 +74,8 @@
 def test_invalid_settings_name_the_faulty_key(change, key):
     valid = {"enabled": True, "voters": ["a", "b", "c"], "disk": "a.db"}
     context = SettingsContext(settings={"fleet": True})
-    assert agreement_settings.settings(valid, context).in_force_ms == 2000.0
+    assert agreement_settings.parse(valid, context).in_force_ms == 2000.0
     with pytest.raises(MalformedError, match=key):
-        agreement_settings.settings(valid | change, context)
+        agreement_settings.parse(valid | change, context)
     with pytest.raises(MalformedError, match="needs the fleet"):
-        agreement_settings.settings(valid, SettingsContext())
+        agreement_settings.parse(valid, SettingsContext())
--- a/tests/test_fleet_filter.py
+++ b/tests/test_fleet_filter.py
@@ -7,7 +7,7 @@
 from leadslip.fleet.agreement.filter import AgreedRulesFilter
 from leadslip.fleet.agreement.member import RevisionContents, Rules
 from tests.helpers import PLAIN
-from tests.test_core import World
+from tests.test_core import EngineFixture
 
 BASE = Rules.parse(RevisionContents.from_bodies(1, {}))
 
@@ -20,7 +20,7 @@
     )
 
 
-class WorldWithAgreedRules(World):
+class WorldWithAgreedRules(EngineFixture):
     """An engine with the filter of the agreed rules; the test sets the rules in effect."""
 
     def __init__(self, **more):
@@ -46,7 +46,7 @@
 
     def offer_call(self, id_, destination=0, number=""):
         request = core.Request(id_, PLAIN, self.now_ms() + 2000.0, self, b"c=offer")
-        request.destination, request.number = destination, number
+        request.destination, request.number_called = destination, number
         self.engine.offer(request)
         return request
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -55,7 +55,7 @@
                     inodes |= {line.split()[9] for line in file.readlines()[1:]}
             open_files = {os.readlink(f"/proc/{pid}/fd/{fd}") for fd in os.listdir(f"/proc/{pid}/fd")}
         assert not {f"socket:[{inode}]" for inode in inodes} & open_files, "no UDP socket is open"
-        assert program.call("GET", "/control/fleet")[0] == 404
+        assert program.http_request("GET", "/control/fleet")[0] == 404
     finally:
         program.stop()
 
@@ -242,14 +242,14 @@
         "key_file": str(tmp_path / "fleet.key"),
         "seeds": [],
     }
-    conf = fleet_settings.settings(valid, SettingsContext(running=True))
+    conf = fleet_settings.parse(valid, SettingsContext(running=True))
     assert conf.keys == (b"\xab" * 32, b"\xcd" * 16) and conf.advertise == ("127.0.0.1", 7946)
     with pytest.raises(MalformedError, match=key):
-        fleet_settings.settings(valid | change, SettingsContext(running=True))
+        fleet_settings.parse(valid | change, SettingsContext(running=True))
     for keys in ("", "ab\n", "zz" * 16, "ab" * 16 + "\n" + "ab" * 16):
         (tmp_path / "fleet.key").write_text(keys)
         with pytest.raises(MalformedError, match="fleet.key_file"):
-            fleet_settings.settings(valid, SettingsContext(running=True))
+            fleet_settings.parse(valid, SettingsContext(running=True))
 
 
 def test_scheduled_actions_round_trip_through_json(tmp_path):
--- a/tests/test_fleet_replicas_processes.py
+++ b/tests/test_fleet_replicas_processes.py
@@ -34,7 +34,7 @@
         parts = {"fleet": fleet_toml, "replicas": f"enabled = {str(with_replicas).lower()}\n"}
         program = Program(folder, {"s0": server.address}, name=name, parts=parts, ops=f"{HOST}:0")
         if not seeds:
-            seeds.append(json.loads(program.call("GET", "/control/fleet")[1])["self"]["address"])
+            seeds.append(json.loads(program.http_request("GET", "/control/fleet")[1])["self"]["address"])
         started[folder.name] = program
         return program
 
@@ -47,7 +47,7 @@
 
 def replicas(program):
     """A proxy's state of replication, as it reports it to operators."""
-    return json.loads(program.call("GET", "/control/replicas")[1])
+    return json.loads(program.http_request("GET", "/control/replicas")[1])
 
 
 def establish(program, calls=CALLS):
@@ -107,7 +107,7 @@
 def test_without_replicas_calls_of_a_killed_proxy_are_unknown(fleet):
     start_member, _ = fleet
     first, second = start_member("n0", with_replicas=False), start_member("n1", with_replicas=False)
-    assert json.loads(first.call("GET", "/control/replicas")[1])["code"] == "ops.no-such-call"
+    assert json.loads(first.http_request("GET", "/control/replicas")[1])["code"] == "ops.no-such-call"
     establish(second)
     second.process.kill()
     second.process.wait()
@@ -116,9 +116,9 @@
 
 def test_settings_errors_of_replicas_name_the_key():
     context = SettingsContext(settings={"fleet": True})
-    assert replicas_settings.settings({"enabled": True}, context).copies == 2
+    assert replicas_settings.parse({"enabled": True}, context).copies == 2
     for change, key in (({"copies": 0}, "replicas.copies"), ({"odd": 1}, "replicas.odd")):
         with pytest.raises(MalformedError, match=key):
-            replicas_settings.settings({"enabled": True} | change, context)
+            replicas_settings.parse({"enabled": True} | change, context)
     with pytest.raises(MalformedError, match="needs the fleet"):
-        replicas_settings.settings({"enabled": True}, SettingsContext())
+        replicas_settings.parse({"enabled": True}, SettingsContext())
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -21,8 +21,8 @@
 from leadslip.net.connections import MAX_MESSAGE_BYTES
 from leadslip.net.servers import Server, ServerConnection, Servers
 from leadslip.readiness import Readiness
-from tests.standins import binary, notice
-from tests.test_core import World
+from tests.standins import encode_message, notice
+from tests.test_core import EngineFixture
 
 ID = "9b1f03aa5c7e2d41"
 deterministic = hypothesis_settings(derandomize=True, max_examples=200, deadline=None)
@@ -84,7 +84,7 @@
 
 def connect_caller():
     """Returns a World and a connection from a caller to its engine."""
-    world = World()
+    world = EngineFixture()
     clients = Clients(world.engine, world.metrics, 10, Readiness(listening=True))
     connection = clients.buildProtocol(None)
     connection.makeConnection(Transport())
@@ -100,7 +100,7 @@
 
 def connect_server():
     """Returns a World and an active connection to its server s0; further connects are only recorded."""
-    world = World()
+    world = EngineFixture()
     servers = Servers(
         FakeReactor(), world.metrics, world.now_ms, 500.0, lambda call, cause: None, world.deadlines
     )
@@ -114,7 +114,7 @@
     """Opens a connection to a server, which sends its first message; returns the proxy's side."""
     connection = ServerConnection(server)
     connection.makeConnection(Transport())
-    connection.dataReceived(binary(43, bytes(8), (51, b"x0:50;x1:50")))
+    connection.dataReceived(encode_message(43, bytes(8), (51, b"x0:50;x1:50")))
     return connection
 
 
@@ -141,7 +141,7 @@
     )
     (first, second) = world.sent
     assert (first.request.id, second.request.id) == (ID, "0000" + ID[4:])
-    assert first.request.payload == b"\r\n\r\nc=IN\0\xff" and first.request.number == "0123"
+    assert first.request.payload == b"\r\n\r\nc=IN\0\xff" and first.request.number_called == "0123"
     assert first.server == "s1" and first.request.valid_until_ms == world.now_ms() + 1500.0
     assert (
         connection.transport.value().startswith(b"SIP/2.0 200 OK\r\nVia")
@@ -155,13 +155,19 @@
     world, connection = connect_server()
     world.offer(ID)
     call = bytes.fromhex(ID)
-    messages = binary(43, bytes(8), (51, b"x0:4;x1:9;odd:1")) + binary(6, call) + binary(16, call, (1, b"?"))
+    messages = (
+        encode_message(43, bytes(8), (51, b"x0:4;x1:9;odd:1"))
+        + encode_message(6, call)
+        + encode_message(16, call, (1, b"?"))
+    )
     feed(
         connection,
-        messages + binary(9, call, (63, b"\0sdp")) + binary(12, call, (61, b"\x10"), (99, b"odd")),
+        messages
+        + encode_message(9, call, (63, b"\0sdp"))
+        + encode_message(12, call, (61, b"\x10"), (99, b"odd")),
         cuts,
     )
-    assert world.recorded == [("stands", ID, b"\0sdp"), ("over", ID, False)]
+    assert world.recorded == [("established", ID, b"\0sdp"), ("call_ended", ID, False)]
     assert world.engine.controller.servers["s0"].free_lines == 4.0
 
 
@@ -192,7 +198,7 @@
 def test_garbage_closes_at_most_its_own_connection(garbage, position, replacement, message_first):
     for connect, valid in (
         (connect_caller, INVITE),
-        (connect_server, binary(9, bytes(8), (63, b"x"), (61, b"\x10"))),
+        (connect_server, encode_message(9, bytes(8), (63, b"x"), (61, b"\x10"))),
     ):
         world, connection = connect()
         broken = bytearray(valid)
@@ -231,7 +237,7 @@
     assert len(world.sent) == 1, "no request of a read with a malformed message is sent"
     connection.connectionLost()
     world.wait(2000)
-    assert world.recorded == [("give up", ID)], "its open calls are cancelled, and get no answer"
+    assert world.recorded == [("cancel", ID)], "its open calls are cancelled, and get no answer"
 
 
 def test_a_set_up_cancelled_in_the_same_read_is_never_sent():
@@ -262,7 +268,7 @@
 
     The fourth value is a complete message, or None if the tests send none.
     """
-    world = World()
+    world = EngineFixture()
     connections = enum.EnumConnections(enum.EnumServer(None, world.metrics, world.deadlines), 10)
 
     def connect():
@@ -327,15 +333,15 @@
     [
         b"\0\3abc",  # shorter than type and call id
         b"\xff\xff",  # length prefix over the maximum
-        binary(9, bytes(8), (63, b"x"))[:-1][:2]
-        + binary(9, bytes(8))[2:]
+        encode_message(9, bytes(8), (63, b"x"))[:-1][:2]
+        + encode_message(9, bytes(8))[2:]
         + b"\x3f\0\2x",  # parameter over the end
-        binary(12, bytes(8)),  # release without a cause
-        binary(12, bytes(8), (61, b"16")),  # cause of two bytes
-        binary(43, bytes(8), (51, b"x0:many")),  # load report with a value that is not a number
-        binary(123, bytes(8), (63, b"x")),  # unknown message type
-        binary(9, bytes(8)),  # answer without a description
-        binary(12, bytes(8), (61, b"\x91")),  # unknown cause
+        encode_message(12, bytes(8)),  # release without a cause
+        encode_message(12, bytes(8), (61, b"16")),  # cause of two bytes
+        encode_message(43, bytes(8), (51, b"x0:many")),  # load report with a value that is not a number
+        encode_message(123, bytes(8), (63, b"x")),  # unknown message type
+        encode_message(9, bytes(8)),  # answer without a description
+        encode_message(12, bytes(8), (61, b"\x91")),  # unknown cause
     ],
 )
 def test_a_malformed_message_from_a_server_is_counted_and_closes_that_connection(data):
@@ -371,24 +377,24 @@
     second = "0" * 16
     world.offer(second)
     assert (set_up_count(connection), set_up_count(newer)) == (1, 1)
-    newer.dataReceived(binary(9, bytes(8), (63, b"sdp")))
+    newer.dataReceived(encode_message(9, bytes(8), (63, b"sdp")))
     world.wait(100)
     assert not connection.transport.disconnecting and connection.transport.value().endswith(
-        binary(52, bytes(8), (61, b"\0"))
+        encode_message(52, bytes(8), (61, b"\0"))
     ), "a late answer looks the same: the connection is tested first"
-    newer.dataReceived(binary(43, bytes(8), (51, b"x0:5;x1:5")))
+    newer.dataReceived(encode_message(43, bytes(8), (51, b"x0:5;x1:5")))
     world.wait(100)
     assert connection.transport.disconnecting and world.metrics.counts["attempts.cut"] == 1
-    assert world.recorded == [("stands", second, b"sdp")]
+    assert world.recorded == [("established", second, b"sdp")]
 
 
 def test_a_call_released_normally_before_its_answer_was_established_and_is_not_retried():
     world, connection = connect_server()
     world.offer(ID)
     call = bytes.fromhex(ID)
-    connection.dataReceived(binary(12, call, (61, b"\x10")))
+    connection.dataReceived(encode_message(12, call, (61, b"\x10")))
     assert world.recorded == [("failed", ID)]
-    connection.dataReceived(binary(9, call, (63, b"late")) + binary(12, call, (61, b"\x10")))
+    connection.dataReceived(encode_message(9, call, (63, b"late")) + encode_message(12, call, (61, b"\x10")))
     world.wait(2000)
     assert world.recorded == [("failed", ID)] and len(world.engine.upstream.servers) == 1
     assert set_up_count(connection) == 1 and world.metrics.counts["attempts.cut"] == 1
@@ -405,29 +411,29 @@
     assert (set_up_count(connection), set_up_count(other)) == (2, 2)
     connection.dataReceived(b"\xff\xff\xff")
     assert world.metrics.counts["attempts.cut"] == 2
-    other.dataReceived(binary(9, bytes(7) + b"\2", (63, b"sdp")))
-    assert world.recorded == [("stands", f"{2:016x}", b"sdp")]
+    other.dataReceived(encode_message(9, bytes(7) + b"\2", (63, b"sdp")))
+    assert world.recorded == [("established", f"{2:016x}", b"sdp")]
 
 
 @pytest.mark.parametrize("reconnects", [True, False])
 def test_calls_survive_a_server_unreachable_for_4_s_and_end_if_it_stays_so_for_6_5_s(reconnects):
     world, connection = connect_server()
     world.offer(ID)
-    connection.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
+    connection.dataReceived(encode_message(9, bytes.fromhex(ID), (63, b"sdp")))
     for _ in range(8):
         world.wait(500)
         if connection.server.connecting:
             connection.server.connect_failed(refused=False)
-    assert connection.transport.disconnecting and world.recorded == [("stands", ID, b"sdp")]
+    assert connection.transport.disconnecting and world.recorded == [("established", ID, b"sdp")]
     if reconnects:
-        open_connection(connection.server).dataReceived(binary(12, bytes.fromhex(ID), (61, b"\x10")))
-        assert world.recorded[1:] == [("over", ID, False)]
+        open_connection(connection.server).dataReceived(encode_message(12, bytes.fromhex(ID), (61, b"\x10")))
+        assert world.recorded[1:] == [("call_ended", ID, False)]
         return
     for _ in range(7):
         world.wait(500)
         if connection.server.connecting:
             connection.server.connect_failed(refused=False)
-    assert world.recorded[1:] == [("over", ID, True)]
+    assert world.recorded[1:] == [("call_ended", ID, True)]
 
 
 def test_a_connection_over_the_maximum_half_closes_an_idle_one_which_is_not_replaced():
@@ -446,14 +452,14 @@
     world, connection = connect_server()
     other = open_connection(connection.server)
     world.offer(ID)
-    connection.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
+    connection.dataReceived(encode_message(9, bytes.fromhex(ID), (63, b"sdp")))
     for _ in range(19):
         world.wait(100)
-        other.dataReceived(binary(43, bytes(8), (51, b"x0:50;x1:50")))
+        other.dataReceived(encode_message(43, bytes(8), (51, b"x0:50;x1:50")))
         assert not other.transport.disconnecting
     world.wait(400)
     assert connection.transport.disconnecting and not other.transport.disconnecting
-    assert world.recorded == [("stands", ID, b"sdp")], "its calls go on"
+    assert world.recorded == [("established", ID, b"sdp")], "its calls go on"
 
 
 def test_a_connection_reset_right_after_opening_loses_no_set_up():
@@ -470,15 +476,16 @@
 def test_a_release_waits_for_a_connection_and_calls_survive_a_failed_connect():
     world, connection = connect_server()
     request = world.offer(ID)
-    connection.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
+    connection.dataReceived(encode_message(9, bytes.fromhex(ID), (63, b"sdp")))
     connection.connectionLost()
     connection.server.connect_failed(refused=False)
     world.engine.hang_up(request)
-    assert world.recorded == [("stands", ID, b"sdp")], (
+    assert world.recorded == [("established", ID, b"sdp")], (
         "a connect that times out does not prove the calls lost"
     )
     assert (
-        binary(12, bytes.fromhex(ID), (61, b"\x10")) in open_connection(connection.server).transport.value()
+        encode_message(12, bytes.fromhex(ID), (61, b"\x10"))
+        in open_connection(connection.server).transport.value()
     )
 
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -13,22 +13,30 @@
 
 def test_the_proxy_is_ready_only_while_listening_in_service_and_not_shutting_down():
     readiness = Readiness()
-    assert not readiness.ready() and not readiness.draining()
+    assert not readiness.ready() and not readiness.client_connections_draining()
     readiness.listening = True
     assert readiness.ready()
-    assert readiness.out_of_service(5.0) and not readiness.out_of_service(9.0)
-    assert (readiness.ready(), readiness.draining(), readiness.out_of_service_since_ms) == (False, True, 5.0)
-    assert readiness.in_service() and not readiness.in_service()
-    assert readiness.ready() and not readiness.draining()
+    assert readiness.take_out_of_service(5.0) and not readiness.take_out_of_service(9.0)
+    assert (
+        readiness.ready(),
+        readiness.client_connections_draining(),
+        readiness.out_of_service_since_ms,
+    ) == (False, True, 5.0)
+    assert readiness.return_to_service() and not readiness.return_to_service()
+    assert readiness.ready() and not readiness.client_connections_draining()
     assert readiness.begin_shutdown(7.0) and not readiness.begin_shutdown(8.0)
-    assert (readiness.ready(), readiness.draining(), readiness.shutdown_since_ms) == (False, True, 7.0)
-    readiness.in_service()
+    assert (readiness.ready(), readiness.client_connections_draining(), readiness.shutdown_since_ms) == (
+        False,
+        True,
+        7.0,
+    )
+    readiness.return_to_service()
     assert not readiness.ready()  # operators can't return a process to service that is shutting down
 
 
 def test_out_of_service_and_shutdown_at_time_zero_count_although_0_means_in_service():
     readiness = Readiness(listening=True)
-    assert readiness.out_of_service(0.0) and not readiness.ready()
+    assert readiness.take_out_of_service(0.0) and not readiness.ready()
     assert readiness.begin_shutdown(0.0) and not readiness.begin_shutdown(0.0)
 
 
@@ -53,15 +61,15 @@
 
 def test_readiness_follows_the_service_state_and_the_process_keeps_running(program):
     proxy, _ = program("answer")
-    assert proxy.call("GET", "/control/ready") == (200, b"ready\n")
-    assert proxy.call("PUT", "/control/out-of-service") == (200, b"out of service\n")
-    assert proxy.call("GET", "/control/ready")[0] == 503
+    assert proxy.http_request("GET", "/control/ready") == (200, b"ready\n")
+    assert proxy.http_request("PUT", "/control/out-of-service") == (200, b"out of service\n")
+    assert proxy.http_request("GET", "/control/ready")[0] == 503
     caller = Caller(proxy)
     caller.send("OPTIONS", FIRST)
     assert caller.receive()[0] == "SIP/2.0 503 Service Unavailable"
-    assert proxy.call("PUT", "/control/out-of-service")[0] == 200  # repeating it has no effect
-    assert proxy.call("PUT", "/control/in-service") == (200, b"in service\n")
-    assert proxy.call("GET", "/control/ready")[0] == 200
+    assert proxy.http_request("PUT", "/control/out-of-service")[0] == 200  # repeating it has no effect
+    assert proxy.http_request("PUT", "/control/in-service") == (200, b"in service\n")
+    assert proxy.http_request("GET", "/control/ready")[0] == 200
     assert proxy.process.poll() is None
 
 
@@ -79,8 +87,8 @@
 )
 def test_an_invalid_operator_request_is_rejected_and_changes_nothing(program, method, path, body, status):
     proxy, _ = program("answer")
-    assert proxy.call(method, path, body)[0] == status
-    assert proxy.call("GET", "/control/ready")[0] == 200
+    assert proxy.http_request(method, path, body)[0] == status
+    assert proxy.http_request("GET", "/control/ready")[0] == 200
 
 
 def final_status(caller: Caller) -> str:
@@ -108,7 +116,7 @@
     )
     chunked = b"PUT /control/in-service HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
     assert send_raw(proxy, chunked + b"800\r\n" + b"y" * 2048 + b"\r\n0\r\n\r\n").startswith(b"HTTP/1.1 413")
-    assert proxy.call("GET", "/control/ready")[0] == 200
+    assert proxy.http_request("GET", "/control/ready")[0] == 200
 
 
 def test_a_stalled_operators_connection_delays_no_other_request_and_is_closed(program):
@@ -116,7 +124,7 @@
     stalled = [socket.create_connection(proxy.ops, timeout=TEST_TIMEOUT_S) for _ in range(5)]
     stalled[0].sendall(b"GET /control/rea")
     stalled[1].sendall(b"PUT /control/in-service HTTP/1.1\r\nContent-Length: 10\r\n\r\n12")
-    assert proxy.call("GET", "/control/ready")[0] == 200
+    assert proxy.http_request("GET", "/control/ready")[0] == 200
     for connection in stalled:
         assert connection.recv(4096) == b""  # closed by the proxy
         connection.close()
@@ -130,12 +138,12 @@
     idle.receive()
     holding.invite(SECOND)
     assert holding.receive()[0] == "SIP/2.0 200 OK"
-    proxy.call("PUT", "/control/out-of-service")
+    proxy.http_request("PUT", "/control/out-of-service")
     assert idle.socket.recv(1) == b""
     server.release_all()
     assert holding.receive()[0].startswith("BYE ")  # kept open for the release of its call
     assert holding.socket.recv(1) == b""
-    proxy.call("PUT", "/control/in-service")
+    proxy.http_request("PUT", "/control/in-service")
     reconnected = Caller(proxy)
     reconnected.invite(FIRST)
     assert final_status(reconnected) == "SIP/2.0 200 OK"
@@ -146,7 +154,7 @@
     port = old.listen[1]
     new, _ = program("answer", listen=f"{HOST}:{port}")
     assert new.listen == old.listen
-    assert new.call("GET", "/control/ready")[0] == 200
+    assert new.http_request("GET", "/control/ready")[0] == 200
     answered = []
 
     def place_call(i: int) -> None:
@@ -175,7 +183,7 @@
 
 def read_counters(proxy: Program) -> dict[str, int]:
     """Read the counters at the operators' address."""
-    status, body = proxy.call("GET", "/control/counters")
+    status, body = proxy.http_request("GET", "/control/counters")
     assert status == 200
     return {name: int(value) for name, value in (line.split("=") for line in body.decode().splitlines())}
 
@@ -185,7 +193,7 @@
     caller = Caller(proxy)
     caller.invite(FIRST)
     assert caller.receive()[0] == "SIP/2.0 200 OK"
-    caller.invite(SECOND, kind="no such class")
+    caller.invite(SECOND, call_class="no such class")
     assert caller.receive()[0] == "SIP/2.0 503 Service Unavailable"
     counters = read_counters(proxy)
     assert (counters["proxy.responses.plain.ok"], counters["proxy.responses.plain.tries"]) == (1, 1)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -10,7 +10,18 @@
 
 import pytest
 
-from tests.standins import HOST, ROOT, Board, Caller, Program, SetupServer, binary, notice, settings, wait_for
+from tests.standins import (
+    HOST,
+    ROOT,
+    Board,
+    Caller,
+    Program,
+    SetupServer,
+    encode_message,
+    notice,
+    settings,
+    wait_for,
+)
 
 LONG_CLASS = {"name": "plain", "gain": 1.0, "late_worth": 0.2, "aim_ms": 1500.0, "deadline_ms": 30000.0}
 FIRST, SECOND = "9b1f03aa5c7e2d41", "0b1f03aa5c7e2d42"
@@ -99,7 +110,7 @@
     caller = Caller(program)
     caller.invite(FIRST)
     caller.receive()
-    server.die()
+    server.stop_with_reset()
     start_line, headers, _ = caller.receive()
     assert start_line.startswith("BYE ") and headers["Reason"] == "Q.850;cause=41"
 
@@ -225,7 +236,7 @@
     caller.invite(FIRST)
     caller.receive()
     for id_, cause in ((SECOND, b"\x22"), (FIRST, b"\x10"), (FIRST, b"\x10"), (SECOND, b"\x10")):
-        server.connections[-1].sendall(binary(12, bytes.fromhex(id_), (61, cause)))
+        server.connections[-1].sendall(encode_message(12, bytes.fromhex(id_), (61, cause)))
     released = [caller.receive()[1]["Call-ID"] for _ in range(2)]
     caller.send("OPTIONS", FIRST)
     assert released == [FIRST, SECOND] and caller.receive()[0] == "SIP/2.0 200 OK"
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -10,7 +10,7 @@
 from leadslip.net.connections import OVERFLOW_TIMEOUT_MS, READ_BYTES, WRITE_STALL_TIMEOUT_MS
 from leadslip.net.servers import Server
 from leadslip.readiness import Readiness
-from tests.standins import binary
+from tests.standins import encode_message
 from tests.test_links import ID, INVITE, Transport, connect_server, open_connection, sip
 
 OTHER_ID = "0b1f03aa5c7e2d42"
@@ -60,8 +60,8 @@
     caller.dataReceived(invite())
     assert set_up_count(first) == 1
     caller.transport.unread += unread
-    first.dataReceived(binary(12, bytes.fromhex(ID), (61, b"\x22"), (47, b"overload")))
-    assert set_up_count(second) == 0 and not world.engine.open
+    first.dataReceived(encode_message(12, bytes.fromhex(ID), (61, b"\x22"), (47, b"overload")))
+    assert set_up_count(second) == 0 and not world.engine.open_requests
     assert world.metrics.counts["requests.cancelled"] == 1
 
 
@@ -71,7 +71,7 @@
     _, (caller,) = callers(world, 1)
     caller.transport.unread += unread
     caller.dataReceived(invite())
-    assert set_up_count(server) == 0 and not world.engine.open
+    assert set_up_count(server) == 0 and not world.engine.open_requests
     assert world.metrics.counts["requests"] == 0, "the request never reached the engine"
 
 
@@ -155,7 +155,7 @@
     aborted = []
     caller.transport.abortConnection = lambda: aborted.append(True)
     caller.dataReceived(invite())
-    server.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
+    server.dataReceived(encode_message(9, bytes.fromhex(ID), (63, b"sdp")))
     assert accept(clients) is None and not aborted, (
         "it closes once the answer is sent, and counts as open until then"
     )
@@ -175,7 +175,7 @@
     assert b"SIP/2.0 500 " in refused.transport.value(), (
         "a set-up whose id is in use on another connection fails"
     )
-    assert (set_up_count(server, OTHER_ID), list(world.engine.open)) == (0, [ID])
+    assert (set_up_count(server, OTHER_ID), list(world.engine.open_requests)) == (0, [ID])
     refused.connectionLost()
     world.wait(OVERFLOW_TIMEOUT_MS + 300)
     assert silent.transport.disconnecting and not caller.transport.disconnecting
@@ -200,10 +200,10 @@
 def test_a_connect_without_a_free_descriptor_neither_ends_calls_nor_marks_the_server_unreachable():
     world, connection = connect_server()
     world.offer(ID)
-    connection.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
+    connection.dataReceived(encode_message(9, bytes.fromhex(ID), (63, b"sdp")))
     world.wait(7000)  # longer than a server may be silent
     connection.server.no_local_socket()
-    assert ("over", ID, True) not in world.recorded and not connection.server.unreachable
+    assert ("call_ended", ID, True) not in world.recorded and not connection.server.unreachable
 
 
 def test_additional_connections_to_a_server_stop_at_the_descriptor_limit():
@@ -239,13 +239,14 @@
 def test_a_release_that_a_stalled_connection_does_not_accept_is_sent_on_the_next():
     world, connection = connect_server()
     request = world.offer(ID)
-    connection.dataReceived(binary(9, bytes.fromhex(ID), (63, b"sdp")))
+    connection.dataReceived(encode_message(9, bytes.fromhex(ID), (63, b"sdp")))
     connection.pauseProducing()
     world.wait(WRITE_STALL_TIMEOUT_MS + 1)
     world.engine.hang_up(request)
     connection.connectionLost()
     assert (
-        binary(12, bytes.fromhex(ID), (61, b"\x10")) in open_connection(connection.server).transport.value()
+        encode_message(12, bytes.fromhex(ID), (61, b"\x10"))
+        in open_connection(connection.server).transport.value()
     )
 
 
@@ -269,7 +270,7 @@
     connection.transport.dataBuffer = b"the rest of it"
     world.engine.cancel(request)
     assert connection.transport.disconnecting and connection.server.active == []
-    assert not connection.transport.value().endswith(binary(12, bytes.fromhex(ID), (61, b"\x10")))
+    assert not connection.transport.value().endswith(encode_message(12, bytes.fromhex(ID), (61, b"\x10")))
 
 
 def test_a_flood_on_one_connection_is_read_up_to_the_size_of_one_read_per_turn():
@@ -289,7 +290,7 @@
     assert len(sizes) == before, "no further read follows a full one in the same turn"
 
 
-ANSWERED = binary(9, bytes.fromhex(ID), (63, b"sdp"))
+ANSWERED = encode_message(9, bytes.fromhex(ID), (63, b"sdp"))
 
 
 @pytest.mark.parametrize("split", range(len(ANSWERED) + 1))
@@ -297,9 +298,9 @@
     world, connection = connect_server()
     world.offer(ID)
     connection.dataReceived(ANSWERED[:split])
-    assert world.recorded == ([("stands", ID, b"sdp")] if split == len(ANSWERED) else [])
+    assert world.recorded == ([("established", ID, b"sdp")] if split == len(ANSWERED) else [])
     connection.dataReceived(ANSWERED[split:])
-    assert world.recorded == [("stands", ID, b"sdp")]
+    assert world.recorded == [("established", ID, b"sdp")]
     other, broken = connect_server()
     other.offer(ID)
     broken.dataReceived(ANSWERED[:split])
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -10,11 +10,11 @@
 import pytest
 
 from leadslip import config, interface
-from leadslip.choice import _Call
+from leadslip.controller import _Call
 from leadslip.core import Request
 from tests.helpers import PLAIN, URGENT
 from tests.standins import notice, settings
-from tests.test_core import World
+from tests.test_core import EngineFixture
 
 CONFIGURATION = {
     "name": "n0",
@@ -22,7 +22,7 @@
     "ops": "127.0.0.1:3869",
     "seed": "5eed",
     "board": "127.0.0.1:4222",
-    "known": {"rev": 1, "notices": [notice(1, ("s0", "127.0.0.1:9", "active"), whole=True)]},
+    "known": {"rev": 1, "notices": [notice(1, ("s0", "127.0.0.1:9", "active"), snapshot=True)]},
     "settings": settings(),
     "limits": {"sockets": 256},
 }
@@ -125,7 +125,7 @@
 
 
 def test_an_open_request_keeps_its_attempt_limit_when_a_reload_lowers_it_for_new_ones():
-    world = World(servers=4)
+    world = EngineFixture(servers=4)
     old = Request("a" * 16, PLAIN, world.now_ms() + 5000.0, world)
     old.destination = 0
     world.engine.offer(old)
@@ -146,7 +146,7 @@
 
 
 def test_open_requests_of_a_removed_class_are_served_and_new_ones_refused():
-    world = World()
+    world = EngineFixture()
     old = Request("a" * 16, PLAIN, world.now_ms() + 5000.0, world)
     world.engine.offer(old)
     only_urgent = tuple(
@@ -157,11 +157,11 @@
     )
     world.engine.on_established(old.attempt, b"sdp")
     world.engine.offer(Request("b" * 16, PLAIN, world.now_ms() + 5000.0, world))
-    assert ("stands", "a" * 16, b"sdp") in world.recorded and ("refused", "b" * 16) in world.recorded
+    assert ("established", "a" * 16, b"sdp") in world.recorded and ("refused", "b" * 16) in world.recorded
 
 
 def test_settings_that_the_controller_rejects_change_nothing():
-    world = World()
+    world = EngineFixture()
     before = world.engine.settings
     invalid = interface.Settings(**{**settings_fields(before), "cold_fraction": 0.0})
     with pytest.raises(ValueError, match="cold_fraction"):
@@ -180,7 +180,7 @@
     The remaining class would then seem to be worth less than the mean, and its calls would get a smaller window.
     """
     rich = interface.CallClass("rich", 100.0, 0.2, 1500.0, 9000.0)
-    world = World(classes=(rich, interface.CallClass(PLAIN, 1.0, 0.2, 1500.0, 9000.0)))
+    world = EngineFixture(classes=(rich, interface.CallClass(PLAIN, 1.0, 0.2, 1500.0, 9000.0)))
     for i in range(200):
         world.engine.offer(Request(f"{i:016x}", "rich", world.now_ms() + 5000.0, world))
     controller = world.engine.controller
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 import pytest
 
 from leadslip import interface
-from leadslip.choice import INTERVAL_MS, Controller
+from leadslip.controller import INTERVAL_MS, Controller
 from tests.helpers import Gateway, entry, final_answers, set_ups, settings
 
 RELEASE_WAIT_OUTCOMES = ["timed_out", "cut", "withdrawn"]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -176,7 +176,7 @@
     second, third = SetupServer("answer"), SetupServer("answer")
     for connection in program.board.connections:
         connection.shutdown(socket.SHUT_RDWR)
-    program.board.die()
+    program.board.stop_with_reset()
     idle = []
     for _ in range(3 * limit):
         idle.append(socket.create_connection(program.listen, timeout=TEST_TIMEOUT_S))
@@ -190,7 +190,7 @@
     wait_for(lambda: second.connections)
     new_board.events.append((3, notice(3, ("s2", third.address, "active"))))
     wait_for(lambda: third.connections)
-    assert program.call("GET", "/control/ready") == (200, b"ready\n")
+    assert program.http_request("GET", "/control/ready") == (200, b"ready\n")
     caller = Caller(program)
     caller.invite(FIRST)
     assert caller.receive()[0] == "SIP/2.0 200 OK"
--- a/tests/test_trunk_server.py
+++ b/tests/test_trunk_server.py
@@ -42,7 +42,7 @@
     callers.start()
     end_s = START_S + length_s
     while world.now_s < end_s:
-        step_s = end_s if observer is None else min(end_s, observer.due_ms() / 1000.0)
+        step_s = end_s if observer is None else min(end_s, observer.interval_end_ms() / 1000.0)
         world.run(step_s)
         if observer is not None:
             observer.finish_intervals(world.now_ms())
--- a/tests/test_trunks.py
+++ b/tests/test_trunks.py
@@ -21,7 +21,7 @@
 
 def request(destination=0, call_class="plain", number="1", redialled=False, lines=1.0):
     stand_in = SimpleNamespace(
-        destination=destination, call_class=call_class, number=number, redialled=redialled
+        destination=destination, call_class=call_class, number_called=number, redialled=redialled
     )
     stand_in.lines, stand_in.admitted_by, stand_in.valid_until_ms = lines, (), math.inf
     return stand_in
