--- a/leadslip/recorder.py
+++ b/leadslip/recorder.py
@@ -69,7 +69,7 @@
                     "trunks.kept", level="debug", run=self.run_id, start_s=first_start_s, records=len(points)
                 )
 
-        self.writer.put(Batch(points=points, on_committed=on_written))
+        self.writer.put(Batch(points=points, on_done=on_written))
 
     def report_gap(self, start_ms: float, end_ms: float) -> None:
         """Log a period in which traffic was not measured, and for which there are no records."""
--- a/leadslip/store/writer.py
+++ b/leadslip/store/writer.py
@@ -28,21 +28,21 @@
     batch was committed.
     """
 
-    __slots__ = ("points", "items", "deleted", "on_committed", "task")
+    __slots__ = ("points", "items", "deleted", "on_done", "task")
 
     def __init__(
         self,
         points: Sequence[Point] = (),
         items: Sequence[Item] = (),
         deleted: Sequence[tuple[str, str]] = (),
-        on_committed: Callable[[bool], None] | None = None,
+        on_done: Callable[[bool], None] | None = None,
         task: Callable[[Store], None] | None = None,
     ) -> None:
-        self.points, self.items, self.deleted, self.on_committed, self.task = (
+        self.points, self.items, self.deleted, self.on_done, self.task = (
             points,
             items,
             deleted,
-            on_committed,
+            on_done,
             task,
         )
 
@@ -81,8 +81,8 @@
         """Queues a batch; returns False if it was dropped, because the queue is full or the writer closing."""
         if self.closing or self.pending_records + len(batch) > MAX_PENDING_RECORDS:
             self.metrics.add("store.dropped", len(batch))
-            if batch.on_committed is not None:
-                batch.on_committed(False)
+            if batch.on_done is not None:
+                batch.on_done(False)
             return False
         self.pending_records += len(batch)
         with self.queue_changed:
@@ -197,5 +197,5 @@
                 # Records are lost; calls are not affected.
                 self.log("store.drops", level="error", fault=error)
         for batch in batches:
-            if batch.on_committed is not None:
-                batch.on_committed(written)
+            if batch.on_done is not None:
+                batch.on_done(written)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -215,7 +215,7 @@
     reactor, metrics, done = ReactorStandin(), Metrics(), []
     writer = started_writer(path, reactor, metrics)
     for i in range(50):
-        assert writer.put(Batch([point(i)], on_committed=done.append))
+        assert writer.put(Batch([point(i)], on_done=done.append))
     reactor.run(lambda: len(done) == 50)
     assert all(done) and writer.pending_records == 0 and metrics.counts["store.written"] == 50
     reader = Store(path, read_only=True)
@@ -224,7 +224,7 @@
     release_task = threading.Event()
     writer.put(Batch(task=lambda store: release_task.wait(TEST_TIMEOUT_S)))
     assert writer.put(Batch([point(1)] * (MAX_PENDING_RECORDS - 1)))
-    assert not writer.put(Batch([point(1)], on_committed=done.append)) and done[-1] is False
+    assert not writer.put(Batch([point(1)], on_done=done.append)) and done[-1] is False
     assert metrics.counts["store.dropped"] == 1
     release_task.set()
     assert writer.close(TEST_TIMEOUT_S) and not writer.put(Batch([point(1)]))
@@ -234,11 +234,11 @@
     reactor, metrics, done, events = ReactorStandin(), Metrics(), [], []
     os.mkdir(path)  # a folder at the file's path, so nothing can be written
     writer = started_writer(path, reactor, metrics, lambda event, **fields: events.append(event))
-    writer.put(Batch([point(1)], on_committed=done.append))
+    writer.put(Batch([point(1)], on_done=done.append))
     reactor.run(lambda: done)
     assert done == [False] and metrics.counts["store.dropped"] == 1
     os.rmdir(path)
-    writer.put(Batch([point(2)], on_committed=done.append))
+    writer.put(Batch([point(2)], on_done=done.append))
     reactor.run(lambda: len(done) == 2)
     assert done == [False, True] and events == ["store.drops", "store.writes_again"]
     assert writer.close(TEST_TIMEOUT_S)
@@ -248,7 +248,7 @@
     reactor, metrics, done = ReactorStandin(), Metrics(), []
     writer = started_writer(path, reactor, metrics, max_bytes=1 << 20)
     for i in range(40):
-        writer.put(Batch([point(i * 50 + j, value=bytes(900)) for j in range(50)], on_committed=done.append))
+        writer.put(Batch([point(i * 50 + j, value=bytes(900)) for j in range(50)], on_done=done.append))
         reactor.run(lambda count=i + 1: len(done) == count)
     assert all(done), "the oldest points are evicted to accept the newest"
     assert writer.close(TEST_TIMEOUT_S)
@@ -256,7 +256,7 @@
     done.clear()
     writer = Writer(lambda: Store(path, read_only=True), reactor.call, metrics, discard)
     writer.start()
-    writer.put(Batch([point(1)], on_committed=done.append))
+    writer.put(Batch([point(1)], on_done=done.append))
     reactor.run(lambda: done)
     assert done == [False]
     writer.close(TEST_TIMEOUT_S)
