--- a/leadslip/configure.py
+++ b/leadslip/configure.py
@@ -4,8 +4,8 @@
     python -m leadslip.configure check FILE ...
 
 An applications file holds the settings that the sidecars share and an [[application]] table for each; `write`
-creates a folder for each application, with a config.json and a TOML file for every part that is configured. `check`
-validates any number of such files, and of applications files.
+creates a folder for each application, with a config.json and a TOML file for every optional part of the proxy
+(leadslip/parts) that is configured. `check` validates any number of such files, and of applications files.
 """
 
 from __future__ import annotations
@@ -112,7 +112,11 @@
 
 
 def toml_of(table: Mapping, path: str = "") -> str:
-    """Formats a table as TOML; JSON strings, numbers, booleans and lists of them are valid TOML."""
+    """Formats a table as TOML; `path` is the prefix of the names of its subtables.
+
+    Values are written as JSON, which is valid TOML for numbers, booleans, strings without characters beyond U+FFFF
+    (JSON escapes these as surrogate pairs) and lists of them. Keys are written without quotes.
+    """
     lines, subtables = [], []
     for key, value in table.items():
         name = f"{path}{key}"
@@ -126,7 +130,11 @@
 
 
 def write(source: str, folder: str) -> list[Path]:
-    """Writes the files of all applications, or none if any is invalid; returns the paths."""
+    """Writes the files of all applications, or none if any is invalid; returns the paths.
+
+    If a file can't be written, those already written are kept. Files of parts that are no longer configured are not
+    removed.
+    """
     written = []
     for name, application in applications_of(read_toml(source)).items():
         application_folder = Path(folder) / name
--- a/leadslip/fleet/pools/policy.py
+++ b/leadslip/fleet/pools/policy.py
@@ -9,8 +9,9 @@
     when zone lost: tenant river weight 8
 
 There is one rule per line; `#` begins a comment. `budget` sets the connections that each matching server accepts,
-`tenant` a tenant's share of each budget, `routers` the limits of each proxy's part of that share, and `when` changes a
-tenant's share while a condition holds. Every error gives the line, the column and what to change.
+`tenant` a tenant's claim on each budget, `routers` the limits of each proxy's part of what a tenant gets, and `when`
+changes a tenant's claim while a condition holds: `zone lost` or `server cold`, which the caller of
+`Policy.tenant_shares` passes. Every error gives the line, the column and what to change.
 """
 
 from __future__ import annotations
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantRule:
-    """A tenant's weight, floor and ceiling in each budget."""
+    """A tenant's weight, floor and ceiling in each budget: a `tenant` rule, or a `when` rule with a condition."""
 
     name: str
     settings: tuple[Setting, ...]
@@ -106,7 +107,7 @@
 
 
 class _TreeToRules(Transformer):
-    """Turns Lark's tree into rules; each method is named after a rule of the grammar."""
+    """Turns Lark's tree into rules; each method is named after a rule or an alias of the grammar."""
 
     def start(self, children: Sequence) -> list:
         return list(children)
@@ -169,10 +170,13 @@
         return 0 if rule is None else int(rule.connections * (1.0 - rule.free_fraction) + 1e-9)
 
     def tenant_shares(self, server: str, conditions: frozenset[str] = frozenset()) -> dict[str, TenantShare]:
-        """Returns each tenant's claim on a server's budget while these conditions hold; input of `split`."""
+        """Returns each tenant's claim on a server's budget and the limits of each proxy, while these conditions hold.
+
+        The result is input of `split` in leadslip/fleet/pools/split.py, which computes the actual shares.
+        """
         budget = self.budget(server)
         settings: dict[str, dict[str, Setting]] = {}
-        for rule in self.tenants:  # a later rule overrides an earlier one
+        for rule in self.tenants:  # a later rule overrides the same settings of an earlier one
             if not rule.condition or rule.condition in conditions:
                 settings.setdefault(rule.name, {}).update(
                     {setting.kind: setting for setting in rule.settings}
@@ -198,7 +202,7 @@
 
 
 def parse_policy(text: str, servers: Sequence[str], tenants: Sequence[str], max_members: int) -> Policy:
-    """Parses a policy and validates it against the servers and tenants of the settings.
+    """Parses a policy and validates it against the names of the servers and tenants in the proxy's settings.
 
     `max_members` is the maximum number of proxies in the fleet. Raises PolicyError.
     """
@@ -237,6 +241,7 @@
 
 
 def _check_budgets(rules: Sequence[BudgetRule], servers: Sequence[str]) -> None:
+    """Checks that there are budget rules, that each is the first to match some server, and the numbers in it."""
     if not rules:
         raise PolicyError(1, 1, "there is no budget rule", "add a line such as `budget *: 400 connections`")
     unmatched = set(servers)
@@ -261,6 +266,7 @@
 
 
 def _check_tenants(rules: Sequence[TenantRule], tenants: Sequence[str]) -> None:
+    """Checks the tenants' names, and that each setting is given once per condition and is within its range."""
     seen: dict[tuple[str, str, str], Setting] = {}
     for rule in rules:
         if rule.name not in tenants:
@@ -296,9 +302,10 @@
 
 
 def _check_floors(policy: Policy, servers: Sequence[str], max_members: int) -> None:
-    """Checks the floors against the ceilings and, with each condition, against the budget of each server.
+    """Checks the floors against the ceilings and against the budget of each server.
 
     Neither the floors of all tenants together nor the routers' floor for all proxies and tenants may exceed a budget.
+    The tenants' floors are checked without any condition and with each condition alone, not with both at once.
     """
     bounds = {setting.kind: setting for setting in policy.routers.settings}
     floor, ceiling = bounds.get("floor"), bounds.get("ceiling")
--- a/leadslip/lab/agreed.py
+++ b/leadslip/lab/agreed.py
@@ -22,7 +22,10 @@
 
 
 class SimulatedAgreement:
-    """A simulated fleet whose first `voters` members are voters; they use the Agreement class `agreement_class`."""
+    """A simulated fleet whose first `voters` members are voters; they use the Agreement class `agreement_class`.
+
+    `in_force_ms`: how long a member applies a revision after it was last known to be the newest.
+    """
 
     def __init__(
         self,
@@ -46,9 +49,9 @@
         self.first_applied_ms: dict[int, float] = {}  # revision -> when it was first applied
         self.longest_overlap_ms = 0.0  # longest time an older revision was applied after a newer one
         self.violations: list[str] = []
-        self.acknowledged: dict[str, int] = {}  # id of a change -> revision it was acknowledged as
+        self.acknowledged: dict[str, int] = {}  # id of a change -> revision that it created
         self.rejections: list[OperatorError] = []  # answers to the changes that were not acknowledged
-        self.fallback_checks = self.checks = 0  # checks that found the fallback rules in effect; all checks
+        self.fallback_checks = self.checks = 0  # checks of a member: with fallback rules in effect; all
         self.fleet.part_hooks["agreement"] = self.schedule_saves
         for name in self.names:
             self.start(name)
@@ -94,7 +97,7 @@
             host.view.set_metadata(host.now_ms, agreement.metadata())
 
     def complete_save(self, host: Host, disk: Disk, save: Save) -> None:
-        """Write a save to the disk and confirm it to the voter, unless it was killed; retried while it is stalled."""
+        """Write a save to the disk and confirm it to the voter, unless its process was killed; waits during a stall."""
         if not host.up:
             return
         if host.stalled:
@@ -105,7 +108,10 @@
         host.flush()
 
     def check_rules(self) -> None:
-        """Check which revision each member applies now against A1 and A2."""
+        """Check the revision that each member applies now against A1 and A2, and schedule the next check.
+
+        Skips stalled members, and those that apply the fallback rules.
+        """
         now_ms = self.fleet.clock.now_ms
         for name, host in self.fleet.hosts.items():
             if host.stalled:
--- a/leadslip/logs.py
+++ b/leadslip/logs.py
@@ -18,7 +18,7 @@
 
 
 class Log(Protocol):
-    """A function that logs one event; `level` is its severity, info by default."""
+    """A function that logs one event; the keyword argument `level` is its severity, info by default, and no field."""
 
     def __call__(self, event: str, **fields: object) -> None: ...
 
@@ -28,7 +28,10 @@
 
 
 def plain_field(value: object) -> str:
-    """Formats a value as one token: quoted where empty or with a space, a quote, `=` or an unprintable character."""
+    """Formats a value as one token: quoted where empty or with a space, a quote, `=` or an unprintable character.
+
+    A float is rounded to six significant digits.
+    """
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
@@ -36,7 +39,7 @@
 
 
 class PlainLog:
-    """Writes lines of time, event and key=value fields."""
+    """Writes lines of time (Unix seconds), event and key=value fields; drops events less severe than `level`."""
 
     def __init__(self, level: str = "info", stream: TextIO | None = None) -> None:
         self.min_level, self.stream = LEVELS[level], stream
@@ -52,7 +55,7 @@
 class StructuredLog:
     """Writes lines through structlog: for a terminal (`console`), or as JSON for a log collector (`json`).
 
-    The fields in `bound` are added to every event.
+    Drops events less severe than `level`. The fields in `bound` are added to every event.
     """
 
     def __init__(
@@ -82,7 +85,10 @@
 
 
 def open_log(format_: str = "plain", level: str = "info", name: str = "") -> Log:
-    """The log of the configured format and level; `name` is a field of each structured event."""
+    """The log of the configured format and minimum level.
+
+    `name` is the name of the proxy: the field `proxy` of each structured event. Plain lines do not contain it.
+    """
     if format_ == "plain":
         return PlainLog(level)
     return StructuredLog(format_, level, bound={"proxy": name} if name else None)
--- a/leadslip/net/clients.py
+++ b/leadslip/net/clients.py
@@ -1,4 +1,4 @@
-"""Downstream side of the proxy: SIP over TCP. Turns callers' SIP messages into requests, and answers into SIP."""
+"""Downstream side of the proxy, towards the callers: turns SIP messages over TCP into requests, answers into SIP."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 RELEASE_TTL_MS = 8000.0  # after this time since the call's end, an unacknowledged release is dropped
 RESEND_AFTER_MS = 300.0  # until an unacknowledged release is sent on another connection; doubles each time
 RESEND_CHECK_INTERVAL_MS = 100.0  # while any release is unacknowledged
-CAUSE_NORMAL, CAUSE_TEMPORARY_FAILURE = 16, 41
+CAUSE_NORMAL, CAUSE_TEMPORARY_FAILURE = 16, 41  # ITU-T Q.850 cause values, in the Reason header of a release
 
 
 DRAIN_CHECK_INTERVAL_MS = 100.0
-# A connection that brings a set-up this long after SIGTERM is closed despite established calls: clients that still
-# come have another process at the same address.
+# A connection on which a set-up arrives this long after SIGTERM is closed despite established calls: if clients still
+# use this address, it is assumed that a new process listens there too, which can accept their next connection.
 CLOSE_DESPITE_CALLS_AFTER_MS = 900.0
 MAX_EXPIRES_DEADLINES = 10.0  # Expires-Ms may be at most this many times the longest deadline of a class
 MAX_LINES_PER_CALL = 1000.0  # upper limit for `width`, the number of lines that a call occupies
@@ -42,7 +42,7 @@
 
     def __init__(self, ended_ms: float, message: bytes) -> None:
         self.ended_ms, self.message = ended_ms, message
-        self.connection: CallerConnection | None = None  # where it was last sent; None: nowhere
+        self.connection: CallerConnection | None = None  # where it was last sent; None: waits for one
         self.sent_ms, self.send_count = 0.0, 0
 
 
@@ -88,7 +88,8 @@
 
     def read_finished(self) -> None:
         # Requests are offered only after all available data. Prevents servers from working on set-ups that are
-        # cancelled in the same read, or followed by a malformed message.
+        # cancelled in the same read, or followed by a malformed message. `overflow`: the connection was accepted over
+        # the limit, so that its requests are refused; it is closed after its first message.
         new_requests, self.new_requests = self.new_requests, {}
         for request in new_requests.values():
             self.downstream.engine.offer(request, has_capacity=not self.overflow)
@@ -119,7 +120,7 @@
             self.reply(b"501 Not Implemented", headers)
 
     def response_received(self, headers: dict[bytes, bytes]) -> None:
-        """Handles a response to a release sent by this proxy."""
+        """Handles a response to a release sent by this proxy; any status acknowledges the release."""
         if headers.get(b"cseq", b"").endswith(b"BYE"):
             self.downstream.release_acknowledged(parse_call_id(headers))
             self.downstream.mark_as_caller(self)
@@ -136,7 +137,7 @@
             raise MessageError(
                 f"Expires-Ms {expires_ms:.0f} exceeds {MAX_EXPIRES_DEADLINES:.0f} times the longest deadline"
             )
-        # Expires-Ms counts from the sending of the set-up, while the engine uses Unix time.
+        # Expires-Ms is a duration, while the engine uses Unix time: it is counted from now, when the set-up is parsed.
         request = Request(
             parse_call_id(headers),
             headers.get(b"priority-class", b"").decode("utf-8", "replace"),
@@ -290,10 +291,11 @@
             self.caller_connections.move_to_end(connection)
 
     def _fallback_connection(self, exclude: CallerConnection | None = None) -> CallerConnection | None:
-        """Returns a connection for the release of a call whose own is lost: that of the latest caller, if any.
+        """Returns a connection for a release that can't be sent, or got no answer, on the call's own connection.
 
-        Prevents writing a release to a peer that only polls for readiness, or that stays connected after one
-        request: such peers don't handle releases, but send more often than callers.
+        This is the one that last sent a set-up or acknowledged a release; if there is none, the one that last sent
+        any message. The first choice avoids peers that only poll for readiness, or stay connected after one request:
+        they don't handle releases, but may have sent the latest message.
         """
         for connections in (self.caller_connections, self.connections):
             found = next(
@@ -329,6 +331,7 @@
             self._close_free_connections()
 
     def _close_free_connections(self, _: object = None) -> None:
+        """Closes the connections that are free now, and schedules the next check until the drain ends."""
         if not self.readiness.client_connections_draining():
             self.draining = False
             return
@@ -361,6 +364,7 @@
         return not self.inbound.closing
 
     def read_pending(self, request: Request) -> None:
+        """Called by the engine before it sends the request to a server: processes a cancellation that has arrived."""
         request.context[0].read_pending()
 
     def withdraw(self, request: Request) -> None:
@@ -387,7 +391,10 @@
         self.release(request.id, cut, connection if connection in self.connections else None)
 
     def release(self, id_: str, cut: bool, connection: CallerConnection | None = None) -> None:
-        """Sends the release of an ended call to its caller, and resends it until it is acknowledged."""
+        """Sends the release of an ended call to its caller, and resends it until it is acknowledged or expires.
+
+        `cut`: the call did not end normally, as when its server failed.
+        """
         message = (
             b"BYE sip:caller@net SIP/2.0\r\nVia: SIP/2.0/TCP proxy\r\nCall-ID: %s\r\nCSeq: 2 BYE\r\n"
             b"Reason: Q.850;cause=%d\r\nContent-Length: 0\r\n\r\n"
--- a/leadslip/trunks/redials.py
+++ b/leadslip/trunks/redials.py
@@ -5,6 +5,7 @@
 For the others the fraction of refused calls that are dialled again (the persistence W of ITU-T E.501) is estimated:
 refused numbers are sampled into a bounded table and matched against later attempts. Some match by chance, because
 somebody else calls the same number: their rate, measured in a control window after the last redials, is subtracted.
+In this module, a refused call is any call that was lost: refused, failed, or cancelled by its caller.
 
 E.501 then gives the fresh load from the carried load Y, the blocking B of all attempts and the persistence W:
 A = Y (1 - W B) / (1 - B). Its other method starts from the ineffective calls of the whole network, which a proxy
@@ -39,9 +40,10 @@
 def with_redials(trunks: float, erlangs: float, persistence: float, max_redials: int) -> tuple[float, float]:
     """Returns the blocking of all attempts, and the load of all attempts, when lost attempts are redialled.
 
-    `erlangs` is the load of first attempts; each lost attempt is redialled with probability `persistence`, up to
-    `max_redials` times. Assumes that redials arrive at random, after waits much longer than the holding time. Callers
-    who redial at once find the group still full, and the actual blocking is then higher than the result.
+    `trunks` is the size of the trunk group, `erlangs` the load of first attempts; each lost attempt is redialled with
+    probability `persistence`, up to `max_redials` times. Assumes that redials arrive at random, after waits much longer
+    than the holding time. Callers who redial at once find the group still full, and the actual blocking is then higher
+    than the result.
     """
     check_range("persistence", persistence, 0.0, 1.0)
     check_range("redials", max_redials, 0, 1000)
@@ -62,12 +64,12 @@
 
 
 class RefusalSample:
-    """Sample of recently refused numbers of one group, and how many of them were dialled again.
+    """Sample of recently refused numbers of one trunk group, and how many of them were dialled again.
 
-    A key is the hash of class and number. Each refused number is matched in two windows of the same length after its
-    refusal: from 0 to WINDOW_MS, when repeats occur, and from CONTROL_AFTER_MS on, when only chance matches do. Holds
-    at most MAX_SAMPLED entries; while it is full, further refusals are not sampled, which costs accuracy but adds no
-    bias.
+    A key is the hash of class and number. Each refused number is matched in two windows of length WINDOW_MS after its
+    refusal: the repeat window begins at the refusal, the control window CONTROL_AFTER_MS later, when only chance
+    matches are expected. Matches between the two windows or after them are not counted. Holds at most
+    MAX_SAMPLED entries; while it is full, further refusals are not sampled, which costs accuracy but adds no bias.
     """
 
     __slots__ = ("refused_at_ms", "sampled", "matched", "control_sampled", "control_matched")
@@ -87,7 +89,10 @@
             self.sampled += 1
 
     def match(self, key: int, now_ms: float) -> bool:
-        """Matches an attempt that is not marked as a repeat; returns whether it falls in the repeat window."""
+        """Matches an attempt that is not marked as a repeat, and counts a match; returns whether it is a repeat.
+
+        A number that has matched is removed from the sample.
+        """
         refused_ms = self.refused_at_ms.get(key)
         if refused_ms is None:
             return False
@@ -117,7 +122,10 @@
 
 
 def persistence(sampled: int, matched: int, control_sampled: int, control_matched: int) -> float:
-    """Returns the fraction of lost calls redialled without a mark, corrected for chance matches; 0 while unknown."""
+    """Returns the fraction of lost calls redialled without a mark, corrected for chance matches; 0 while unknown.
+
+    The arguments are the counters of the same names of RefusalSample.
+    """
     if not sampled:
         return 0.0
     chance_rate = min(0.99, control_matched / control_sampled) if control_sampled else 0.0
